--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -603,8 +603,14 @@
 		t.Fatalf("want probes before an order, got %+v", r)
 	}
 	for _, at := range []int{0, 1} { // node 1 is nearly full
+		if len(r.Orders) != 0 {
+			t.Fatalf("ordered before node %d answered: %+v", at, r.Orders)
+		}
 		r = f.Probed(now+10*ms, at, front.Served, front.Load{Streams: -1, Link: 0.1 + 0.7*float64(at), Uplink: -1})
 	}
+	if o := sole(t, r); o.Do != front.Place || o.Play != h || o.Node != 0 {
+		t.Fatalf("want the play placed on node 0, got %+v", o)
+	}
 	if p := f.plays.Get(h); p.stage != settingUp || p.node != 0 {
 		t.Fatalf("placed on node %d", p.node)
 	}
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -285,7 +285,6 @@
 		line, try int
 		node      string
 		out       bool
-		outUntil  int64
 		mayHave   int // line of the allocation that may have run, from 1
 	}
 	plays := map[string]*state{}
--- a/lab/list.go
+++ b/lab/list.go
@@ -22,7 +22,6 @@
 	due    []time.Time    // when each may be told
 	woken  chan struct{}  // closed at each change
 	late   time.Duration
-	down   bool
 	server *http.Server
 	addr   string
 	wg     sync.WaitGroup
--- a/lab/rig_test.go
+++ b/lab/rig_test.go
@@ -238,10 +238,9 @@
 
 // scripted is a node that does what a test says with each set-up.
 type scripted struct {
-	line    nodes.Line
-	mu      sync.Mutex
-	setUps  int
-	connect int
+	line   nodes.Line
+	mu     sync.Mutex
+	setUps int
 }
 
 // newScripted starts one at cell 0 with a handler for set-ups; it has the connection to itself.
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -17,7 +17,18 @@
 		from := rapid.Uint64Range(0, 50).Draw(t, "from")
 		b := Begun(from)
 		put, have, told := 0, from, 0
-		answered, ended := false, false
+		answered, ended, sawEnd := false, false, false
+		read := func(m Message) { // the viewer reads one, and has it
+			if m.Cursor <= have || uint64(m.Value.(int)) != m.Cursor-from {
+				t.Fatalf("%+v after %d", m, have)
+			}
+			if gap := int(m.Cursor-have) - 1; gap != m.Skipped {
+				t.Fatalf("%d left out, %d told", gap, m.Skipped)
+			}
+			told += 1 + m.Skipped
+			sawEnd = sawEnd || m.Kind == End
+			have = m.Cursor
+		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "do") {
 			case 0, 1, 2, 3, 4, 5:
@@ -34,7 +45,7 @@
 				if c := b.Put(k, put); c != from+uint64(put) {
 					t.Fatalf("cursor %d for message %d", c, put)
 				}
-			case 6, 7: // the viewer reads one, and has it
+			case 6, 7:
 				m, ok := b.Next(have)
 				if !ok {
 					if have != from+uint64(put) {
@@ -42,14 +53,7 @@
 					}
 					break
 				}
-				if m.Cursor <= have || uint64(m.Value.(int)) != m.Cursor-from {
-					t.Fatalf("%+v after %d", m, have)
-				}
-				if gap := int(m.Cursor-have) - 1; gap != m.Skipped {
-					t.Fatalf("%d left out, %d told", gap, m.Skipped)
-				}
-				told += 1 + m.Skipped
-				have = m.Cursor
+				read(m)
 				b.Ack(have)
 			case 8, 9: // words that do not hold
 				b.Ack(have + uint64(put) + 100)
@@ -59,15 +63,15 @@
 				t.Fatalf("%d kept, acknowledged %d of %d", b.Len(), b.Acked(), have)
 			}
 		}
-		sawEnd := false
-		for m, ok := b.Next(have); ok; m, ok = b.Next(m.Cursor) {
-			told += 1 + m.Skipped
-			sawEnd = sawEnd || m.Kind == End
-			have = m.Cursor
+		for m, ok := b.Next(have); ok; m, ok = b.Next(have) {
+			read(m)
 		}
 		if told != put {
 			t.Fatalf("%d of %d given or told as left out", told, put)
 		}
+		if sawEnd != ended {
+			t.Fatalf("the end was put: %v, read: %v", ended, sawEnd)
+		}
 	})
 }
 
@@ -219,8 +223,10 @@
 			t.Fatal("a player that behaves was told off")
 		}
 	}
-	if c.Malformed() != Ignore || c.Malformed() != Ignore || c.Malformed() != Cut {
-		t.Fatal("three that do not hold")
+	for i, want := range []Word{Ignore, Ignore, Cut} {
+		if got := c.Malformed(); got != want {
+			t.Fatalf("malformed message %d: got %v, want %v", i+1, got, want)
+		}
 	}
 	for i := range claimsMost {
 		if c.Claim(now+int64(i)) != Take {
--- a/store/disk_test.go
+++ b/store/disk_test.go
@@ -37,7 +37,6 @@
 	to   string
 	at   int64
 	data []byte
-	id   int // of the file, which keeps it over a rename
 }
 
 func newDisk() *disk { return &disk{files: map[string]*content{}} }
