--- a/choice/book.go
+++ b/choice/book.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"math"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 // Bookkeeping: looking up settings, entering plays at nodes, walking lists, writing messages. Nothing here decides.
@@ -26,7 +26,7 @@
 	f.res.Tells, f.words = f.res.Tells[:0], f.words[:0]
 }
 
-func (f *Front) order(o front.Order) { f.res.Orders = append(f.res.Orders, o) }
+func (f *Front) order(o decision.Order) { f.res.Orders = append(f.res.Orders, o) }
 
 // unmet and unheard are the records of a viewer and a node of whom nothing is known.
 var (
@@ -122,7 +122,7 @@
 }
 
 // best is the play of a node that plays and has most merit above 0.
-func (f *Front) best(at int, merit func(p *ply) float64) (pick front.Handle, best *ply) {
+func (f *Front) best(at int, merit func(p *ply) float64) (pick decision.Handle, best *ply) {
 	most := 0.0
 	for _, h := range f.nodes[at].plays {
 		p := f.plays.Get(h)
@@ -146,7 +146,7 @@
 }
 
 // bind and unbind enter a play at a node and take it out: its seat, its rate, its place in the list.
-func (f *Front) bind(h front.Handle, p *ply, at int) {
+func (f *Front) bind(h decision.Handle, p *ply, at int) {
 	p.node = at
 	n := &f.nodes[at]
 	n.plays = append(n.plays, h)
@@ -154,7 +154,7 @@
 	*f.seat(p)++
 }
 
-func (f *Front) unbind(h front.Handle, p *ply) {
+func (f *Front) unbind(h decision.Handle, p *ply) {
 	n := &f.nodes[p.node]
 	for i, o := range n.plays {
 		if o == h {
@@ -179,7 +179,7 @@
 func (f *Front) send(to int, kind byte, key uint32, more ...byte) {
 	from := len(f.words)
 	f.words = append(binary.BigEndian.AppendUint32(append(f.words, kind), key), more...)
-	f.res.Tells = append(f.res.Tells, front.Tell{To: to, Bytes: f.words[from:len(f.words):len(f.words)]})
+	f.res.Tells = append(f.res.Tells, decision.Tell{To: to, Bytes: f.words[from:len(f.words):len(f.words)]})
 }
 
 // pack and unpack put a figure of what is asked into a byte.
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,7 @@
 // Package choice decides where plays go, at which rung, and when to let go of them.
 //
-// The front end makes one Front with New and tells it all it learns through the calls of front.Chooser:
-// package front holds that interface and its words. Each call returns the orders to carry out, the nodes to
+// The front end makes one Front with New and tells it all it learns through the calls of decision.Chooser:
+// package decision holds that interface and its words. Each call returns the orders to carry out, the nodes to
 // probe, messages to other fronts and when to call Wake at the latest. Nothing else is read: no clock, no
 // wire. Messages may all be lost: no rule rests on one. state.go holds the records, book.go enters plays
 // and walks lists; neither decides. docs/design.md has the reasons, docs/oncall.md the symptoms. In this
@@ -12,13 +12,13 @@
 	"encoding/binary"
 	"math"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
 )
 
 const (
-	ms    = front.Ms
-	sec   = front.Second
+	ms    = decision.Ms
+	sec   = decision.Second
 	never = -1 << 50 // a time long past
 
 	// The mechanism, as the design page has it.
@@ -99,7 +99,7 @@
 
 // ---- Calls ----
 
-func (f *Front) end(now int64) *front.Result {
+func (f *Front) end(now int64) *decision.Result {
 	f.res.Wake = now + wakeEvery
 	if len(f.waiting) > 0 { // for looks, mostly: not longer than they take
 		f.res.Wake = now + lookFor
@@ -108,7 +108,7 @@
 }
 
 // Nodes follows the list. What a full list lacks is gone.
-func (f *Front) Nodes(now int64, list []front.Node, whole bool) *front.Result {
+func (f *Front) Nodes(now int64, list []decision.Node, whole bool) *decision.Result {
 	f.begin()
 	f.born = min(f.born, now)
 	for i := range f.nodes {
@@ -121,7 +121,7 @@
 		if l.Started > n.started { // a fresh process: cold, healthy, its load unknown
 			n.slot, n.link, n.seen, n.strikes, n.skipUntil = -1, account{}, memory{}, 0, 0
 		}
-		n.listed = l.Phase != front.Gone
+		n.listed = l.Phase != decision.Gone
 		if !n.listed {
 			n.unlistedAt = now
 		}
@@ -134,7 +134,7 @@
 }
 
 // Take accepts a play and places it, lets it wait or answers it.
-func (f *Front) Take(now int64, w front.Want) (front.Handle, *front.Result) {
+func (f *Front) Take(now int64, w decision.Want) (decision.Handle, *decision.Result) {
 	f.begin()
 	h, p := f.accept(now, w)
 	f.taken = append(since(f.taken, now-int64(f.val("budget.over"))+budgetEdge), now)
@@ -143,7 +143,7 @@
 	return h, f.end(now)
 }
 
-func (f *Front) accept(now int64, w front.Want) (front.Handle, *ply) {
+func (f *Front) accept(now int64, w decision.Want) (decision.Handle, *ply) {
 	for w.Viewer >= len(f.viewers) {
 		f.viewers = append(f.viewers, unmet)
 	}
@@ -154,7 +154,7 @@
 }
 
 // Adopt takes over a play that plays already.
-func (f *Front) Adopt(now int64, w front.Want, at int) (front.Handle, *front.Result) {
+func (f *Front) Adopt(now int64, w decision.Want, at int) (decision.Handle, *decision.Result) {
 	f.begin()
 	h, p := f.accept(now, w)
 	f.known(at)
@@ -164,7 +164,7 @@
 }
 
 // Started moves a play from set-up to playing; the node has proved itself.
-func (f *Front) Started(now int64, h front.Handle, try int) *front.Result {
+func (f *Front) Started(now int64, h decision.Handle, try int) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == settingUp && p.try == try {
 		p.stage, p.started = playing, now
@@ -178,8 +178,8 @@
 }
 
 // Ended takes in how an allocation ended, and places the play again where that is owed and safe.
-func (f *Front) Ended(now int64, h front.Handle, try int, how front.Ending, over bool,
-	load front.Load) *front.Result {
+func (f *Front) Ended(now int64, h decision.Handle, try int, how decision.Ending, over bool,
+	load decision.Load) *decision.Result {
 	f.begin()
 	p := f.plays.Get(h)
 	if p == nil || p.stage == held || p.try != try {
@@ -190,15 +190,15 @@
 	if f.report(now, at, load, reportLag, 0) {
 		f.tell(now, f.keeper(at), at, figures)
 	}
-	if how != front.Served && how != front.NotSent && was != deserted {
+	if how != decision.Served && how != decision.NotSent && was != deserted {
 		f.viewers[p.want.Viewer].left, f.viewers[p.want.Viewer].leftAt = at+1, now
 	}
 	// An error in a title that plays nowhere may be the title's: guards against nodes blamed for what viewers
 	// ask wrongly. It could harm where a node is sick for rare titles only.
-	if (was != playing || how == front.Lost) && (how != front.Errored || f.playsElsewhere(p)) {
+	if (was != playing || how == decision.Lost) && (how != decision.Errored || f.playsElsewhere(p)) {
 		f.judge(now, at, how)
 	}
-	if was == settingUp && how != front.Served && how != front.NotSent {
+	if was == settingUp && how != decision.Served && how != decision.NotSent {
 		f.sample(f.nodes[at].kind, -1)
 	}
 	if over || was != settingUp {
@@ -212,21 +212,21 @@
 }
 
 // Left drops a play whose viewer went away, once its allocation is in.
-func (f *Front) Left(now int64, h front.Handle) *front.Result {
+func (f *Front) Left(now int64, h decision.Handle) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == held {
 		f.plays.Drop(h)
 	} else if p != nil && p.stage == settingUp {
 		p.stage = deserted
 		if f.val("recall") > 0 {
-			f.order(front.Order{Play: h, Do: front.Recall, Try: p.try})
+			f.order(decision.Order{Play: h, Do: decision.Recall, Try: p.try})
 		}
 	}
 	return f.end(now)
 }
 
 // Told sets the rung of an adopted play.
-func (f *Front) Told(now int64, h front.Handle, rung int) *front.Result {
+func (f *Front) Told(now int64, h decision.Handle, rung int) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == playing {
 		f.rerate(p, rung)
@@ -241,7 +241,7 @@
 }
 
 // Delivered takes a share note: below shortUnder the link or its uplink is short.
-func (f *Front) Delivered(now int64, h front.Handle, share float64) *front.Result {
+func (f *Front) Delivered(now int64, h decision.Handle, share float64) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == playing {
 		f.short(now, p.node, share)
@@ -250,7 +250,7 @@
 }
 
 // Asked takes a note of what is asked of a link or an uplink.
-func (f *Front) Asked(now int64, h front.Handle, load front.Load) *front.Result {
+func (f *Front) Asked(now int64, h decision.Handle, load decision.Load) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && (p.stage == playing || p.stage == settingUp) {
 		lag := reportLag
@@ -274,7 +274,7 @@
 
 // Heard takes in a message of another front: a node's figures, or a question for them. A message says
 // nothing of a node that this front's own list lacks, and its figures count by their age.
-func (f *Front) Heard(now int64, from int, b []byte) *front.Result {
+func (f *Front) Heard(now int64, from int, b []byte) *decision.Result {
 	f.begin()
 	if !f.tells() || from < 0 || from >= int(f.val("fronts")) || len(b) < 5 {
 		return f.end(now)
@@ -302,7 +302,7 @@
 			f.levels = min(f.levels+1, levelOf)
 			f.theirs += (float64(b[8])/levelUnit - levelBase - f.theirs) / f.levels
 		}
-		age, load := int64(b[7])*ageUnit, front.Load{Streams: -1, Link: unpack(b[5]), Uplink: unpack(b[6])}
+		age, load := int64(b[7])*ageUnit, decision.Load{Streams: -1, Link: unpack(b[5]), Uplink: unpack(b[6])}
 		if f.report(now, at, load, reportLag+age, age) {
 			f.resetSetUps(now, at)
 		}
@@ -312,11 +312,11 @@
 }
 
 // Probed takes a probe's report, and sets the rungs that are still free to set by it.
-func (f *Front) Probed(now int64, at int, how front.Ending, load front.Load) *front.Result {
+func (f *Front) Probed(now int64, at int, how decision.Ending, load decision.Load) *decision.Result {
 	f.begin()
 	n := f.known(at)
 	n.probing = false
-	if how == front.Served {
+	if how == decision.Served {
 		f.report(now, at, load, reportLag, 0)
 		f.resetSetUps(now, at)
 	}
@@ -325,7 +325,7 @@
 }
 
 // Wake does what is due: plays that wait, payoffs, steps up, plays to move off short links.
-func (f *Front) Wake(now int64) *front.Result {
+func (f *Front) Wake(now int64) *decision.Result {
 	f.begin()
 	f.placeWaiting(now, true)
 	below, sum, all := 0, 0.0, 0
@@ -426,7 +426,7 @@
 }
 
 // place allocates a play in hand, lets it wait for a node's turn, or gives it up at once.
-func (f *Front) place(now int64, h front.Handle, p *ply) {
+func (f *Front) place(now int64, h decision.Handle, p *ply) {
 	at, wait := -1, false
 	if p.try+1 < int(f.val("tries")) && now < p.want.Limit && f.seatFree(p) && f.mayAgain(now, p) {
 		at, wait = f.choose(now, p)
@@ -454,7 +454,7 @@
 	n.slot, _ = f.turnOf(now, at)
 	n.leave = 0
 	f.bind(h, p, at)
-	f.order(front.Order{Play: h, Do: front.Place, Node: at, Rung: p.rung, Until: f.until(now, p)})
+	f.order(decision.Order{Play: h, Do: decision.Place, Node: at, Rung: p.rung, Until: f.until(now, p)})
 	if now-n.link.at > freshFor {
 		f.probe(now, at, 1)
 	}
@@ -530,7 +530,7 @@
 	f.cands, f.cold = f.cands[:0], -1
 	cold := 0
 	for _, i := range held {
-		if f.nodes[i].phase != front.Ready {
+		if f.nodes[i].phase != decision.Ready {
 			continue
 		}
 		c, full := cand{at: i, room: f.room(now, i)}, false
@@ -807,7 +807,7 @@
 }
 
 // report takes in what a node told of its link and uplink so long ago, and tells whether it is news.
-func (f *Front) report(now int64, at int, l front.Load, lag, age int64) bool {
+func (f *Front) report(now int64, at int, l decision.Load, lag, age int64) bool {
 	n := &f.nodes[at]
 	if l.Link < 0 && l.Uplink < 0 || age > 0 && now-age <= n.link.at {
 		return false
@@ -910,7 +910,7 @@
 func (f *Front) more(p *ply, rung int) float64 { return f.rate(p, rung) - f.rate(p, rung-1) }
 
 // setRung changes a play's rung and orders it.
-func (f *Front) setRung(now int64, h front.Handle, p *ply, rung int) {
+func (f *Front) setRung(now int64, h decision.Handle, p *ply, rung int) {
 	if rung == p.rung {
 		return
 	}
@@ -918,7 +918,7 @@
 		p.raised = now
 	}
 	f.rerate(p, rung)
-	f.order(front.Order{Play: h, Do: front.SetRung, Rung: rung})
+	f.order(decision.Order{Play: h, Do: decision.SetRung, Rung: rung})
 }
 
 // shareNow is the share delivered at a node as far as it is told; silence is a full share.
@@ -1100,7 +1100,7 @@
 	over := float64(len(n.plays)) * (1 - f.shareNow(now, at))   // own plays that the link can't carry
 	if p != nil && f.rnd.Float() < max(over, f.part(now, at)) { // the link loses one, whichever front's it is
 		f.viewers[p.want.Viewer] = viewer{at + 1, now, now}
-		f.order(front.Order{Play: h, Do: front.Move})
+		f.order(decision.Order{Play: h, Do: decision.Move})
 	}
 }
 
@@ -1109,16 +1109,16 @@
 // judge takes an allocation's end as a symptom. Guards against a node that fails, hangs or breaks
 // while its kind does well: it is skipped, longer when it fails again. One that refused as full is
 // left alone for a little, whatever late reports say of it.
-func (f *Front) judge(now int64, at int, how front.Ending) {
+func (f *Front) judge(now int64, at int, how decision.Ending) {
 	n := &f.nodes[at]
 	switch how {
-	case front.TurnedAway:
+	case decision.TurnedAway:
 		n.skipUntil = max(n.skipUntil, now+refusedFor<<min(n.strikes, doublings))
 		n.failedAt, n.strikes = n.skipUntil, n.strikes+1
-	case front.NoConnect, front.Lost: // it may come back cold before the list says so
+	case decision.NoConnect, decision.Lost: // it may come back cold before the list says so
 		n.lostAt = now
 		fallthrough
-	case front.Errored, front.NoAnswer:
+	case decision.Errored, decision.NoAnswer:
 		n.skipUntil, n.failedAt = now+skipFor<<min(n.strikes, 1), now
 		n.strikes++
 	}
@@ -1127,11 +1127,11 @@
 // ---- The six rules: each by one piece of code ----
 
 // giveUp answers a play, once as it drops it. A paid one that may have run fails; others are declined.
-func (f *Front) giveUp(h front.Handle, p *ply) {
+func (f *Front) giveUp(h decision.Handle, p *ply) {
 	if f.paid(p) && p.mayHave {
-		f.order(front.Order{Play: h, Do: front.Fail})
+		f.order(decision.Order{Play: h, Do: decision.Fail})
 	} else {
-		f.order(front.Order{Play: h, Do: front.Decline,
+		f.order(decision.Order{Play: h, Do: decision.Decline,
 			ComeBack: int64(min(1, f.val("comeback")) * f.val("comeback.most"))})
 	}
 	f.plays.Drop(h)
@@ -1200,7 +1200,7 @@
 // turn not used. A keeper just started gives none: what it gave before is not known.
 func (f *Front) mayGive(now int64, at int) bool {
 	turn, cold := f.turnOf(now, at)
-	return cold && f.nodes[at].phase == front.Ready && turn/giveEvery > f.nodes[at].slot/giveEvery &&
+	return cold && f.nodes[at].phase == decision.Ready && turn/giveEvery > f.nodes[at].slot/giveEvery &&
 		now-f.born > int64(f.val("fall.over"))
 }
 
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 func TestDeclinedAtOnceWhenNobodyHoldsTheTitle(t *testing.T) {
@@ -12,7 +12,7 @@
 	w := want(0)
 	w.Home, w.Copies = 2, 2
 	h, r := f.Take(now, w)
-	if o := sole(t, r); o.Do != front.Decline || o.ComeBack != 5000 {
+	if o := sole(t, r); o.Do != decision.Decline || o.ComeBack != 5000 {
 		t.Fatalf("got %+v", o)
 	}
 	if f.plays.Get(h) != nil {
@@ -23,8 +23,8 @@
 func TestStaleHandleDoesNothing(t *testing.T) {
 	f := fleet(1)
 	h, _ := f.Take(now, want(0))
-	f.Ended(now, h, 0, front.Served, true, front.Untold)
-	if r := f.Ended(now, h, 0, front.Errored, false, front.Untold); len(r.Orders) != 0 {
+	f.Ended(now, h, 0, decision.Served, true, decision.Untold)
+	if r := f.Ended(now, h, 0, decision.Errored, false, decision.Untold); len(r.Orders) != 0 {
 		t.Fatalf("got %+v", r.Orders)
 	}
 }
@@ -113,7 +113,7 @@
 	}
 	f.nodes[0].share = 1
 	h, _ := f.Take(now, want(0))
-	f.Ended(now, h, 0, front.Errored, false, front.Untold)
+	f.Ended(now, h, 0, decision.Errored, false, decision.Untold)
 	if k := f.kinds[0]; k.count != 2 || math.Abs(k.sum+0.4) > 1e-9 {
 		t.Fatalf("after a failure: %+v", k)
 	}
@@ -143,7 +143,7 @@
 func TestAccountHoldsReportAndOwnChangesSince(t *testing.T) {
 	f := fleet(1, alone)
 	playingAt(f, 0, 0, 1, 0)
-	f.report(now, 0, front.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
+	f.report(now, 0, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
 	playingAt(f, 0, 0, 1, now)
 	if a := f.linkAsked(now, 0); math.Abs(a-0.7) > 1e-9 {
 		t.Fatalf("got %v", a)
@@ -164,12 +164,12 @@
 			t.Fatalf("blind at rung %d", o.Rung)
 		}
 		f.nodes[0].cutFor = 2
-		f.Asked(now+50*ms, h, front.Load{Streams: -1, Link: asked, Uplink: -1})
+		f.Asked(now+50*ms, h, decision.Load{Streams: -1, Link: asked, Uplink: -1})
 		if p := f.plays.Get(h); p.rung != rung {
 			t.Errorf("asked %v: rung %d, not %d", asked, p.rung, rung)
 		}
 		f.Started(now+60*ms, h, 0)
-		f.Asked(now+2*sec, h, front.Load{Streams: -1, Link: 1.9, Uplink: -1}) // a later one is for all there, by their parts
+		f.Asked(now+2*sec, h, decision.Load{Streams: -1, Link: 1.9, Uplink: -1}) // a later one is for all there, by their parts
 		if p := f.plays.Get(h); p.rung != rung {
 			t.Errorf("asked %v, then 1.9: rung %d, not %d", asked, p.rung, rung)
 		}
@@ -185,7 +185,7 @@
 		if o := sole(t, r); o.Rung != 2 {
 			t.Fatalf("at rung %d", o.Rung)
 		}
-		f.Asked(now+age, h, front.Load{Streams: -1, Link: 1.5, Uplink: -1})
+		f.Asked(now+age, h, decision.Load{Streams: -1, Link: 1.5, Uplink: -1})
 		if p := f.plays.Get(h); p.rung != rung {
 			t.Errorf("by a figure of %v s: rung %d, not %d", float64(age)/float64(sec), p.rung, rung)
 		}
@@ -269,20 +269,20 @@
 	n.share, n.shareAt, n.shortFrom = 0.8, now, now-checkGap
 	f.begin()
 	f.shed(now, 0)
-	if count(&f.res, front.Move) != 0 {
+	if count(&f.res, decision.Move) != 0 {
 		t.Fatal("moved while a step down was left")
 	}
 	f.rerate(p, 0)
 	f.shed(now, 0)
 	f.shed(now+sec, 0)
-	if count(&f.res, front.Move) != 1 {
+	if count(&f.res, decision.Move) != 1 {
 		t.Fatalf("got %+v", f.res.Orders)
 	}
 	n.shareAt = now + shedEvery
 	f.shed(now+shedEvery, 0)
 	n.shareAt = now + 2*shedEvery
 	f.shed(now+2*shedEvery, 0)
-	if count(&f.res, front.Move) != 2 {
+	if count(&f.res, decision.Move) != 2 {
 		t.Fatalf("a viewer was moved twice in 5 min: %+v", f.res.Orders)
 	}
 }
@@ -310,7 +310,7 @@
 	f := fleet(1)
 	at := int64(now)
 	for _, skip := range []int64{skipFor, 2 * skipFor} {
-		f.judge(at, 0, front.Errored)
+		f.judge(at, 0, decision.Errored)
 		if f.nodes[0].skipUntil != at+skip {
 			t.Fatalf("skipped for %d", f.nodes[0].skipUntil-at)
 		}
@@ -327,7 +327,7 @@
 
 func TestRefusingNodeIsLeftAlone(t *testing.T) {
 	f := fleet(1)
-	f.judge(now, 0, front.TurnedAway)
+	f.judge(now, 0, decision.TurnedAway)
 	if f.nodes[0].skipUntil != now+refusedFor {
 		t.Fatalf("skipped for %d", f.nodes[0].skipUntil-now)
 	}
@@ -356,7 +356,7 @@
 	if o := sole(t, r); o.Until != now+4*sec {
 		t.Fatalf("a paid play waits to its limit, got %+v", o)
 	}
-	if o := sole(t, f.Ended(now, h, 0, front.Errored, false, front.Untold)); o.Do != front.Fail {
+	if o := sole(t, f.Ended(now, h, 0, decision.Errored, false, decision.Untold)); o.Do != decision.Fail {
 		t.Fatalf("got %+v", o)
 	}
 }
@@ -364,7 +364,7 @@
 func TestPaidPlayIsSentAgainOnProof(t *testing.T) {
 	f := fleet(2)
 	h, _ := f.Take(now, want(1))
-	if o := sole(t, f.Ended(now, h, 0, front.NoConnect, false, front.Untold)); o.Do != front.Place {
+	if o := sole(t, f.Ended(now, h, 0, decision.NoConnect, false, decision.Untold)); o.Do != decision.Place {
 		t.Fatalf("got %+v", o)
 	}
 }
@@ -396,8 +396,8 @@
 
 func TestDrainingNodeGetsNothing(t *testing.T) {
 	f := fleet(1)
-	f.Nodes(now, []front.Node{{Index: 0, Phase: front.Draining, Weight: 1}}, false)
-	if _, r := f.Take(now, want(0)); sole(t, r).Do != front.Decline {
+	f.Nodes(now, []decision.Node{{Index: 0, Phase: decision.Draining, Weight: 1}}, false)
+	if _, r := f.Take(now, want(0)); sole(t, r).Do != decision.Decline {
 		t.Fatal("a draining node was given a play")
 	}
 }
@@ -471,7 +471,7 @@
 
 func TestBrokenNodeComesBackCold(t *testing.T) {
 	f := fleet(1)
-	f.judge(now, 0, front.Lost)
+	f.judge(now, 0, decision.Lost)
 	back := int64(now + 30*sec)
 	w := want(0)
 	w.Limit = back + 4*sec
@@ -486,7 +486,7 @@
 	f := fleet(2)
 	f.Adopt(now, want(1), 0)
 	f.Take(now, want(1))
-	if _, r := f.Take(now, want(1)); sole(t, r).Do != front.Decline {
+	if _, r := f.Take(now, want(1)); sole(t, r).Do != decision.Decline {
 		t.Fatal("a third play on two seats")
 	}
 }
@@ -494,7 +494,7 @@
 func TestFloorIsKept(t *testing.T) {
 	f := fleet(1)
 	h, _ := f.Adopt(now, want(1), 0)
-	if o := sole(t, f.Told(now, h, 0)); o.Do != front.SetRung || o.Rung != 1 {
+	if o := sole(t, f.Told(now, h, 0)); o.Do != decision.SetRung || o.Rung != 1 {
 		t.Fatalf("got %+v", o)
 	}
 	f.begin()
@@ -514,7 +514,7 @@
 		h, _ := f.Take(at, w)
 		f.Started(at, h, 0)
 		f.Wake(at)
-		f.Ended(at, h, 0, front.Served, true, front.Untold)
+		f.Ended(at, h, 0, decision.Served, true, decision.Untold)
 	}); n != 0 {
 		t.Fatalf("%v allocations a play", n)
 	}
@@ -525,7 +525,7 @@
 	h, p := playingAt(f, 0, 0, 0, 0)
 	f.setRung(now, h, p, 1)
 	f.setRung(now, h, p, 0)
-	f.report(now, 0, front.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
+	f.report(now, 0, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
 	if a := f.linkAsked(now, 0); math.Abs(a-0.5) > 1e-9 {
 		t.Fatalf("got %v", a)
 	}
@@ -539,7 +539,7 @@
 		t.Fatalf("want a short wait, got %+v", r.Orders)
 	}
 	w.Limit = now + 100*ms
-	if _, r := f.Take(now, w); sole(t, r).Do != front.Decline {
+	if _, r := f.Take(now, w); sole(t, r).Do != decision.Decline {
 		t.Fatal("held past its limit")
 	}
 }
@@ -554,7 +554,7 @@
 		n.share, n.shareAt, n.shortFrom = 0.9, n.link.at, n.link.at-checkGap
 		f.begin()
 		f.shed(n.link.at, 0)
-		moved += count(&f.res, front.Move)
+		moved += count(&f.res, decision.Move)
 	}
 	if moved == 0 || moved > 10 {
 		t.Fatalf("%d moves in 40 turns", moved)
@@ -587,7 +587,7 @@
 	if math.Abs(f.usual-1) > 0.01 { // 200 of own, 20 fronts, 4 links of 1000
 		t.Fatalf("links are taken to be asked %v", f.usual)
 	}
-	f.report(now, 1, front.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
+	f.report(now, 1, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
 	f.Wake(now + 1)
 	if f.usual > 0.96 {
 		t.Fatalf("after a figure of 0.5 still %v", f.usual)
@@ -603,7 +603,7 @@
 		t.Fatalf("want probes before an order, got %+v", r)
 	}
 	for _, at := range []int{0, 1} { // node 1 is nearly full
-		r = f.Probed(now+10*ms, at, front.Served, front.Load{Streams: -1, Link: 0.1 + 0.7*float64(at), Uplink: -1})
+		r = f.Probed(now+10*ms, at, decision.Served, decision.Load{Streams: -1, Link: 0.1 + 0.7*float64(at), Uplink: -1})
 	}
 	if p := f.plays.Get(h); p.stage != settingUp || p.node != 0 {
 		t.Fatalf("placed on node %d", p.node)
@@ -614,7 +614,7 @@
 	f := fleet(2, probing)
 	w := want(0)
 	w.Limit = now + 300*ms
-	if _, r := f.Take(now, w); len(r.Orders) != 1 || r.Orders[0].Do != front.Place {
+	if _, r := f.Take(now, w); len(r.Orders) != 1 || r.Orders[0].Do != decision.Place {
 		t.Fatalf("got %+v", r.Orders)
 	}
 }
@@ -647,7 +647,7 @@
 func TestFullUplinkNotHeardOfCountsAsTheAverage(t *testing.T) {
 	f := fleet(4, func(s map[string][]float64) { s["reports.uplink"] = []float64{1} })
 	for i := range int64(40) {
-		f.report(now+i, 0, front.Load{Streams: -1, Link: 0.3, Uplink: 2}, 0, 0)
+		f.report(now+i, 0, decision.Load{Streams: -1, Link: 0.3, Uplink: 2}, 0, 0)
 	}
 	if a := f.uplinkAsked(now, 1); a < 1.8 {
 		t.Fatalf("an uplink of which nothing was told counts as asked %v", a)
@@ -668,9 +668,9 @@
 		if p := f.plays.Get(h); p != nil && p.stage == held {
 			t.Fatal("held over a stall")
 		}
-		f.Ended(at, h, 0, front.NoAnswer, false, front.Untold)
+		f.Ended(at, h, 0, decision.NoAnswer, false, decision.Untold)
 	}
-	if len(f.waiting) != 0 || f.plays.Get(front.Handle{}) != nil {
+	if len(f.waiting) != 0 || f.plays.Get(decision.Handle{}) != nil {
 		t.Fatal("something is left over")
 	}
 }
@@ -714,11 +714,11 @@
 		t.Fatal("a moved viewer is to be known for moveEvery, then blank")
 	}
 	h, _ := playingAt(f, 1, 0, 0, now)
-	f.Nodes(now, []front.Node{{Index: 1, Cell: 1, Phase: front.Gone}}, false)
+	f.Nodes(now, []decision.Node{{Index: 1, Cell: 1, Phase: decision.Gone}}, false)
 	if f.ForgetNode(now+skipFor, 1) {
 		t.Fatal("a node with a play was forgotten")
 	}
-	f.Ended(now, h, 0, front.Served, true, front.Untold)
+	f.Ended(now, h, 0, decision.Served, true, decision.Untold)
 	if f.ForgetNode(now+skipFor-1, 1) || f.ForgetNode(now+skipFor, 0) || !f.ForgetNode(now+skipFor, 1) {
 		t.Fatal("only a node gone for skipFor without plays is to be forgotten")
 	}
@@ -726,7 +726,7 @@
 
 func TestNoProbesWhereLoadComesWithAnswers(t *testing.T) {
 	f := fleet(2, probing, func(s map[string][]float64) { s["reports.answers"] = []float64{1} })
-	if _, r := f.Take(now, want(0)); len(r.Probes) != 0 || sole(t, r).Do != front.Place {
+	if _, r := f.Take(now, want(0)); len(r.Probes) != 0 || sole(t, r).Do != decision.Place {
 		t.Fatalf("got %+v", r)
 	}
 }
@@ -783,7 +783,7 @@
 	}
 	f = keyed(fleet(2, telling))
 	f.heardAt = now - heardFor
-	if _, r = f.Take(now, want(0)); count(r, front.Place) != 1 {
+	if _, r = f.Take(now, want(0)); count(r, decision.Place) != 1 {
 		t.Fatal("waits for answers though no message came for long")
 	}
 }
@@ -805,7 +805,7 @@
 	if r := f.Heard(now, 2, []byte{asksFor, 0, 0, 0, 10}); len(r.Tells) != 0 {
 		t.Fatal("answered a front that there is not")
 	}
-	f.Nodes(now, []front.Node{{Index: 0, Phase: front.Gone, Weight: 1, Key: 10}}, false)
+	f.Nodes(now, []decision.Node{{Index: 0, Phase: decision.Gone, Weight: 1, Key: 10}}, false)
 	if r := f.Heard(now, 1, []byte{asksFor, 0, 0, 0, 10}); len(r.Tells) != 0 {
 		t.Fatal("answered for a node that is gone")
 	}
@@ -871,8 +871,8 @@
 	if !f.pace(now+lookFor-1, 1) || f.pace(now+lookFor, 1) {
 		t.Fatal("a leave holds for lookFor since it was asked for")
 	}
-	f.nodes[0].phase = front.Draining
-	if _, r := f.Take(now+20*ms, want(0)); count(r, front.Place) != 1 {
+	f.nodes[0].phase = decision.Draining
+	if _, r := f.Take(now+20*ms, want(0)); count(r, decision.Place) != 1 {
 		t.Fatalf("got %+v", r.Orders)
 	}
 	if f.pace(now+30*ms, 1) {
@@ -967,7 +967,7 @@
 	if p := f.plays.Get(h); !p.joins || math.Abs(f.nodes[3].own-148) > 1e-6 { // 400 x (0.3 + 0.7 / 10)
 		t.Fatalf("joins %v, the node counts as asked %v", p.joins, f.nodes[3].own)
 	}
-	f.Ended(now, h, 0, front.Served, true, front.Untold)
+	f.Ended(now, h, 0, decision.Served, true, decision.Untold)
 	if math.Abs(f.nodes[3].own) > 1e-6 {
 		t.Fatalf("%v is left at its node", f.nodes[3].own)
 	}
@@ -1008,7 +1008,7 @@
 		w := want(0)
 		w.Copies = 1
 		h, r := f.Take(now, w)
-		f.Ended(now, h, sole(t, r).Try, front.Errored, false, front.Untold)
+		f.Ended(now, h, sole(t, r).Try, decision.Errored, false, decision.Untold)
 		if skipped := f.nodes[0].skipUntil > now; skipped != elsewhere {
 			t.Errorf("title plays elsewhere %v: node skipped %v", elsewhere, skipped)
 		}
@@ -1017,15 +1017,15 @@
 
 func TestASkippedNodeThatSpeaksIsTriedBeforeAPlayIsDeclined(t *testing.T) {
 	for _, c := range []struct {
-		how   front.Ending
+		how   decision.Ending
 		spoke bool
-		want  front.Do
-	}{{front.Lost, true, front.Place}, {front.Lost, false, front.Decline}, {front.TurnedAway, true, front.Decline}} {
+		want  decision.Do
+	}{{decision.Lost, true, decision.Place}, {decision.Lost, false, decision.Decline}, {decision.TurnedAway, true, decision.Decline}} {
 		f := fleet(1)
-		f.judge(now, 0, front.Lost)
+		f.judge(now, 0, decision.Lost)
 		f.judge(now, 0, c.how)
 		if c.spoke {
-			f.report(now+sec, 0, front.Load{Streams: -1, Link: 0.5, Uplink: -1}, 0, 0)
+			f.report(now+sec, 0, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, 0, 0)
 		}
 		_, r := f.Take(now+2*sec, want(0))
 		if o := sole(t, r); o.Do != c.want {
--- a/choice/helper_test.go
+++ b/choice/helper_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const now = 1_000_000
@@ -31,9 +31,9 @@
 		c(set)
 	}
 	f := New(set, 7)
-	var list []front.Node
+	var list []decision.Node
 	for i := range n {
-		list = append(list, front.Node{Index: i, Cell: i, Kind: i % 2, Weight: 1})
+		list = append(list, decision.Node{Index: i, Cell: i, Kind: i % 2, Weight: 1})
 	}
 	f.Nodes(0, list, true)
 	f.level = 2
@@ -43,12 +43,12 @@
 
 func alone(set map[string][]float64) { set["fronts"] = []float64{1} }
 
-func want(product int) front.Want {
-	return front.Want{Product: product, Limit: now + 4*sec, Home: 0, Copies: 4, Top: 2}
+func want(product int) decision.Want {
+	return decision.Want{Product: product, Limit: now + 4*sec, Home: 0, Copies: 4, Top: 2}
 }
 
 // playingAt adds a play that has played on a node since a time.
-func playingAt(f *Front, at, product, rung int, since int64) (front.Handle, *ply) {
+func playingAt(f *Front, at, product, rung int, since int64) (decision.Handle, *ply) {
 	w := want(product)
 	w.Viewer = len(f.viewers)
 	h, p := f.accept(since, w)
@@ -58,7 +58,7 @@
 }
 
 // sole returns the only order of a result.
-func sole(t *testing.T, r *front.Result) front.Order {
+func sole(t *testing.T, r *decision.Result) decision.Order {
 	t.Helper()
 	if len(r.Orders) != 1 {
 		t.Fatalf("want one order, got %+v", r.Orders)
@@ -66,7 +66,7 @@
 	return r.Orders[0]
 }
 
-func count(r *front.Result, do front.Do) (n int) {
+func count(r *decision.Result, do decision.Do) (n int) {
 	for _, o := range r.Orders {
 		if o.Do == do {
 			n++
--- a/choice/state.go
+++ b/choice/state.go
@@ -1,7 +1,7 @@
 package choice
 
 import (
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
 	"gullrail/internal/slab"
 )
@@ -16,7 +16,7 @@
 	cells   [][]int // listed nodes by cell
 	kinds   []kind
 	plays   slab.Slab[ply]
-	waiting []front.Handle
+	waiting []decision.Handle
 	viewers []viewer
 	seats   []int32   // plays held, by title and product
 	taken   []int64   // when plays were taken, within the budget's window
@@ -39,7 +39,7 @@
 	probes  float64   // probes that may be sent now
 	held    []int     // nodes of the last title asked for
 	cands   []cand
-	res     front.Result
+	res     decision.Result
 	keys    map[uint32]int // nodes by key
 	words   []byte         // of the messages in res
 }
@@ -54,14 +54,14 @@
 type node struct {
 	listed     bool
 	unlistedAt int64 // when it went from the list
-	phase      front.Phase
+	phase      decision.Phase
 	kind       int
 	zone       int
 	cell       int
 	rack       int
 	started    int64
 	weight     float64
-	plays      []front.Handle
+	plays      []decision.Handle
 	own        float64 // rates of own plays, kB a second
 	link       account
 	seen       memory
@@ -128,7 +128,7 @@
 
 // ply is a play in hand.
 type ply struct {
-	want    front.Want
+	want    decision.Want
 	stage   stage
 	node    int
 	rung    int
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/conf"
+	"gullrail/decision"
 	"gullrail/desk"
-	"gullrail/front"
 	"gullrail/session"
 	"gullrail/token"
 )
@@ -177,7 +177,7 @@
 		h.Set(PlayHeader, ans.Play)
 	}
 	if ans.ComeBack > 0 { // HTTP tells whole seconds; rounding down would bring viewers back too soon
-		h.Set("Retry-After", strconv.FormatInt((ans.ComeBack+front.Second-1)/front.Second, 10))
+		h.Set("Retry-After", strconv.FormatInt((ans.ComeBack+decision.Second-1)/decision.Second, 10))
 	}
 	switch ans.Verdict {
 	case session.Declined:
--- a/front/front.go
+++ b/decision/decision.go
@@ -1,6 +1,6 @@
-// Package front is the line between a front end and the module that decides for it:
-// the calls, what they are told and what they return. It knows no wire and decides nothing.
-package front
+// Package decision defines the interface between a front end and the policy that decides for it:
+// the calls, their arguments and their results. It depends on no wire format and decides nothing.
+package decision
 
 import "hash/fnv"
 
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,7 +1,7 @@
 // Package intake decides what a front end does with requests for plays before its core can take
 // them: which wait, which are turned away when the queue is full or a client floods, and when to
 // come back. It does no I/O and has no clock: times are int64 tenths of a millisecond, as in
-// package front, and come in as arguments. One goroutine at a time may use a Gate.
+// package decision, and come in as arguments. One goroutine at a time may use a Gate.
 //
 // A play turned away here was never taken by the module, so that no allocation of it can exist:
 // declining it is always safe, for paid products too.
@@ -11,26 +11,26 @@
 	"container/list"
 	"slices"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
 )
 
 const (
-	perClient   = 20.0              // requests a client may save up: a player zapping through a menu stays far under it
-	clientRate  = 4.0               // requests a second that it earns: a retry each quarter second is already a fault
-	clientsKept = 8192              // clients remembered at most; the longest silent is forgotten first
-	reserve     = 120 * front.Ms    // of the time limit: kept for the answer's own way and a busy machine
-	leastLeft   = 250 * front.Ms    // with less time than this no set-up can be hoped for
-	spreadLeast = 1 * front.Second  // advice to come back: the least that HTTP's whole seconds can say
-	spreadMost  = 4 * front.Second  // and the most: a viewer at a kiosk waits no longer
-	serviceOver = 16                // a rate of service is the mean over so many plays taken
-	BeatEvery   = 100 * front.Ms    // how often the gate is told that the front runs
-	stallOver   = 300 * front.Ms    // a longer gap between beats is a stall: pauses of a busy machine are shorter
-	stallTail   = 500 * front.Ms    // after one, requests read may have waited through it: it takes so long to read them
-	HeaderFor   = 5 * front.Second  // a client takes no longer to send its request
-	AnswerFor   = 10 * front.Second // nor to take its answer, however slowly it reads
-	IdleFor     = 30 * front.Second // a kept connection without a request is closed
-	slowest     = 10 * front.Second // time taken for one play when none was ever seen
+	perClient   = 20.0                 // requests a client may save up: a player zapping through a menu stays far under it
+	clientRate  = 4.0                  // requests a second that it earns: a retry each quarter second is already a fault
+	clientsKept = 8192                 // clients remembered at most; the longest silent is forgotten first
+	reserve     = 120 * decision.Ms    // of the time limit: kept for the answer's own way and a busy machine
+	leastLeft   = 250 * decision.Ms    // with less time than this no set-up can be hoped for
+	spreadLeast = 1 * decision.Second  // advice to come back: the least that HTTP's whole seconds can say
+	spreadMost  = 4 * decision.Second  // and the most: a viewer at a kiosk waits no longer
+	serviceOver = 16                   // a rate of service is the mean over so many plays taken
+	BeatEvery   = 100 * decision.Ms    // how often the gate is told that the front runs
+	stallOver   = 300 * decision.Ms    // a longer gap between beats is a stall: pauses of a busy machine are shorter
+	stallTail   = 500 * decision.Ms    // after one, requests read may have waited through it: it takes so long to read them
+	HeaderFor   = 5 * decision.Second  // a client takes no longer to send its request
+	AnswerFor   = 10 * decision.Second // nor to take its answer, however slowly it reads
+	IdleFor     = 30 * decision.Second // a kept connection without a request is closed
+	slowest     = 10 * decision.Second // time taken for one play when none was ever seen
 )
 
 // Verdict is what becomes of a request at the gate.
@@ -210,7 +210,7 @@
 	}
 	g.recent.MoveToFront(e)
 	c := e.Value.(*client)
-	c.tokens = min(perClient, c.tokens+clientRate*float64(now-c.at)/float64(front.Second))
+	c.tokens = min(perClient, c.tokens+clientRate*float64(now-c.at)/float64(decision.Second))
 	c.at = now
 	if c.tokens < 1 {
 		return false
--- a/intake/intake_test.go
+++ b/intake/intake_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const now = 1_000_000
@@ -15,13 +15,13 @@
 
 func TestFullQueueKeepsWhatMattersMost(t *testing.T) {
 	g := New(2, 1)
-	low, high := ask(0, 1, 4*front.Second), ask(1, 2, 4*front.Second)
+	low, high := ask(0, 1, 4*decision.Second), ask(1, 2, 4*decision.Second)
 	g.Offer(now, low)
 	g.Offer(now, high)
-	if v, back, gone := g.Offer(now, ask(2, 1, 5*front.Second)); v != Full || gone != nil || back < spreadLeast {
+	if v, back, gone := g.Offer(now, ask(2, 1, 5*decision.Second)); v != Full || gone != nil || back < spreadLeast {
 		t.Fatalf("no better than what waits: %v %v %v", v, back, gone)
 	}
-	v, _, gone := g.Offer(now, ask(3, 3, 4*front.Second))
+	v, _, gone := g.Offer(now, ask(3, 3, 4*decision.Second))
 	if v != Waits || gone == nil || gone.Ask != low || gone.Why != Full {
 		t.Fatalf("a more important one: %v %+v", v, gone)
 	}
@@ -35,7 +35,7 @@
 
 func TestAmongEqualsTheNearestLimitGoesFirst(t *testing.T) {
 	g := New(9, 1)
-	late, soon := ask(0, 1, 4*front.Second), ask(1, 1, 1*front.Second)
+	late, soon := ask(0, 1, 4*decision.Second), ask(1, 1, 1*decision.Second)
 	g.Offer(now, late)
 	g.Offer(now, soon)
 	if a, _ := g.Next(now); a != soon {
@@ -45,13 +45,13 @@
 
 func TestStalledFrontAnswersTheLateAsLate(t *testing.T) {
 	g := New(9, 1)
-	a, b := ask(0, 1, 1*front.Second), ask(1, 1, 5*front.Second)
+	a, b := ask(0, 1, 1*decision.Second), ask(1, 1, 5*decision.Second)
 	g.Offer(now, a)
 	g.Offer(now, b)
-	if x, late := g.Next(now + 2*front.Second); x != nil || late == nil || late.Ask != a || late.Why != TooLate {
+	if x, late := g.Next(now + 2*decision.Second); x != nil || late == nil || late.Ask != a || late.Why != TooLate {
 		t.Fatalf("got %v %+v", x, late)
 	}
-	if x, late := g.Next(now + 2*front.Second); x != b || late != nil {
+	if x, late := g.Next(now + 2*decision.Second); x != b || late != nil {
 		t.Fatalf("got %v %+v", x, late)
 	}
 	if v, _, _ := g.Offer(now, ask(2, 1, leastLeft)); v != TooLate {
@@ -63,21 +63,21 @@
 	g := New(1000, 1)
 	turned := 0
 	for range 100 {
-		if v, _, _ := g.Offer(now, &Ask{Client: "flood", Limit: now + 4*front.Second}); v == Flood {
+		if v, _, _ := g.Offer(now, &Ask{Client: "flood", Limit: now + 4*decision.Second}); v == Flood {
 			turned++
 		}
 	}
 	if turned != 100-perClient {
 		t.Fatalf("%d of 100 turned away", turned)
 	}
-	if v, _, _ := g.Offer(now, ask(1, 1, 4*front.Second)); v != Waits {
+	if v, _, _ := g.Offer(now, ask(1, 1, 4*decision.Second)); v != Waits {
 		t.Fatalf("another client: %v", v)
 	}
-	if v, _, _ := g.Offer(now+front.Second, &Ask{Client: "flood", Limit: now + 4*front.Second}); v != Waits {
+	if v, _, _ := g.Offer(now+decision.Second, &Ask{Client: "flood", Limit: now + 4*decision.Second}); v != Waits {
 		t.Fatalf("after a second of quiet: %v", v)
 	}
 	for i := range 2 * clientsKept {
-		g.Offer(now, ask(i, 1, 4*front.Second))
+		g.Offer(now, ask(i, 1, 4*decision.Second))
 	}
 	if len(g.clients) != clientsKept || g.recent.Len() != clientsKept {
 		t.Fatalf("%d clients kept", len(g.clients))
@@ -86,10 +86,10 @@
 
 func TestAdviceSpreadsThoseTurnedAwayTogether(t *testing.T) {
 	g := New(1, 1)
-	g.Offer(now, ask(-1, 9, 4*front.Second))
+	g.Offer(now, ask(-1, 9, 4*decision.Second))
 	least, most := int64(1<<60), int64(0)
 	for i := range 200 {
-		_, back, _ := g.Offer(now, ask(i, 1, 4*front.Second))
+		_, back, _ := g.Offer(now, ask(i, 1, 4*decision.Second))
 		least, most = min(least, back), max(most, back)
 	}
 	if least < spreadLeast || most > spreadMost || most-least < spreadLeast/2 {
@@ -99,7 +99,7 @@
 
 func TestWithdrawnRequestIsNeitherTakenNorTurnedAway(t *testing.T) {
 	g := New(2, 1)
-	a := ask(0, 1, 4*front.Second)
+	a := ask(0, 1, 4*decision.Second)
 	g.Offer(now, a)
 	if !g.Withdraw(a) || g.Withdraw(a) || g.Len() != 0 {
 		t.Fatal("withdrawn once, and only once")
@@ -114,25 +114,25 @@
 		return v, at + left - a.Limit
 	}
 	g.Beat(now)
-	if _, off := limit(now+stallOver, 5*front.Second); off != 0 {
+	if _, off := limit(now+stallOver, 5*decision.Second); off != 0 {
 		t.Fatalf("a pause is no stall: %d off", off)
 	}
-	woke := now + 2*front.Second
-	if _, off := limit(woke, 5*front.Second); off != 2*front.Second {
+	woke := now + 2*decision.Second
+	if _, off := limit(woke, 5*decision.Second); off != 2*decision.Second {
 		t.Fatalf("read before the beat that notices: %d off", off)
 	}
 	g.Beat(woke)
 	for at := woke; at < woke+stallTail; at += BeatEvery {
 		g.Beat(at)
 	}
-	if _, off := limit(woke+stallTail-1, 5*front.Second); off != 2*front.Second {
+	if _, off := limit(woke+stallTail-1, 5*decision.Second); off != 2*decision.Second {
 		t.Fatalf("read right after: %d off", off)
 	}
-	if v, _ := limit(woke+1, 2*front.Second); v != TooLate {
+	if v, _ := limit(woke+1, 2*decision.Second); v != TooLate {
 		t.Fatalf("its time may be up: %v", v)
 	}
 	g.Beat(woke + stallTail)
-	if _, off := limit(woke+stallTail, 5*front.Second); off != 0 {
+	if _, off := limit(woke+stallTail, 5*decision.Second); off != 0 {
 		t.Fatalf("later ones are new: %d off", off)
 	}
 }
--- a/internal/heath/codec.go
+++ b/internal/heath/codec.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/terms"
 )
 
@@ -112,16 +112,16 @@
 }
 
 func millis(t int64) string {
-	return strconv.FormatFloat(float64(t)/float64(front.Ms), 'f', 1, 64)
+	return strconv.FormatFloat(float64(t)/float64(decision.Ms), 'f', 1, 64)
 }
 
-var endings = map[string]front.Ending{
-	"served": front.Served, "server_error": front.Errored, "turned_away": front.TurnedAway,
-	"no_answer": front.NoAnswer, "no_connection": front.NoConnect, "connection_lost": front.Lost,
-	"called_off": front.CalledOff, "not_sent": front.NotSent,
+var endings = map[string]decision.Ending{
+	"served": decision.Served, "server_error": decision.Errored, "turned_away": decision.TurnedAway,
+	"no_answer": decision.NoAnswer, "no_connection": decision.NoConnect, "connection_lost": decision.Lost,
+	"called_off": decision.CalledOff, "not_sent": decision.NotSent,
 }
 
-func (ln *line) ending() front.Ending {
+func (ln *line) ending() decision.Ending {
 	e, ok := endings[ln.text("rc")]
 	if !ok {
 		panic(wrong("rc", "unknown outcome"))
@@ -130,10 +130,10 @@
 }
 
 // load reads a report by the columns of the settings; columns that no call uses are passed over.
-func (ln *line) load(t *terms.Terms) front.Load {
+func (ln *line) load(t *terms.Terms) decision.Load {
 	row, ok := ln.find("report")
 	if !ok || row == "" || row == "-" {
-		return front.Untold
+		return decision.Untold
 	}
 	vals := strings.Split(row, ",")
 	if len(vals) != len(t.Columns) {
--- a/internal/heath/heath_test.go
+++ b/internal/heath/heath_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/terms"
 )
 
@@ -115,7 +115,7 @@
 func TestPanicOfADecisionIsReported(t *testing.T) {
 	var out strings.Builder
 	h := &host{out: bufio.NewWriter(&out), inBatch: true, last: -1, at: map[int64]*instance{
-		0: {mod: panicker{}, plays: map[int64]front.Handle{}}}}
+		0: {mod: panicker{}, plays: map[int64]decision.Handle{}}}}
 	if err := h.decode("TIMER ref=1"); err != nil {
 		t.Fatal(err)
 	}
@@ -125,6 +125,6 @@
 	}
 }
 
-type panicker struct{ front.Chooser }
+type panicker struct{ decision.Chooser }
 
-func (panicker) Wake(int64) *front.Result { panic("broken") }
+func (panicker) Wake(int64) *decision.Result { panic("broken") }
--- a/internal/heath/host.go
+++ b/internal/heath/host.go
@@ -10,22 +10,22 @@
 	"strings"
 
 	"gullrail/choice"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/terms"
 )
 
 // instance is one front end: its module and the numbers that stand for the wire's names.
 type instance struct {
-	mod     front.Chooser
+	mod     decision.Chooser
 	terms   *terms.Terms
 	nodes   map[string]int
 	addr    []string
 	titles  map[string]int
 	viewers map[string]int
-	plays   map[int64]front.Handle
+	plays   map[int64]decision.Handle
 	jobs    []int64 // by place of the handle
 	armed   int64   // when the earliest timer is due; 0 is none
-	list    []front.Node
+	list    []decision.Node
 }
 
 // host is the state of the wire.
@@ -48,7 +48,7 @@
 
 // row is a line of a list, read but not yet numbered by an instance.
 type row struct {
-	phase      front.Phase
+	phase      decision.Phase
 	addr, zone string
 	kind       string
 	cell       int
@@ -138,11 +138,11 @@
 		weight: ln.numberOr("heft", 1)}
 	switch p := ln.text("phase"); p {
 	case "ready":
-		r.phase = front.Ready
+		r.phase = decision.Ready
 	case "draining":
-		r.phase = front.Draining
+		r.phase = decision.Draining
 	case "gone":
-		r.phase = front.Gone
+		r.phase = decision.Gone
 	default:
 		panic(wrong("phase", "unknown: "+p))
 	}
@@ -159,7 +159,7 @@
 		return fmt.Errorf("SPAWN: %w", err)
 	}
 	h.at[h.who] = &instance{mod: choice.New(t.Set, seed), terms: t, nodes: map[string]int{},
-		titles: map[string]int{}, viewers: map[string]int{}, plays: map[int64]front.Handle{}}
+		titles: map[string]int{}, viewers: map[string]int{}, plays: map[int64]decision.Handle{}}
 	return nil
 }
 
@@ -190,7 +190,7 @@
 }
 
 // want reads what INCOMING and EXISTING say of a viewer.
-func (in *instance) want(ln *line, now int64) front.Want {
+func (in *instance) want(ln *line, now int64) decision.Want {
 	bits := ln.wholeOr("bits", 0)
 	product := known(in.terms.Products, "service", ln.text("service"))
 	asset := ln.text("asset")
@@ -271,11 +271,11 @@
 	return nil
 }
 
-func (in *instance) update(ln *line, now int64, hd front.Handle) *front.Result {
+func (in *instance) update(ln *line, now int64, hd decision.Handle) *decision.Result {
 	return terms.Note(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
 }
 
-func (in *instance) bind(job int64, hd front.Handle) {
+func (in *instance) bind(job int64, hd decision.Handle) {
 	in.plays[job] = hd
 	for int(hd.Place) >= len(in.jobs) {
 		in.jobs = append(in.jobs, 0)
@@ -309,7 +309,7 @@
 }
 
 // encode writes what a call decided.
-func (h *host) encode(in *instance, res *front.Result) {
+func (h *host) encode(in *instance, res *decision.Result) {
 	if res == nil {
 		return
 	}
@@ -318,24 +318,24 @@
 		h.context()
 		job := in.jobs[o.Play.Place]
 		switch o.Do {
-		case front.Place:
+		case decision.Place:
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
 			fmt.Fprintf(h.out, "FORWARD job=%d not-past-ms=%s node=%s\n", job, millis(o.Until), in.addr[o.Node])
-		case front.Decline:
+		case decision.Decline:
 			if o.ComeBack > 0 {
 				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, millis(o.ComeBack))
 			} else {
 				fmt.Fprintf(h.out, "NOT_NOW job=%d\n", job)
 			}
 			delete(in.plays, job)
-		case front.Fail:
+		case decision.Fail:
 			fmt.Fprintf(h.out, "GIVE_UP job=%d\n", job)
 			delete(in.plays, job)
-		case front.SetRung:
+		case decision.SetRung:
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
-		case front.Move:
+		case decision.Move:
 			fmt.Fprintf(h.out, "MIGRATE job=%d\n", job)
-		case front.Recall:
+		case decision.Recall:
 			fmt.Fprintf(h.out, "RECALL job=%d send-no=%d\n", job, o.Try)
 		}
 	}
--- a/internal/slab/slab.go
+++ b/internal/slab/slab.go
@@ -1,7 +1,7 @@
 // Package slab keeps records in places that are used again, behind handles that go stale.
 package slab
 
-import "gullrail/front"
+import "gullrail/decision"
 
 // Slab holds records of one type. A place is reused once dropped; its generation then moves on.
 type Slab[T any] struct {
@@ -16,7 +16,7 @@
 }
 
 // Add takes a place and returns its handle with the zeroed record in it.
-func (s *Slab[T]) Add() (front.Handle, *T) {
+func (s *Slab[T]) Add() (decision.Handle, *T) {
 	var at int32
 	if n := len(s.free); n > 0 {
 		at, s.free = s.free[n-1], s.free[:n-1]
@@ -28,12 +28,12 @@
 	var zero T
 	p.rec, p.live = zero, true
 	p.gen++
-	return front.Handle{Place: at, Gen: p.gen}, &p.rec
+	return decision.Handle{Place: at, Gen: p.gen}, &p.rec
 }
 
 // Get returns the record of a handle, or nil if the handle is stale.
 // The pointer holds until the next Add.
-func (s *Slab[T]) Get(h front.Handle) *T {
+func (s *Slab[T]) Get(h decision.Handle) *T {
 	if h.Place < 0 || int(h.Place) >= len(s.places) {
 		return nil
 	}
@@ -44,7 +44,7 @@
 }
 
 // Drop gives a place back; a stale handle does nothing.
-func (s *Slab[T]) Drop(h front.Handle) {
+func (s *Slab[T]) Drop(h decision.Handle) {
 	if s.Get(h) != nil {
 		s.places[h.Place].live = false
 		s.free = append(s.free, h.Place)
@@ -55,9 +55,9 @@
 func (s *Slab[T]) Len() int { return len(s.places) }
 
 // At returns the handle and record in a place, or nil if nothing lives there.
-func (s *Slab[T]) At(i int) (front.Handle, *T) {
+func (s *Slab[T]) At(i int) (decision.Handle, *T) {
 	if p := &s.places[i]; p.live {
-		return front.Handle{Place: int32(i), Gen: p.gen}, &p.rec
+		return decision.Handle{Place: int32(i), Gen: p.gen}, &p.rec
 	}
-	return front.Handle{}, nil
+	return decision.Handle{}, nil
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"math"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 // Names of the wire's settings beside ours. A "-ms" figure becomes tenths of a millisecond.
@@ -55,7 +55,7 @@
 func (e FieldError) Error() string { return "field " + e.Field + ": " + e.What }
 
 // Ticks turns milliseconds into tenths of them.
-func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(front.Ms))) }
+func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(decision.Ms))) }
 
 func numbers(v any, scale float64) ([]float64, bool) {
 	switch v := v.(type) {
@@ -229,14 +229,14 @@
 }
 
 // Want is a request in the module's words.
-func (r Request) Want(now int64) front.Want {
-	return front.Want{Product: r.Product, Title: r.Title, Key: front.Key(r.TitleName), Viewer: r.Viewer, Limit: now + Ticks(r.LeftMs),
+func (r Request) Want(now int64) decision.Want {
+	return decision.Want{Product: r.Product, Title: r.Title, Key: decision.Key(r.TitleName), Viewer: r.Viewer, Limit: now + Ticks(r.LeftMs),
 		Length: Ticks(r.HintMs), Home: r.Home, Copies: r.Copies, Top: r.Top, Moved: r.Moved, Again: r.Again}
 }
 
 // Row is a line of the list; Started is on the front's clock.
 type Row struct {
-	Phase            front.Phase
+	Phase            decision.Phase
 	Name             string // the same at every front
 	Kind, Zone, Cell int
 	Started          int64
@@ -244,14 +244,14 @@
 }
 
 // Node is a line of the list in the module's words, with the front's own number for its name.
-func (r Row) Node(index int) front.Node {
-	return front.Node{Index: index, Phase: r.Phase, Kind: r.Kind, Zone: r.Zone, Cell: r.Cell, Started: r.Started, Weight: r.Weight, Key: front.Key(r.Name)}
+func (r Row) Node(index int) decision.Node {
+	return decision.Node{Index: index, Phase: r.Phase, Kind: r.Kind, Zone: r.Zone, Cell: r.Cell, Started: r.Started, Weight: r.Weight, Key: decision.Key(r.Name)}
 }
 
 // Load is a report of which a field is told by its column and that column's place; fields that no call uses are
 // passed over.
-func (t *Terms) Load(value func(i int, column string) (float64, bool)) front.Load {
-	l := front.Untold
+func (t *Terms) Load(value func(i int, column string) (float64, bool)) decision.Load {
+	l := decision.Untold
 	for i, col := range t.Columns {
 		v, ok := value(i, col)
 		if !ok {
@@ -274,16 +274,16 @@
 }
 
 // Note is a note of one of the kinds that nodes send while a play plays, by its number.
-func Note(mod front.Chooser, now int64, h front.Handle, kind int, level float64) *front.Result {
+func Note(mod decision.Chooser, now int64, h decision.Handle, kind int, level float64) *decision.Result {
 	switch kind {
 	case 1:
 		return mod.Delivered(now, h, level)
 	case 2:
 		return mod.Told(now, h, int(level))
 	case 3:
-		return mod.Asked(now, h, front.Load{Streams: -1, Link: level, Uplink: -1})
+		return mod.Asked(now, h, decision.Load{Streams: -1, Link: level, Uplink: -1})
 	case 4:
-		return mod.Asked(now, h, front.Load{Streams: -1, Link: -1, Uplink: level})
+		return mod.Asked(now, h, decision.Load{Streams: -1, Link: -1, Uplink: level})
 	}
 	return nil
 }
--- a/lab/baseline.go
+++ b/lab/baseline.go
@@ -1,7 +1,7 @@
 package lab
 
 import (
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
 )
 
@@ -9,11 +9,11 @@
 // the lowest rung, least the holder whose link was told to be asked least, at the highest rung that fits by
 // that word. Both keep seats, floors, drains and the paid rule, so that service can be compared; neither
 // changes a rung in play, moves a play, paces cold nodes or learns. Nil is the project's own.
-func Baseline(name string) func(terms map[string][]float64, seed uint64) front.Chooser {
+func Baseline(name string) func(terms map[string][]float64, seed uint64) decision.Chooser {
 	if name != "random" && name != "least" {
 		return nil
 	}
-	return func(terms map[string][]float64, seed uint64) front.Chooser {
+	return func(terms map[string][]float64, seed uint64) decision.Chooser {
 		return &baseline{terms: terms, least: name == "least", rnd: pcg.New(seed)}
 	}
 }
@@ -27,17 +27,17 @@
 	seats map[[2]int]int
 	again []int64
 	taken []int64
-	res   front.Result
+	res   decision.Result
 }
 
 type baseNode struct {
-	front.Node
+	decision.Node
 	listed bool
 	asked  float64
 }
 
 type basePlay struct {
-	want      front.Want
+	want      decision.Want
 	gen       uint32
 	live      bool
 	out       bool
@@ -55,7 +55,7 @@
 	return 0
 }
 
-func (b *baseline) get(h front.Handle) *basePlay {
+func (b *baseline) get(h decision.Handle) *basePlay {
 	if int(h.Place) < len(b.plays) && b.plays[h.Place].live && b.plays[h.Place].gen == h.Gen {
 		return &b.plays[h.Place]
 	}
@@ -64,12 +64,12 @@
 
 func (b *baseline) begin() { b.res.Orders, b.res.Probes = b.res.Orders[:0], b.res.Probes[:0] }
 
-func (b *baseline) end(now int64) *front.Result {
-	b.res.Wake = now + front.Second
+func (b *baseline) end(now int64) *decision.Result {
+	b.res.Wake = now + decision.Second
 	return &b.res
 }
 
-func (b *baseline) Nodes(now int64, list []front.Node, whole bool) *front.Result {
+func (b *baseline) Nodes(now int64, list []decision.Node, whole bool) *decision.Result {
 	b.begin()
 	for i := range b.nodes {
 		b.nodes[i].listed = b.nodes[i].listed && !whole
@@ -78,12 +78,12 @@
 		for n.Index >= len(b.nodes) {
 			b.nodes = append(b.nodes, baseNode{})
 		}
-		b.nodes[n.Index].Node, b.nodes[n.Index].listed = n, n.Phase != front.Gone
+		b.nodes[n.Index].Node, b.nodes[n.Index].listed = n, n.Phase != decision.Gone
 	}
 	return b.end(now)
 }
 
-func (b *baseline) add(w front.Want) (front.Handle, *basePlay) {
+func (b *baseline) add(w decision.Want) (decision.Handle, *basePlay) {
 	at := -1
 	for i := range b.plays {
 		if !b.plays[i].live {
@@ -97,10 +97,10 @@
 	}
 	p := &b.plays[at]
 	*p = basePlay{want: w, gen: p.gen + 1, live: true, try: -1, tried: p.tried[:0]}
-	return front.Handle{Place: int32(at), Gen: p.gen}, p
+	return decision.Handle{Place: int32(at), Gen: p.gen}, p
 }
 
-func (b *baseline) Take(now int64, w front.Want) (front.Handle, *front.Result) {
+func (b *baseline) Take(now int64, w decision.Want) (decision.Handle, *decision.Result) {
 	b.begin()
 	h, p := b.add(w)
 	b.taken = append(b.taken, now)
@@ -108,7 +108,7 @@
 	return h, b.end(now)
 }
 
-func (b *baseline) place(now int64, h front.Handle, p *basePlay) {
+func (b *baseline) place(now int64, h decision.Handle, p *basePlay) {
 	product := p.want.Product
 	paid := b.of("product.paid", product) > 0
 	seats, seat := b.of("product.seats", product), [2]int{p.want.Title, product}
@@ -121,7 +121,7 @@
 		cells := int(b.of("cells", 0))
 		for i := range b.nodes {
 			n := &b.nodes[i]
-			if !n.listed || n.Phase != front.Ready || ((n.Cell-p.want.Home)%cells+cells)%cells >= p.want.Copies || p.has(i) {
+			if !n.listed || n.Phase != decision.Ready || ((n.Cell-p.want.Home)%cells+cells)%cells >= p.want.Copies || p.has(i) {
 				continue
 			}
 			score := b.rnd.Float()
@@ -134,11 +134,11 @@
 		}
 	}
 	if pick < 0 {
-		do := front.Decline
+		do := decision.Decline
 		if paid && p.mayHave {
-			do = front.Fail
+			do = decision.Fail
 		}
-		b.res.Orders = append(b.res.Orders, front.Order{Play: h, Do: do, ComeBack: int64(b.of("comeback.most", 0))})
+		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Do: do, ComeBack: int64(b.of("comeback.most", 0))})
 		p.live = false
 		return
 	}
@@ -166,7 +166,7 @@
 	if !paid && target < until {
 		until = target
 	}
-	b.res.Orders = append(b.res.Orders, front.Order{Play: h, Do: front.Place, Node: pick, Rung: rung, Until: until})
+	b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Do: decision.Place, Node: pick, Rung: rung, Until: until})
 }
 
 func (p *basePlay) has(node int) bool {
@@ -185,7 +185,7 @@
 	}
 	within := func(times []int64) (n float64) {
 		for _, t := range times {
-			if t > now-over-200*front.Ms {
+			if t > now-over-200*decision.Ms {
 				n++
 			}
 		}
@@ -194,7 +194,7 @@
 	return within(b.again)+1 <= b.of("budget.free", 0)+b.of("budget.share", 0)*within(b.taken)*0.9
 }
 
-func (b *baseline) Adopt(now int64, w front.Want, node int) (front.Handle, *front.Result) {
+func (b *baseline) Adopt(now int64, w decision.Want, node int) (decision.Handle, *decision.Result) {
 	b.begin()
 	h, p := b.add(w)
 	p.try, p.playing, p.out, p.node = 0, true, true, node
@@ -205,7 +205,7 @@
 	return h, b.end(now)
 }
 
-func (b *baseline) Started(now int64, h front.Handle, try int) *front.Result {
+func (b *baseline) Started(now int64, h decision.Handle, try int) *decision.Result {
 	b.begin()
 	if p := b.get(h); p != nil && p.try == try {
 		p.playing = true
@@ -213,7 +213,7 @@
 	return b.end(now)
 }
 
-func (b *baseline) Ended(now int64, h front.Handle, try int, how front.Ending, over bool, load front.Load) *front.Result {
+func (b *baseline) Ended(now int64, h decision.Handle, try int, how decision.Ending, over bool, load decision.Load) *decision.Result {
 	b.begin()
 	p := b.get(h)
 	if p == nil || !p.out || p.try != try {
@@ -231,30 +231,30 @@
 	return b.end(now)
 }
 
-func (b *baseline) heard(node int, load front.Load) {
+func (b *baseline) heard(node int, load decision.Load) {
 	if load.Link >= 0 {
 		b.nodes[node].asked = load.Link
 	}
 }
 
-func (b *baseline) Left(now int64, h front.Handle) *front.Result {
+func (b *baseline) Left(now int64, h decision.Handle) *decision.Result {
 	b.begin()
 	if p := b.get(h); p != nil && !p.out {
 		p.live = false
 	} else if p != nil && !p.playing {
 		p.deserted = true
-		b.res.Orders = append(b.res.Orders, front.Order{Play: h, Do: front.Recall, Try: p.try})
+		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Do: decision.Recall, Try: p.try})
 	}
 	return b.end(now)
 }
 
-func (b *baseline) Probed(now int64, node int, _ front.Ending, load front.Load) *front.Result {
+func (b *baseline) Probed(now int64, node int, _ decision.Ending, load decision.Load) *decision.Result {
 	b.begin()
 	b.heard(node, load)
 	return b.end(now)
 }
 
-func (b *baseline) Asked(now int64, h front.Handle, load front.Load) *front.Result {
+func (b *baseline) Asked(now int64, h decision.Handle, load decision.Load) *decision.Result {
 	b.begin()
 	if p := b.get(h); p != nil {
 		b.heard(p.node, load)
@@ -262,12 +262,14 @@
 	return b.end(now)
 }
 
-func (b *baseline) none(now int64) *front.Result { b.begin(); return b.end(now) }
+func (b *baseline) none(now int64) *decision.Result { b.begin(); return b.end(now) }
 
-func (b *baseline) Delivered(now int64, _ front.Handle, _ float64) *front.Result { return b.none(now) }
-func (b *baseline) Told(now int64, _ front.Handle, _ int) *front.Result          { return b.none(now) }
-func (b *baseline) Wake(now int64) *front.Result {
-	over := int64(b.of("budget.over", 0)) + front.Second
+func (b *baseline) Delivered(now int64, _ decision.Handle, _ float64) *decision.Result {
+	return b.none(now)
+}
+func (b *baseline) Told(now int64, _ decision.Handle, _ int) *decision.Result { return b.none(now) }
+func (b *baseline) Wake(now int64) *decision.Result {
+	over := int64(b.of("budget.over", 0)) + decision.Second
 	for len(b.taken) > 0 && b.taken[0] < now-over {
 		b.taken = b.taken[1:]
 	}
@@ -279,7 +281,7 @@
 }
 
 // Heard passes over what other fronts say.
-func (b *baseline) Heard(now int64, from int, bytes []byte) *front.Result {
+func (b *baseline) Heard(now int64, from int, bytes []byte) *decision.Result {
 	b.begin()
 	return b.end(now)
 }
--- a/lab/node.go
+++ b/lab/node.go
@@ -19,7 +19,7 @@
 
 	"gullrail/conf"
 	"gullrail/dash"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
 	"gullrail/nodes"
@@ -295,7 +295,7 @@
 
 func (n *Node) report(w http.ResponseWriter) {
 	link, uplink := n.told()
-	l := front.Load{Streams: float64(len(n.plays)), Link: link, Uplink: -1}
+	l := decision.Load{Streams: float64(len(n.plays)), Link: link, Uplink: -1}
 	if n.fleet.set.Uplinks {
 		l.Uplink = uplink
 	}
--- a/lab/sim.go
+++ b/lab/sim.go
@@ -11,7 +11,7 @@
 
 	"gullrail/choice"
 	"gullrail/conf"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/intake"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
@@ -26,7 +26,7 @@
 type Sim struct {
 	Day *Day
 	// Module makes a front's chooser; nil makes the project's own.
-	Module func(terms map[string][]float64, seed uint64) front.Chooser
+	Module func(terms map[string][]float64, seed uint64) decision.Chooser
 
 	now      int64
 	seq      uint64
@@ -54,7 +54,7 @@
 const (
 	hop       = 3 // one way between a front and a node, 0.3 ms
 	clientHop = 6 // one way between a player and a front or node
-	simTick   = front.Second / 4
+	simTick   = decision.Second / 4
 )
 
 type simEvent struct {
@@ -83,7 +83,7 @@
 	heap.Push(&s.due, simEvent{s.now + max(0, ticks), s.seq, do})
 }
 
-func (s *Sim) seconds(sec float64, do func()) { s.after(int64(sec*float64(front.Second)), do) }
+func (s *Sim) seconds(sec float64, do func()) { s.after(int64(sec*float64(decision.Second)), do) }
 
 func (s *Sim) add(l tape.Line) {
 	l.T = (s.now - session.ClockStart) * 100
@@ -153,12 +153,12 @@
 	return f.sim.apart == 0 || (f.number%len(zones) == f.sim.apart-1) == (n.line.Zone == zones[f.sim.apart-1])
 }
 
-func (n *simNode) load() front.Load {
+func (n *simNode) load() decision.Load {
 	link, uplink := n.loads()
 	if k := len(n.shares) - 1 - int(n.sim.late); n.sim.late > 0 && len(n.shares) > 0 {
 		link, uplink = n.shares[max(0, k)].link, n.shares[max(0, k)].uplink
 	}
-	l := front.Load{Streams: float64(len(n.held)), Link: link, Uplink: -1}
+	l := decision.Load{Streams: float64(len(n.held)), Link: link, Uplink: -1}
 	if n.sim.Day.Service.Uplinks {
 		l.Uplink = uplink
 	}
@@ -265,7 +265,7 @@
 		return
 	}
 	s := n.sim
-	idle := int64(s.Day.IdleMs) * front.Ms
+	idle := int64(s.Day.IdleMs) * decision.Ms
 	for _, p := range slices.Clone(n.held) {
 		heard, ok := n.heard[p.front]
 		if !ok {
@@ -278,7 +278,7 @@
 		s.add(tape.Line{What: tape.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Try: p.Try})
 		f, ref := s.fronts[p.front], p.Ref
 		if n.hushed == 0 && f.reaches(n) {
-			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), front.Served) })
+			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), decision.Served) })
 		}
 	}
 	if beat%4 != 0 {
@@ -352,7 +352,7 @@
 	seed := s.Day.Seed + uint64(f.number)*1_000_003
 	set := &s.Day.Service
 	terms := set.Terms(f.number, set.Zones[f.number%len(set.Zones)])
-	var module front.Chooser
+	var module decision.Chooser
 	if s.Module != nil {
 		module = s.Module(terms, seed)
 	} else {
@@ -458,7 +458,7 @@
 	p := &pending{a: a, node: s.nodes[a.Address]}
 	f.numbers[p.node] = a.Node
 	f.pending[a.Ref] = p
-	s.after(a.Until-s.now, func() { f.settle(a.Ref, p, front.NoAnswer, 0) })
+	s.after(a.Until-s.now, func() { f.settle(a.Ref, p, decision.NoAnswer, 0) })
 	s.after(2*hop, func() { f.arrive(p) })
 }
 
@@ -469,11 +469,11 @@
 		return
 	}
 	if !n.up {
-		f.settle(a.Ref, p, front.NoConnect, hop)
+		f.settle(a.Ref, p, decision.NoConnect, hop)
 		return
 	}
 	if !f.reaches(n) {
-		f.settle(a.Ref, p, front.Lost, hop) // as on sockets: the connection breaks
+		f.settle(a.Ref, p, decision.Lost, hop) // as on sockets: the connection breaks
 		return
 	}
 	p.sent = true
@@ -489,7 +489,7 @@
 	if refusal != "" {
 		if n.hushed == 0 {
 			ends(tape.Refused, refusal)
-			f.settle(a.Ref, p, front.TurnedAway, hop)
+			f.settle(a.Ref, p, decision.TurnedAway, hop)
 		}
 		return
 	}
@@ -508,7 +508,7 @@
 		case fails:
 			n.drop(play)
 			ends(tape.Errored, "")
-			f.settle(a.Ref, p, front.Errored, hop)
+			f.settle(a.Ref, p, decision.Errored, hop)
 		default:
 			n.mark++
 			play.playing, play.used, play.began = true, s.now, s.now
@@ -516,31 +516,31 @@
 				return
 			}
 			ends(tape.Started, "")
-			f.settle(a.Ref, p, front.Served, hop)
+			f.settle(a.Ref, p, decision.Served, hop)
 		}
 	})
 }
 
 // settle ends a set-up at the front, once.
-func (f *simFront) settle(r session.Ref, p *pending, how front.Ending, after int64) {
+func (f *simFront) settle(r session.Ref, p *pending, how decision.Ending, after int64) {
 	if f.pending[r] != p {
 		return
 	}
 	delete(f.pending, r)
 	n := p.node
-	load := front.Untold
-	if f.sim.Day.Service.Reports == "answers" && (how == front.Served || how == front.TurnedAway) {
+	load := decision.Untold
+	if f.sim.Day.Service.Reports == "answers" && (how == decision.Served || how == decision.TurnedAway) {
 		load = n.load()
 	}
-	if how == front.Served {
+	if how == decision.Served {
 		life, mark, rung := n.life, n.mark, p.play.Rung
 		f.call(after, func(now int64, c *session.Core) { c.Started(now, r, life, mark, rung, load) })
 		return
 	}
-	if p.sent && p.play != nil && (how == front.NoAnswer || how == front.CalledOff) {
+	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.CalledOff) {
 		n.drop(p.play)
 		f.sim.add(tape.Line{What: tape.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
-	} else if p.sent && how == front.NoAnswer { // refused by a node that says nothing
+	} else if p.sent && how == decision.NoAnswer { // refused by a node that says nothing
 		f.sim.add(tape.Line{What: tape.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
 	}
 	f.call(after, func(now int64, c *session.Core) { c.SetUpEnded(now, r, how, load) })
@@ -548,9 +548,9 @@
 
 func (f *simFront) Recall(r session.Ref) {
 	if p := f.pending[r]; p != nil {
-		how := front.CalledOff
+		how := decision.CalledOff
 		if !p.sent {
-			how = front.NotSent
+			how = decision.NotSent
 		}
 		f.settle(r, p, how, 1)
 	}
@@ -565,7 +565,7 @@
 		switch {
 		case !n.up || n.life != life:
 		case n.hushed > 0 || !f.reaches(n):
-			f.sim.after(front.Second, try)
+			f.sim.after(decision.Second, try)
 		default:
 			do(n)
 		}
@@ -601,12 +601,12 @@
 	n := f.sim.nodes[address]
 	life := f.life
 	f.sim.after(hop, func() {
-		how, load, after := front.Served, front.Untold, int64(hop)
+		how, load, after := decision.Served, decision.Untold, int64(hop)
 		switch {
 		case !n.up || !f.reaches(n):
-			how = front.NoConnect
+			how = decision.NoConnect
 		case n.hushed > 0:
-			how, after = front.NoAnswer, pulse.ProbeFor
+			how, after = decision.NoAnswer, pulse.ProbeFor
 		default:
 			load = n.load()
 		}
@@ -668,7 +668,7 @@
 	}
 	sort.Slice(refs, func(i, j int) bool { return refs[i].Play < refs[j].Play })
 	for _, r := range refs {
-		f.settle(r, f.pending[r], front.Lost, hop)
+		f.settle(r, f.pending[r], decision.Lost, hop)
 	}
 	if k, ok := f.numbers[n]; ok && f.streams[k] == n {
 		delete(f.streams, k)
@@ -733,7 +733,7 @@
 	if !f.up || f.life != life {
 		return
 	}
-	s.after(front.Second/5, func() { f.hear(life) })
+	s.after(decision.Second/5, func() { f.hear(life) })
 	if s.list.down || f.stopped {
 		return
 	}
@@ -759,7 +759,7 @@
 			continue
 		}
 		s.add(tape.Line{What: tape.Told, Front: f.name, Node: l.Name, Note: l.Phase})
-		phase := map[string]front.Phase{"ready": front.Ready, "draining": front.Draining, "gone": front.Gone}[l.Phase]
+		phase := map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[l.Phase]
 		e := session.Listed{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, Started: l.StartedMs}
 		for i, k := range s.Day.Service.Kinds {
 			if k.Name == l.Kind {
@@ -811,7 +811,7 @@
 	}
 	v.first = false
 	s.add(line)
-	limit := s.now + int64(v.Product.LimitMs)*front.Ms
+	limit := s.now + int64(v.Product.LimitMs)*decision.Ms
 	if !f.up {
 		s.after(clientHop, func() { s.add(tape.Line{What: tape.Answer, ID: id, Note: "connection refused"}); v.again(0) })
 		return
@@ -887,7 +887,7 @@
 	}
 	pause := int64((0.5 + v.Chance.Float64()) * float64(v.Pause/(100*time.Microsecond)))
 	if v.Honours && advice > 0 {
-		pause = int64((1 + v.Chance.Float64()) * float64((advice+front.Second-1)/front.Second*front.Second))
+		pause = int64((1 + v.Chance.Float64()) * float64((advice+decision.Second-1)/decision.Second*decision.Second))
 	}
 	v.sim.after(pause, v.ask)
 }
@@ -904,7 +904,7 @@
 		return
 	}
 	n := s.nodes[v.play.Address]
-	every := int64(s.Day.Service.SegmentMs) * front.Ms
+	every := int64(s.Day.Service.SegmentMs) * decision.Ms
 	p := n.plays[play]
 	switch {
 	case !n.up || n.hushed > 0:
@@ -945,7 +945,7 @@
 	s.now = session.ClockStart
 	s.rnd = rand.New(rand.NewPCG(d.Seed, 2))
 	s.nodes, s.crowd = map[string]*simNode{}, map[string]float64{}
-	s.list.late = int64(d.ListLateMs) * front.Ms
+	s.list.late = int64(d.ListLateMs) * decision.Ms
 	about := rand.New(rand.NewPCG(d.Seed, 1))
 	for range 32 { // as the key of a rehearsal on sockets draws
 		about.UintN(256)
@@ -996,7 +996,7 @@
 			})
 		}
 	})
-	end := s.now + int64((2+d.Seconds+d.tail())*float64(front.Second))
+	end := s.now + int64((2+d.Seconds+d.tail())*float64(decision.Second))
 	for len(s.due) > 0 && s.due[0].at <= end {
 		e := heap.Pop(&s.due).(simEvent)
 		s.now = e.at
@@ -1082,7 +1082,7 @@
 		lasts(func() { s.list.down = false })
 	case "list-late":
 		usual := s.list.late
-		s.list.late += int64(f.Amount * float64(front.Second))
+		s.list.late += int64(f.Amount * float64(decision.Second))
 		lasts(func() { s.list.late = usual })
 	case "crowd":
 		s.crowd[f.Title] = f.Amount
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -20,7 +20,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/ledger"
 	"gullrail/pulse"
 	"gullrail/session"
@@ -155,7 +155,7 @@
 		c.mu.Lock()
 		delete(c.setUps, a.Ref)
 		c.mu.Unlock()
-		if how == front.Served {
+		if how == decision.Served {
 			c.runner.Tell(func(now int64, core *session.Core) {
 				core.Started(now, a.Ref, started.Life, started.Mark, started.Rung, load)
 			})
@@ -181,11 +181,11 @@
 
 // exchange is one request and its answer on a connection of its own, written by one Write. Until a
 // byte of it is out, nothing can have run; from then on only the node's own word says so.
-func (c *Client) exchange(ctx context.Context, a session.Allocation, ordered, until time.Time) (Started, front.Ending, front.Load) {
+func (c *Client) exchange(ctx context.Context, a session.Allocation, ordered, until time.Time) (Started, decision.Ending, decision.Load) {
 	request, err := c.request(a, until)
 	if err != nil {
 		c.log.Error().Err(err).Str("play", a.Play).Msg("set-up not sent")
-		return Started{}, front.NotSent, front.Untold
+		return Started{}, decision.NotSent, decision.Untold
 	}
 	last := ordered.Add(c.sendFor)
 	if until.Before(last) {
@@ -196,68 +196,68 @@
 	cancel()
 	if err != nil {
 		if ctx.Err() != nil {
-			return Started{}, front.NotSent, front.Untold
+			return Started{}, decision.NotSent, decision.Untold
 		}
-		return Started{}, front.NoConnect, front.Untold
+		return Started{}, decision.NoConnect, decision.Untold
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	conn.SetDeadline(until)
 	if ctx.Err() != nil {
-		return Started{}, front.NotSent, front.Untold
+		return Started{}, decision.NotSent, decision.Untold
 	}
 	if time.Now().After(last) {
-		return Started{}, front.NoConnect, front.Untold
+		return Started{}, decision.NoConnect, decision.Untold
 	}
 	if n, err := conn.Write(request); err != nil && n == 0 {
-		return Started{}, front.NoConnect, front.Untold
+		return Started{}, decision.NoConnect, decision.Untold
 	} else if err != nil {
-		return Started{}, broken(ctx, err), front.Untold
+		return Started{}, broken(ctx, err), decision.Untold
 	}
 	in := bufio.NewReader(io.LimitReader(conn, 2*bodyMost))
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return Started{}, broken(ctx, err), front.Untold
+		return Started{}, broken(ctx, err), decision.Untold
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost))
 	if err != nil {
-		return Started{}, broken(ctx, err), front.Untold
+		return Started{}, broken(ctx, err), decision.Untold
 	}
-	load := front.Untold
+	load := decision.Untold
 	if c.report {
 		load = ParseLoad(resp.Header.Get(LoadHeader))
 	}
 	if resp.StatusCode == http.StatusCreated {
 		var s Started
 		if err := json.Unmarshal(body, &s); err != nil || s.Life <= 0 {
-			return Started{}, front.Errored, load
+			return Started{}, decision.Errored, load
 		}
-		return s, front.Served, load
+		return s, decision.Served, load
 	}
 	var refusal Refusal
 	if json.Unmarshal(body, &refusal) == nil && refusal.NeverRan && resp.StatusCode >= 400 {
-		return Started{}, front.TurnedAway, load
+		return Started{}, decision.TurnedAway, load
 	}
-	return Started{}, front.Errored, load
+	return Started{}, decision.Errored, load
 }
 
 // broken is how a set-up ended whose request was, at least in part, written.
-func broken(ctx context.Context, err error) front.Ending {
+func broken(ctx context.Context, err error) decision.Ending {
 	switch {
 	case ctx.Err() != nil:
-		return front.CalledOff
+		return decision.CalledOff
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return front.NoAnswer
+		return decision.NoAnswer
 	}
-	return front.Lost
+	return decision.Lost
 }
 
 func (c *Client) request(a session.Allocation, until time.Time) ([]byte, error) {
 	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Try: a.Try, Product: c.names.Product(a.Product),
 		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, Top: a.Top, Seq: a.Seq,
-		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / front.Ms})
+		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / decision.Ms})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a set-up: %w", err)
 	}
@@ -341,24 +341,24 @@
 	})
 }
 
-func (c *Client) probe(ctx context.Context, address string) (front.Ending, front.Load) {
+func (c *Client) probe(ctx context.Context, address string) (decision.Ending, decision.Load) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/load?front="+url.QueryEscape(c.name), nil)
 	if err != nil {
-		return front.NotSent, front.Untold
+		return decision.NotSent, decision.Untold
 	}
 	resp, err := c.calls.Do(req)
 	switch {
 	case ctx.Err() != nil:
-		return front.NoAnswer, front.Untold
+		return decision.NoAnswer, decision.Untold
 	case err != nil:
-		return front.NoConnect, front.Untold
+		return decision.NoConnect, decision.Untold
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, bodyMost))
 	if resp.StatusCode != http.StatusOK {
-		return front.Errored, front.Untold
+		return decision.Errored, decision.Untold
 	}
-	return front.Served, ParseLoad(resp.Header.Get(LoadHeader))
+	return decision.Served, ParseLoad(resp.Header.Get(LoadHeader))
 }
 
 // ---- Streams ----
@@ -462,21 +462,21 @@
 				product = -1
 			}
 			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Try: p.Try, Product: product, Title: p.Title,
-				Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top, Left: p.LeftMs * front.Ms}
+				Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top, Left: p.LeftMs * decision.Ms}
 		}
 		c.runner.Tell(func(now int64, core *session.Core) { core.Hello(now, node, n.Node, n.Life, n.Mark, runs) })
 	case Beat:
 		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node) })
 	case Ended:
-		how := front.Served
+		how := decision.Served
 		if n.How == Lost {
-			how = front.Lost
+			how = decision.Lost
 		}
 		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.PlayEnded(now, ref, how) })
 	case Share:
 		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.Share(now, ref, n.Share) })
 	case Load:
-		load := front.Load{Streams: -1, Link: n.Link, Uplink: n.Uplink}
+		load := decision.Load{Streams: -1, Link: n.Link, Uplink: n.Uplink}
 		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.Load(now, ref, load) })
 	}
 }
--- a/nodes/client_test.go
+++ b/nodes/client_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/conf"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/intake"
 	"gullrail/session"
 )
@@ -27,11 +27,11 @@
 	defer node.Close()
 	for _, c := range []struct {
 		grace, wait time.Duration
-		how         front.Ending
+		how         decision.Ending
 		sent        int32
 	}{
-		{250 * time.Millisecond, 0, front.Served, 1},
-		{250 * time.Millisecond, 230 * time.Millisecond, front.NoConnect, 0}, // within a dial's time, past the part of the grace
+		{250 * time.Millisecond, 0, decision.Served, 1},
+		{250 * time.Millisecond, 230 * time.Millisecond, decision.NoConnect, 0}, // within a dial's time, past the part of the grace
 	} {
 		got.Store(0)
 		secure := func() (*tls.Config, error) {
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/conf"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
 	"gullrail/pulse"
 	"gullrail/roster"
@@ -43,7 +43,7 @@
 	Nodes   []Line `json:"nodes,omitempty"`
 }
 
-var phases = map[string]front.Phase{"ready": front.Ready, "draining": front.Draining, "gone": front.Gone}
+var phases = map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
 // ParseChange reads a message of the list service into lines as the core knows them.
 func ParseChange(text []byte, set *conf.Service, clock *session.Clock) (Change, []session.Listed, error) {
@@ -108,7 +108,7 @@
 
 // FormatLine is a line as the list service would tell it; its start is not told.
 func FormatLine(l session.Listed, set *conf.Service) Line {
-	return Line{Name: l.Name, Address: l.Address, Phase: [...]string{front.Ready: "ready", front.Draining: "draining", front.Gone: "gone"}[l.Phase],
+	return Line{Name: l.Name, Address: l.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[l.Phase],
 		Kind: set.Kinds[l.Kind].Name, Zone: set.Zones[l.Zone], Cell: l.Cell, Weight: l.Weight}
 }
 
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 // LoadHeader carries a node's load report in an answer, in the text or JSON form of the Open Request
@@ -138,7 +138,7 @@
 
 // FormatLoad writes a load report; ParseLoad reads one. What is not told is left out. A report that
 // cannot be read says nothing: it is advice, and a set-up does not fail by it.
-func FormatLoad(l front.Load) string {
+func FormatLoad(l decision.Load) string {
 	var parts []string
 	add := func(name string, v float64) {
 		if v >= 0 {
@@ -152,8 +152,8 @@
 }
 
 // ParseLoad reads the value of LoadHeader.
-func ParseLoad(s string) front.Load {
-	l := front.Untold
+func ParseLoad(s string) decision.Load {
+	l := decision.Untold
 	set := func(name string, v float64) {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -4,21 +4,21 @@
 	"testing"
 
 	"gullrail/conf"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/session"
 )
 
 func TestLoadReportsRoundAndInBothForms(t *testing.T) {
-	for _, l := range []front.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, front.Untold} {
+	for _, l := range []decision.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, decision.Untold} {
 		if got := ParseLoad(FormatLoad(l)); got != l {
 			t.Errorf("%+v came back as %+v", l, got)
 		}
 	}
-	if got := ParseLoad(`JSON {"application_utilization": 0.4, "named_metrics": {"uplink": 1.25, "other": 3}}`); got != (front.Load{Streams: -1, Link: 0.4, Uplink: 1.25}) {
+	if got := ParseLoad(`JSON {"application_utilization": 0.4, "named_metrics": {"uplink": 1.25, "other": 3}}`); got != (decision.Load{Streams: -1, Link: 0.4, Uplink: 1.25}) {
 		t.Errorf("JSON: %+v", got)
 	}
 	for _, s := range []string{"", "TEXT", "TEXT application_utilization=NaN", "TEXT application_utilization=-3", "JSON {", "BIN abc"} {
-		if got := ParseLoad(s); got != front.Untold {
+		if got := ParseLoad(s); got != decision.Untold {
 			t.Errorf("%q says %+v", s, got)
 		}
 	}
--- a/parting/parting.go
+++ b/parting/parting.go
@@ -1,19 +1,19 @@
 // Package parting decides how a front end gives up what it holds when it ends in order: which requests
 // still wait for their answer and for how long, how the others are answered, and when the plays that play
 // are let go where nobody will take them over. No I/O and no clock: times are int64 tenths of a
-// millisecond, as in package front, and come in as arguments.
+// millisecond, as in package decision, and come in as arguments.
 package parting
 
 import (
 	"sort"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const (
-	atOnce   = 200 * front.Ms // with less time than this to the end nothing is waited for
-	lastWord = 100 * front.Ms // kept before the end, for answers to reach their clients
-	pace     = 50 * front.Ms  // between two plays let go: twenty a second come back to the other fronts
+	atOnce   = 200 * decision.Ms // with less time than this to the end nothing is waited for
+	lastWord = 100 * decision.Ms // kept before the end, for answers to reach their clients
+	pace     = 50 * decision.Ms  // between two plays let go: twenty a second come back to the other fronts
 )
 
 // Verdict is what becomes of a request that is not yet answered.
--- a/parting/parting_test.go
+++ b/parting/parting_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const now = 1_000_000
 
 func TestOnlySetUpsThatAreOutAreWaitedFor(t *testing.T) {
-	end := int64(now + 5*front.Second)
+	end := int64(now + 5*decision.Second)
 	for _, c := range []struct {
 		name string
 		r    Request
@@ -38,14 +38,14 @@
 
 func TestPlaysAreLetGoOneByOneTheLeastImportantFirst(t *testing.T) {
 	plays := []Playing{{2, 1}, {1, 2}, {1, 3}, {3, 4}}
-	order, at := Release(now, now+10*front.Second, plays)
+	order, at := Release(now, now+10*decision.Second, plays)
 	for i, want := range []int{1, 2, 0, 3} {
 		if order[i] != want || at[i] != now+int64(i)*pace {
 			t.Fatalf("order %v at %v", order, at)
 		}
 	}
 	many := make([]Playing, 1000)
-	if _, at := Release(now, now+front.Second, many); at[999] > Deadline(now+front.Second) || at[999]-at[0] < front.Second/2 {
+	if _, at := Release(now, now+decision.Second, many); at[999] > Deadline(now+decision.Second) || at[999]-at[0] < decision.Second/2 {
 		t.Fatalf("the last goes at %d", at[999]-now)
 	}
 	if order, _ := Release(now, now, nil); len(order) != 0 {
--- a/pulse/pulse.go
+++ b/pulse/pulse.go
@@ -1,7 +1,7 @@
 // Package pulse decides what a front end believes of its streams from playout nodes: when silence
 // means that a stream is broken, when to dial it again, when the plays there must have ended, and
 // when a front that just started knows enough of its earlier life to take plays. No I/O and no
-// clock: times are int64 tenths of a millisecond, as in package front. One goroutine at a time.
+// clock: times are int64 tenths of a millisecond, as in package decision. One goroutine at a time.
 //
 // What it rests on: a node ends the plays of a front whose stream it has missed for Lease, and
 // reports all plays of that front when the stream is back. So a front may count a play as ended
@@ -10,26 +10,26 @@
 package pulse
 
 import (
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
 )
 
 const (
-	Beat       = 1 * front.Second // a node says something at least this often
-	Lease      = 6 * front.Second // a node keeps the plays of a front that it doesn't hear from so long
-	SilentFor  = 3 * Beat         // two lost beats are chance, three are a broken stream
-	margin     = 2 * front.Second // over the lease: a beat on its way and a busy machine
-	retryLeast = 100 * front.Ms   // pause before the first dial after a break
-	retryMost  = 2 * front.Second // and at most: well under the lease, so that a short cut ends no play
-	ConnectFor = 250 * front.Ms   // a dial that takes longer failed: a machine on the same site answers in a few
-	ProbeFor   = 250 * front.Ms   // a probe's answer is old after that
-	CallFor    = 1 * front.Second // rungs and ends: a node that takes longer is asked again
-	CallTries  = 3                // then the next word of its stream tells what it runs
-	callPause  = 100 * front.Ms   // before the second try, doubled for the third
-	firstEach  = 2 * front.Ms     // first dials are spread over this for each node listed
-	firstMost  = 1 * front.Second // and over no more: a front waits for them before it takes plays
-	startLeast = 100 * front.Ms   // a fresh front hears the list at least so long before it takes plays
-	startMost  = Lease + margin   // then what it held before has ended wherever it could not ask
+	Beat       = 1 * decision.Second // a node says something at least this often
+	Lease      = 6 * decision.Second // a node keeps the plays of a front that it doesn't hear from so long
+	SilentFor  = 3 * Beat            // two lost beats are chance, three are a broken stream
+	margin     = 2 * decision.Second // over the lease: a beat on its way and a busy machine
+	retryLeast = 100 * decision.Ms   // pause before the first dial after a break
+	retryMost  = 2 * decision.Second // and at most: well under the lease, so that a short cut ends no play
+	ConnectFor = 250 * decision.Ms   // a dial that takes longer failed: a machine on the same site answers in a few
+	ProbeFor   = 250 * decision.Ms   // a probe's answer is old after that
+	CallFor    = 1 * decision.Second // rungs and ends: a node that takes longer is asked again
+	CallTries  = 3                   // then the next word of its stream tells what it runs
+	callPause  = 100 * decision.Ms   // before the second try, doubled for the third
+	firstEach  = 2 * decision.Ms     // first dials are spread over this for each node listed
+	firstMost  = 1 * decision.Second // and over no more: a front waits for them before it takes plays
+	startLeast = 100 * decision.Ms   // a fresh front hears the list at least so long before it takes plays
+	startMost  = Lease + margin      // then what it held before has ended wherever it could not ask
 )
 
 // Stream is what is known of the stream from one node. The zero Stream was never alive.
--- a/pulse/pulse_test.go
+++ b/pulse/pulse_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const now = 1_000_000
@@ -35,8 +35,8 @@
 	if _, ended := w.Broke(now+1, 0, true); ended || w.Expired(now+Lease+margin, 0) {
 		t.Fatal("told twice")
 	}
-	w.Hello(now+front.Second, 0)
-	if _, ended := w.Broke(now+2*front.Second, 0, true); !ended {
+	w.Hello(now+decision.Second, 0)
+	if _, ended := w.Broke(now+2*decision.Second, 0, true); !ended {
 		t.Fatal("a new life ends too")
 	}
 }
@@ -67,11 +67,11 @@
 	}
 	w.Hello(now, 0)
 	w.Broke(now, 1, false)
-	if w.Ready(now+front.Second, []int{0, 1}) {
+	if w.Ready(now+decision.Second, []int{0, 1}) {
 		t.Fatal("node 1 may hold plays of an earlier life")
 	}
 	w.Broke(now, 1, true)
-	if !w.Ready(now+front.Second, []int{0, 1}) || !w.Ready(now+front.Second, []int{0, 1, 2}) {
+	if !w.Ready(now+decision.Second, []int{0, 1}) || !w.Ready(now+decision.Second, []int{0, 1, 2}) {
 		t.Fatal("all met, and ready stays")
 	}
 	if w = New(now, 1); !w.Ready(now+startMost, []int{5}) {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,6 +1,6 @@
 // Package roster decides what a front end believes of its fleet: which playout nodes there are, by whose word, and which of
 // them may be given new plays. Words come from several sources, late, repeated, shuffled, behind or wrong. No I/O and no
-// clock: times are int64 tenths of a millisecond, as in package front. One goroutine at a time.
+// clock: times are int64 tenths of a millisecond, as in package decision. One goroutine at a time.
 //
 // The rules by which conflicts settle:
 //
@@ -21,21 +21,21 @@
 	"fmt"
 	"slices"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const (
-	vanishShare = 1.0 / 3           // of the fleet: more at once is likelier a mistake of the list than of so many machines
-	vanishLeast = 2                 // of a small fleet so many may go at once
-	vanishFor   = 10 * front.Second // then it is believed: a list that is wrong by a slip is mended in seconds
+	vanishShare = 1.0 / 3              // of the fleet: more at once is likelier a mistake of the list than of so many machines
+	vanishLeast = 2                    // of a small fleet so many may go at once
+	vanishFor   = 10 * decision.Second // then it is believed: a list that is wrong by a slip is mended in seconds
 	// SavedAfter is how long a front that starts waits for the list service before it uses what it saved.
-	SavedAfter = 1 * front.Second
-	savedFresh = 60 * front.Second // fewer nodes change in a minute than drain within their grace
-	savedOld   = 24 * 3600 * front.Second
-	admitShare = 1.0 / 8            // of the fleet in use: so many more are given to the module in one step
-	admitLeast = 4                  // and at least
-	goneFor    = 600 * front.Second // a node that is gone is remembered so long, so that no older word brings it back
-	admitEvery = 250 * front.Ms     // a step: the module's pace for cold nodes counts plays, not nodes that come at once
+	SavedAfter = 1 * decision.Second
+	savedFresh = 60 * decision.Second // fewer nodes change in a minute than drain within their grace
+	savedOld   = 24 * 3600 * decision.Second
+	admitShare = 1.0 / 8               // of the fleet in use: so many more are given to the module in one step
+	admitLeast = 4                     // and at least
+	goneFor    = 600 * decision.Second // a node that is gone is remembered so long, so that no older word brings it back
+	admitEvery = 250 * decision.Ms     // a step: the module's pace for cold nodes counts plays, not nodes that come at once
 )
 
 // Source is who says something of the fleet; the higher has more authority.
@@ -54,7 +54,7 @@
 type Line struct {
 	Name    string
 	Address string // host:port
-	Phase   front.Phase
+	Phase   decision.Phase
 	Kind    int
 	Zone    int
 	Cell    int
@@ -178,8 +178,8 @@
 	// A lower source says nothing of a node that a higher one has, but that it drains or is gone.
 	lower := ok && w.Source < n.by && n.has[n.by]
 	later := l.Started > n.line.Started && (l.Started > 0 && n.line.Started > 0)
-	parts := l.Phase != front.Ready
-	n.has[w.Source] = l.Phase != front.Gone
+	parts := l.Phase != decision.Ready
+	n.has[w.Source] = l.Phase != decision.Gone
 	if parts && !n.parted {
 		n.parted, n.partedBy = true, w.Source
 	}
@@ -210,7 +210,7 @@
 	known := 0
 	for i := range f.nodes {
 		n := &f.nodes[i]
-		if n.line.Phase == front.Gone || !n.has[n.by] {
+		if n.line.Phase == decision.Gone || !n.has[n.by] {
 			continue
 		}
 		if n.missing == 0 || n.alive {
@@ -237,7 +237,7 @@
 
 func (f *Fleet) gone(now int64, n *node, by Source) {
 	n.has, n.saidAt = [sources]bool{}, now
-	n.line.Phase, n.parted, n.partedBy, n.missing = front.Gone, true, by, 0
+	n.line.Phase, n.parted, n.partedBy, n.missing = decision.Gone, true, by, 0
 }
 
 // Answered says that a node's stream is open and that the process there calls itself so.
@@ -265,22 +265,22 @@
 }
 
 // phase is what a node may be given, and why.
-func (f *Fleet) phase(n *node) (front.Phase, string) {
+func (f *Fleet) phase(n *node) (decision.Phase, string) {
 	switch {
-	case n.line.Phase == front.Gone:
-		return front.Gone, "gone, by the " + n.partedBy.String()
-	case n.line.Phase == front.Draining:
-		return front.Draining, "draining, by the " + n.partedBy.String()
+	case n.line.Phase == decision.Gone:
+		return decision.Gone, "gone, by the " + n.partedBy.String()
+	case n.line.Phase == decision.Draining:
+		return decision.Draining, "draining, by the " + n.partedBy.String()
 	case n.name != "":
-		return front.Draining, fmt.Sprintf("at its address answers %q", n.name)
+		return decision.Draining, fmt.Sprintf("at its address answers %q", n.name)
 	case n.unsure && !n.met:
-		return front.Draining, "on an old saved list, and has not answered yet"
+		return decision.Draining, "on an old saved list, and has not answered yet"
 	case n.missing > 0 && !n.alive: // to be undone if the list has it again
-		return front.Gone, "left out by the list service, and not in touch"
+		return decision.Gone, "left out by the list service, and not in touch"
 	case n.missing > 0:
-		return front.Ready, "left out by the list service with too many others to be believed at once"
+		return decision.Ready, "left out by the list service with too many others to be believed at once"
 	}
-	return front.Ready, ""
+	return decision.Ready, ""
 }
 
 // Due brings what the core is to be told now: the nodes that changed, in the order in which they were first heard of, those
@@ -295,7 +295,7 @@
 		if n.missing > 0 && (wake == 0 || n.missing+vanishFor < wake) {
 			wake = n.missing + vanishFor
 		}
-		if phase, _ := f.phase(n); phase == front.Ready && !n.given() {
+		if phase, _ := f.phase(n); phase == decision.Ready && !n.given() {
 			fresh++
 		}
 	}
@@ -315,15 +315,15 @@
 		l := n.line
 		l.Phase, _ = f.phase(n)
 		switch {
-		case n.known && l == n.told || !n.known && l.Phase == front.Gone:
+		case n.known && l == n.told || !n.known && l.Phase == decision.Gone:
 			continue
-		case l.Phase == front.Ready && !n.given():
+		case l.Phase == decision.Ready && !n.given():
 			if room == 0 {
 				continue
 			}
 			room--
 			f.used++
-		case l.Phase != front.Ready && n.given():
+		case l.Phase != decision.Ready && n.given():
 			f.used--
 		}
 		n.told, n.known = l, true
@@ -334,7 +334,7 @@
 }
 
 // given tells that the core may give a node new plays.
-func (n *node) given() bool { return n.known && n.told.Phase == front.Ready }
+func (n *node) given() bool { return n.known && n.told.Phase == decision.Ready }
 
 // sweep forgets nodes that are gone for everyone, so that a fleet whose names never come again does not grow for ever.
 func (f *Fleet) sweep(now int64) {
@@ -344,7 +344,7 @@
 	f.sweptAt = now
 	kept := f.nodes[:0]
 	for _, n := range f.nodes {
-		if n.line.Phase == front.Gone && (!n.known || n.told.Phase == front.Gone) && now-n.saidAt > goneFor {
+		if n.line.Phase == decision.Gone && (!n.known || n.told.Phase == decision.Gone) && now-n.saidAt > goneFor {
 			delete(f.at, n.line.Name)
 			continue
 		}
@@ -372,8 +372,8 @@
 		n := &f.nodes[i]
 		b := Belief{Line: n.line, By: n.by, Age: now - n.saidAt, Alive: n.alive}
 		b.Phase, b.Why = f.phase(n)
-		b.Use = b.Phase == front.Ready && n.given()
-		if b.Phase == front.Ready && !b.Use {
+		b.Use = b.Phase == decision.Ready && n.given()
+		if b.Phase == decision.Ready && !b.Use {
 			b.Why = "waits to be admitted, as many come at once"
 		}
 		out = append(out, b)
@@ -385,7 +385,7 @@
 // Keep is what is worth writing down: the nodes that may be used or drain, as the highest source says.
 func (f *Fleet) Keep() (version int64, lines []Line) {
 	for _, b := range f.Beliefs(0) {
-		if b.Line.Phase != front.Gone {
+		if b.Line.Phase != decision.Gone {
 			lines = append(lines, b.Line)
 		}
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -6,18 +6,18 @@
 
 	"pgregory.net/rapid"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const now = 1_000_000
 
-func line(i int, phase front.Phase) Line {
+func line(i int, phase decision.Phase) Line {
 	return Line{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Phase: phase, Weight: 1}
 }
 
 func whole(n int) (lines []Line) {
 	for i := range n {
-		lines = append(lines, line(i, front.Ready))
+		lines = append(lines, line(i, decision.Ready))
 	}
 	return lines
 }
@@ -35,7 +35,7 @@
 
 func (c core) ready() (n int) {
 	for _, l := range c {
-		if l.Phase == front.Ready {
+		if l.Phase == decision.Ready {
 			n++
 		}
 	}
@@ -60,35 +60,35 @@
 
 func TestDrainIsNotUndoneByAnOlderOrLowerWord(t *testing.T) {
 	f, c := heard(4)
-	f.Hear(now+1, Word{Source: List, Version: 11, Lines: []Line{line(0, front.Draining)}})
+	f.Hear(now+1, Word{Source: List, Version: 11, Lines: []Line{line(0, decision.Draining)}})
 	c.due(f, now+1)
 	for _, w := range []Word{
-		{Source: List, Version: 11, Lines: []Line{line(0, front.Ready)}}, // repeated with another text
-		{Source: List, Version: 9, Lines: []Line{line(0, front.Ready)}},  // late
-		{Source: File, Whole: true, Lines: whole(4)},                     // of less authority
-		{Source: List, Version: 5, Whole: true, Lines: whole(4)},         // gone back in time
-		{Source: Saved, Whole: true, Lines: whole(4)},                    // what was
+		{Source: List, Version: 11, Lines: []Line{line(0, decision.Ready)}}, // repeated with another text
+		{Source: List, Version: 9, Lines: []Line{line(0, decision.Ready)}},  // late
+		{Source: File, Whole: true, Lines: whole(4)},                        // of less authority
+		{Source: List, Version: 5, Whole: true, Lines: whole(4)},            // gone back in time
+		{Source: Saved, Whole: true, Lines: whole(4)},                       // what was
 	} {
 		f.Hear(now+2, w)
-		if c.due(f, now+2); c["n0"].Phase != front.Draining {
+		if c.due(f, now+2); c["n0"].Phase != decision.Draining {
 			t.Fatalf("undone by %+v", w)
 		}
 	}
-	f.Hear(now+3, Word{Source: List, Version: 20, Lines: []Line{line(0, front.Ready)}})
-	if c.due(f, now+3); c["n0"].Phase != front.Ready {
+	f.Hear(now+3, Word{Source: List, Version: 20, Lines: []Line{line(0, decision.Ready)}})
+	if c.due(f, now+3); c["n0"].Phase != decision.Ready {
 		t.Fatal("a newer word of the list service takes it back")
 	}
 }
 
 func TestALaterStartIsAnotherProcess(t *testing.T) {
 	f, c := heard(4)
-	l := line(0, front.Gone)
+	l := line(0, decision.Gone)
 	l.Started = 50
 	f.Hear(now, Word{Source: List, Version: 11, Lines: []Line{l}})
 	c.due(f, now)
-	l.Phase, l.Started = front.Ready, 900
+	l.Phase, l.Started = decision.Ready, 900
 	f.Hear(now+1, Word{Source: List, Version: 12, Lines: []Line{l}})
-	if c.due(f, now+1); c["n0"].Phase != front.Ready || c["n0"].Started != 900 {
+	if c.due(f, now+1); c["n0"].Phase != decision.Ready || c["n0"].Started != 900 {
 		t.Fatalf("%+v", c["n0"])
 	}
 	l.Started = 100
@@ -103,7 +103,7 @@
 	f.Broke(now, "n7")
 	f.Hear(now+1, Word{Source: List, Version: 11, Whole: true})
 	wake := c.due(f, now+1)
-	if c.ready() != 29 || c["n7"].Phase != front.Gone {
+	if c.ready() != 29 || c["n7"].Phase != decision.Gone {
 		t.Fatalf("%d ready, n7 %v: those in touch stay, the other goes", c.ready(), c["n7"].Phase)
 	}
 	if wake != now+1+vanishFor {
@@ -128,7 +128,7 @@
 	}
 	var gone []Line
 	for i := range 25 {
-		gone = append(gone, line(i, front.Gone))
+		gone = append(gone, line(i, decision.Gone))
 	}
 	f.Hear(now, Word{Source: List, Version: 12, Lines: gone})
 	if c.due(f, now); c.ready() != 0 {
@@ -143,7 +143,7 @@
 	}{{savedFresh, 8, 8}, {savedFresh + 1, 0, 1}, {-5, 0, 1}, {savedOld, 0, 1}, {savedOld + 1, 0, 0}} {
 		f, c := New(), core{}
 		lines := whole(8)
-		lines[1].Phase = front.Draining
+		lines[1].Phase = decision.Draining
 		lines[0].Started = 77
 		f.Hear(now, Word{Source: Saved, Version: 5, Whole: true, Age: x.age, Lines: lines})
 		c.due(f, now)
@@ -164,10 +164,10 @@
 		}
 		// The list service is back: a third of the fleet was replaced since.
 		f.Hear(now+2, Word{Source: List, Version: 3, Whole: true, Lines: whole(12)[4:]})
-		for at := int64(now + 2); at < now+2+vanishFor+front.Second; at += admitEvery {
+		for at := int64(now + 2); at < now+2+vanishFor+decision.Second; at += admitEvery {
 			c.due(f, at)
 		}
-		if l, ok := c["n0"]; c.ready() != 8 || ok && l.Phase == front.Ready {
+		if l, ok := c["n0"]; c.ready() != 8 || ok && l.Phase == decision.Ready {
 			t.Errorf("age %d: %d ready of the live list's 8", x.age, c.ready())
 		}
 		if f.Hear(now+3, Word{Source: Saved, Whole: true, Lines: whole(8)}) {
@@ -192,7 +192,7 @@
 		}
 		at = wake
 	}
-	if took := at - now; steps < 20 || took > 15*front.Second {
+	if took := at - now; steps < 20 || took > 15*decision.Second {
 		t.Fatalf("%d steps", steps)
 	}
 	if before := f.Beliefs(at); len(before) != 5000 || !before[0].Use {
@@ -203,13 +203,13 @@
 func TestAnAddressThatAnswersWithAnotherName(t *testing.T) {
 	f, c := heard(4)
 	f.Answered(now, "n2", "stranger")
-	if c.due(f, now); c["n2"].Phase != front.Draining || f.Counts().Impostors != 1 {
+	if c.due(f, now); c["n2"].Phase != decision.Draining || f.Counts().Impostors != 1 {
 		t.Fatalf("%+v", c["n2"])
 	}
-	l := line(2, front.Ready)
+	l := line(2, decision.Ready)
 	l.Address = "moved:1"
 	f.Hear(now, Word{Source: List, Version: 11, Lines: []Line{l}})
-	if c.due(f, now+admitEvery); c["n2"].Phase != front.Ready || c["n2"].Address != "moved:1" {
+	if c.due(f, now+admitEvery); c["n2"].Phase != decision.Ready || c["n2"].Address != "moved:1" {
 		t.Fatalf("at its new address: %+v", c["n2"])
 	}
 }
@@ -217,7 +217,7 @@
 func TestFlappingListChangesNothing(t *testing.T) {
 	f, c := heard(20)
 	for i := range 60 {
-		at := now + int64(i)*front.Second
+		at := now + int64(i)*decision.Second
 		f.Hear(at, Word{Source: List, Version: int64(11 + i), Whole: true, Lines: whole(20 * (i % 2))})
 		if c.due(f, at); c.ready() != 20 {
 			t.Fatalf("second %d: %d ready", i, c.ready())
@@ -238,13 +238,13 @@
 		for range rapid.IntRange(1, 25).Draw(t, "words") {
 			version++
 			i := rapid.IntRange(0, n-1).Draw(t, "node")
-			l := line(i, rapid.SampledFrom([]front.Phase{front.Ready, front.Ready, front.Draining, front.Gone}).Draw(t, "phase"))
+			l := line(i, rapid.SampledFrom([]decision.Phase{decision.Ready, decision.Ready, decision.Draining, decision.Gone}).Draw(t, "phase"))
 			truth[l.Name] = l
 			w := Word{Source: List, Version: version, Lines: []Line{l}}
 			if rapid.IntRange(0, 4).Draw(t, "whole") == 0 {
 				w.Whole, w.Lines = true, nil
 				for k := range n {
-					if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != front.Gone {
+					if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != decision.Gone {
 						w.Lines = append(w.Lines, x)
 					}
 				}
@@ -262,7 +262,7 @@
 			if counts && w.Version >= newest {
 				newest = w.Version
 				for _, l := range w.Lines {
-					if l.Phase != front.Ready {
+					if l.Phase != decision.Ready {
 						stopped[l.Name] = w.Version
 					} else {
 						delete(stopped, l.Name)
@@ -271,7 +271,7 @@
 			}
 			c.due(f, at)
 			for name := range stopped {
-				if c[name].Phase == front.Ready && c[name].Name != "" {
+				if c[name].Phase == decision.Ready && c[name].Name != "" {
 					t.Fatalf("%s is given new plays after version %d stopped it", name, stopped[name])
 				}
 			}
@@ -282,21 +282,21 @@
 		version++
 		final := Word{Source: List, Version: version, Whole: true}
 		for k := range n {
-			if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != front.Gone {
+			if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != decision.Gone {
 				final.Lines = append(final.Lines, x)
 			}
 		}
 		hear(final)
 		for range 100 {
-			at += front.Second
+			at += decision.Second
 			c.due(f, at)
 		}
 		for k := range n {
 			name := fmt.Sprint("n", k)
 			want, ok := truth[name]
 			got, known := c[name]
-			gone := !ok || want.Phase == front.Gone
-			if gone && known && got.Phase != front.Gone || !gone && got.Phase != want.Phase {
+			gone := !ok || want.Phase == decision.Gone
+			if gone && known && got.Phase != decision.Gone || !gone && got.Phase != want.Phase {
 				t.Fatalf("%s: believed %+v, is %+v", name, got, want)
 			}
 		}
--- a/session/core.go
+++ b/session/core.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"strconv"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/numbers"
 	"gullrail/ledger"
 	"gullrail/parting"
@@ -20,9 +20,9 @@
 )
 
 const (
-	endedKept = 1 << 16            // endings remembered at most: some 30 minutes at 33 plays a second
-	endedFor  = 600 * front.Second // and at longest; an older play's token has expired
-	sweepMost = 64                 // idle numbers looked at in one wake, five times a second
+	endedKept = 1 << 16               // endings remembered at most: some 30 minutes at 33 plays a second
+	endedFor  = 600 * decision.Second // and at longest; an older play's token has expired
+	sweepMost = 64                    // idle numbers looked at in one wake, five times a second
 )
 
 // Ref names an allocation.
@@ -134,7 +134,7 @@
 // play is a play in hand.
 type play struct {
 	id      string
-	h       front.Handle
+	h       decision.Handle
 	ask     Ask
 	title   int
 	viewer  int
@@ -148,7 +148,7 @@
 	mayHave bool // an allocation that ended may have run
 	left    bool // nobody waits for its answer any more
 	adopted bool
-	early   *front.Ending // its end, where that was told before its start
+	early   *decision.Ending // its end, where that was told before its start
 }
 
 // follow lets another hear of the play, in place of who did.
@@ -181,7 +181,7 @@
 // node is a playout node that the front knows.
 type node struct {
 	name, address string
-	phase         front.Phase
+	phase         decision.Phase
 	listed        bool
 	followed      bool
 	life          int64
@@ -214,7 +214,7 @@
 type Core struct {
 	name     string
 	epoch    int64
-	mod      front.Chooser
+	mod      decision.Chooser
 	out      Carrier
 	watch    *pulse.Watch
 	fleet    *roster.Fleet
@@ -239,7 +239,7 @@
 	ended    map[string]finished
 	endings  []finished // in their order, from oldest on
 	oldest   int
-	list     []front.Node
+	list     []decision.Node
 	listed   []int
 	wakeAt   int64
 	counts   Counts
@@ -247,7 +247,7 @@
 
 // NewCore makes a core for a front's life. Epoch tells its lives apart and only grows; seed draws
 // the pauses between dials. Products may be nil: all then count as paid.
-func NewCore(now int64, name string, epoch int64, mod front.Chooser, out Carrier, products Products, seed uint64) *Core {
+func NewCore(now int64, name string, epoch int64, mod decision.Chooser, out Carrier, products Products, seed uint64) *Core {
 	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: pulse.New(now, seed), fleet: roster.New(), wakeAt: now,
 		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: numbers.New(), viewers: numbers.New(),
 		nodeAt: map[string]int{}, ended: map[string]finished{}}
@@ -317,7 +317,7 @@
 		return true
 	case recovery.Wait:
 		c.counts.Denied++
-		a.Reply.Give(Answer{Verdict: Denied, Why: "an earlier play of this request may still run", Busy: true, ComeBack: front.Second})
+		a.Reply.Give(Answer{Verdict: Denied, Why: "an earlier play of this request may still run", Busy: true, ComeBack: decision.Second})
 		return true
 	}
 	return false
@@ -354,12 +354,12 @@
 // reply is withdrawn first.
 func (c *Core) Ask(now int64, a Ask) {
 	if c.parting {
-		a.Reply.Give(Answer{Verdict: Declined, Why: "the front is ending", ComeBack: front.Second})
+		a.Reply.Give(Answer{Verdict: Declined, Why: "the front is ending", ComeBack: decision.Second})
 		c.counts.Declined++
 		return
 	}
 	if !c.Ready(now) {
-		a.Reply.Give(Answer{Verdict: Declined, Why: "the front is starting", ComeBack: front.Second})
+		a.Reply.Give(Answer{Verdict: Declined, Why: "the front is starting", ComeBack: decision.Second})
 		c.counts.Declined++
 		return
 	}
@@ -405,8 +405,8 @@
 		viewer: c.viewers.Hold(a.Viewer)}
 	c.plays[p.id], c.asking[key] = p, p
 	c.counts.Taken++
-	h, res := c.mod.Take(now, front.Want{Product: a.Product, Title: p.title, Viewer: p.viewer, Limit: a.Limit,
-		Length: a.Length, Home: a.Home, Copies: a.Copies, Top: a.Top, Key: front.Key(a.Title), Moved: isMoved, Again: a.Back != nil})
+	h, res := c.mod.Take(now, decision.Want{Product: a.Product, Title: p.title, Viewer: p.viewer, Limit: a.Limit,
+		Length: a.Length, Home: a.Home, Copies: a.Copies, Top: a.Top, Key: decision.Key(a.Title), Moved: isMoved, Again: a.Back != nil})
 	c.enter(p, h)
 	c.carry(now, res)
 }
@@ -467,16 +467,16 @@
 		return
 	}
 	if p.stage == playing {
-		c.endAt(now, p, "viewer left", front.CalledOff, ledger.Served)
+		c.endAt(now, p, "viewer left", decision.CalledOff, ledger.Served)
 		return
 	}
 	c.leave(now, p)
 }
 
 // endAt ends a playing play at its node and for the module.
-func (c *Core) endAt(now int64, p *play, why string, how front.Ending, as ledger.How) {
+func (c *Core) endAt(now int64, p *play, why string, how decision.Ending, as ledger.How) {
 	c.out.End(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, why)
-	res := c.mod.Ended(now, p.h, p.number(), how, true, front.Untold)
+	res := c.mod.Ended(now, p.h, p.number(), how, true, decision.Untold)
 	c.finish(now, p, as)
 	c.carry(now, res)
 }
@@ -491,12 +491,12 @@
 // nodeGaveUp takes a viewer's word that the node does not deliver.
 func (c *Core) nodeGaveUp(now int64, p *play) {
 	c.counts.Lost++
-	c.endAt(now, p, "viewer says it broke", front.Lost, ledger.Broken)
+	c.endAt(now, p, "viewer says it broke", decision.Lost, ledger.Broken)
 }
 
 // Started says that a node set an allocation up, in which life of its process, with which mark of
 // its own count of starts, and at which rung it plays.
-func (c *Core) Started(now int64, r Ref, life, mark int64, rung int, load front.Load) {
+func (c *Core) Started(now int64, r Ref, life, mark int64, rung int, load decision.Load) {
 	p := c.at(r, settingUp)
 	if p == nil {
 		c.orphan(r)
@@ -505,14 +505,14 @@
 	p.stage, p.life, p.mark = playing, life, mark
 	c.free(p)
 	if p.left { // the module still counts a set-up: its end is called off
-		c.endAt(now, p, "viewer left", front.CalledOff, ledger.Served)
+		c.endAt(now, p, "viewer left", decision.CalledOff, ledger.Served)
 		return
 	}
 	c.carry(now, c.mod.Started(now, p.h, r.Try))
 	if c.plays[p.id] == nil {
 		return
 	}
-	if load != front.Untold {
+	if load != decision.Untold {
 		c.carry(now, c.mod.Asked(now, p.h, load))
 	}
 	if rung != p.rung { // an order to change it overtook the set-up
@@ -520,7 +520,7 @@
 		c.out.SetRung(r, c.nodes[p.node].address, p.rung, p.seq)
 	}
 	if !p.ask.Reply.Give(c.answer(p, "")) { // withdrawn in the same moment: nobody will watch it
-		c.endAt(now, p, "viewer left", front.CalledOff, ledger.Served)
+		c.endAt(now, p, "viewer left", decision.CalledOff, ledger.Served)
 		return
 	}
 	c.counts.Plays++
@@ -542,7 +542,7 @@
 }
 
 // SetUpEnded says how a set-up ended that did not start.
-func (c *Core) SetUpEnded(now int64, r Ref, how front.Ending, load front.Load) {
+func (c *Core) SetUpEnded(now int64, r Ref, how decision.Ending, load decision.Load) {
 	p := c.at(r, settingUp)
 	if p == nil {
 		return
@@ -558,18 +558,18 @@
 }
 
 // PlayEnded says that a node ended a play: Served when its time was over or its viewer stopped.
-func (c *Core) PlayEnded(now int64, r Ref, how front.Ending) {
+func (c *Core) PlayEnded(now int64, r Ref, how decision.Ending) {
 	if p := c.at(r, settingUp); p != nil { // the stream overtook the answer to the set-up
 		p.early = &how
 		return
 	}
 	if p := c.at(r, playing); p != nil {
 		as := ledger.Served
-		if how != front.Served {
+		if how != decision.Served {
 			as = ledger.Broken
 			c.counts.Lost++
 		}
-		res := c.mod.Ended(now, p.h, p.number(), how, true, front.Untold)
+		res := c.mod.Ended(now, p.h, p.number(), how, true, decision.Untold)
 		c.finish(now, p, as)
 		c.carry(now, res)
 	}
@@ -583,14 +583,14 @@
 }
 
 // Load brings a note of what is asked of the link or uplink of a play's node.
-func (c *Core) Load(now int64, r Ref, load front.Load) {
+func (c *Core) Load(now int64, r Ref, load decision.Load) {
 	if p := c.at(r, playing); p != nil {
 		c.carry(now, c.mod.Asked(now, p.h, load))
 	}
 }
 
 // Probed brings the end of a probe.
-func (c *Core) Probed(now int64, at int, how front.Ending, load front.Load) {
+func (c *Core) Probed(now int64, at int, how decision.Ending, load decision.Load) {
 	if at < len(c.nodes) && c.nodes[at].probing {
 		c.nodes[at].probing = false
 		c.carry(now, c.mod.Probed(now, at, how, load))
@@ -627,7 +627,7 @@
 	}
 	for _, p := range c.runningAt(at) {
 		if !still[p.id] && recovery.Missing(p.life == life, p.mark <= mark) {
-			c.PlayEnded(now, Ref{p.id, p.try, at}, front.Lost)
+			c.PlayEnded(now, Ref{p.id, p.try, at}, decision.Lost)
 		}
 	}
 }
@@ -640,8 +640,8 @@
 			Length: r.Left}}
 	c.plays[p.id] = p
 	c.nodes[at].plays++
-	h, res := c.mod.Adopt(now, front.Want{Product: r.Product, Title: p.title, Viewer: p.viewer, Limit: now,
-		Length: r.Left, Home: r.Home, Copies: r.Copies, Top: r.Top, Key: front.Key(r.Title)}, at)
+	h, res := c.mod.Adopt(now, decision.Want{Product: r.Product, Title: p.title, Viewer: p.viewer, Limit: now,
+		Length: r.Left, Home: r.Home, Copies: r.Copies, Top: r.Top, Key: decision.Key(r.Title)}, at)
 	c.enter(p, h)
 	c.carry(now, res)
 	c.carry(now, c.mod.Told(now, p.h, r.Rung))
@@ -677,7 +677,7 @@
 // loseAll ends the plays of a node that can't run them any more.
 func (c *Core) loseAll(now int64, at int) {
 	for _, p := range c.runningAt(at) {
-		c.PlayEnded(now, Ref{p.id, p.try, at}, front.Lost)
+		c.PlayEnded(now, Ref{p.id, p.try, at}, decision.Lost)
 	}
 }
 
@@ -742,13 +742,13 @@
 	for _, l := range lines {
 		at, ok := c.nodeAt[l.Name]
 		if !ok {
-			if l.Phase == front.Gone {
+			if l.Phase == decision.Gone {
 				continue
 			}
 			at = c.newNode(l.Name)
 		}
 		n := &c.nodes[at]
-		n.listed, n.phase = l.Phase != front.Gone, l.Phase
+		n.listed, n.phase = l.Phase != decision.Gone, l.Phase
 		if n.address != l.Address && n.followed {
 			c.out.Hangup(at) // dialled again at its new address once the old stream has ended
 		}
@@ -756,8 +756,8 @@
 		if !n.followed && n.listed {
 			c.follow(now, at, c.watch.First(now, len(lines)))
 		}
-		c.list = append(c.list, front.Node{Index: at, Phase: l.Phase, Kind: l.Kind, Zone: l.Zone, Cell: l.Cell,
-			Started: l.Started, Weight: l.Weight, Key: front.Key(n.name)})
+		c.list = append(c.list, decision.Node{Index: at, Phase: l.Phase, Kind: l.Kind, Zone: l.Zone, Cell: l.Cell,
+			Started: l.Started, Weight: l.Weight, Key: decision.Key(n.name)})
 	}
 	c.listed = c.listed[:0]
 	for i := range c.nodes {
@@ -861,7 +861,7 @@
 func (c *Core) letGo(now int64) {
 	for len(c.releases) > 0 && c.releases[0].at <= now {
 		if p := c.plays[c.releases[0].id]; p != nil && p.stage == playing {
-			c.endAt(now, p, "the front retires", front.CalledOff, ledger.Broken)
+			c.endAt(now, p, "the front retires", decision.CalledOff, ledger.Broken)
 		}
 		c.releases = c.releases[1:]
 	}
@@ -889,7 +889,7 @@
 		p.ask.Reply.Give(Answer{Verdict: Failed, Play: p.id, Why: "the front is ending"})
 	case parting.Decline:
 		c.counts.Declined++
-		p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, Why: "the front is ending", ComeBack: front.Second})
+		p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, Why: "the front is ending", ComeBack: decision.Second})
 	}
 	c.leave(now, p)
 }
@@ -897,7 +897,7 @@
 // ---- What the module ordered ----
 
 // carry hands on what a call decided, and then does what follows from it.
-func (c *Core) carry(now int64, res *front.Result) {
+func (c *Core) carry(now int64, res *decision.Result) {
 	if res.Wake > 0 && (c.wakeAt == 0 || res.Wake < c.wakeAt) { // a later call must not put off what an earlier one needs
 		c.wakeAt = res.Wake
 	}
@@ -906,7 +906,7 @@
 		o := &res.Orders[i]
 		p := c.places[o.Play.Place]
 		switch o.Do {
-		case front.Place:
+		case decision.Place:
 			p.stage, p.node, p.rung, p.early = settingUp, o.Node, o.Rung, nil
 			p.try++
 			n := &c.nodes[o.Node]
@@ -914,24 +914,24 @@
 			c.out.SetUp(Allocation{Ref: Ref{p.id, p.try, o.Node}, Name: n.name, Address: n.address, Product: p.ask.Product,
 				Title: p.ask.Title, Viewer: p.ask.Viewer, Rung: o.Rung, Top: p.ask.Top, Seq: p.seq, Until: o.Until,
 				Length: p.ask.Length})
-		case front.Decline:
+		case decision.Decline:
 			c.counts.Declined++
 			p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, ComeBack: o.ComeBack, Why: "no node can take it"})
 			c.finish(now, p, ledger.Served)
-		case front.Fail:
+		case decision.Fail:
 			c.counts.Failed++
 			p.ask.Reply.Give(Answer{Verdict: Failed, Play: p.id, Why: "its set-up may have run and did not answer"})
 			c.finish(now, p, ledger.Served)
-		case front.SetRung:
+		case decision.SetRung:
 			p.rung = o.Rung
 			p.seq++
 			if p.stage == playing && p.ask.Follow != nil {
 				p.ask.Follow(Event{Answer: c.answer(p, "")})
 			}
 			c.out.SetRung(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, o.Rung, p.seq)
-		case front.Move:
+		case decision.Move:
 			moves = append(moves, p)
-		case front.Recall:
+		case decision.Recall:
 			c.out.Recall(Ref{p.id, o.Try, p.node})
 		}
 	}
@@ -946,13 +946,13 @@
 	}
 	for _, p := range moves { // the result is not read any more: the module may be called again
 		c.counts.Moved++
-		c.endAt(now, p, "moved", front.CalledOff, ledger.Moved)
+		c.endAt(now, p, "moved", decision.CalledOff, ledger.Moved)
 	}
 }
 
 // ---- Records ----
 
-func (c *Core) enter(p *play, h front.Handle) {
+func (c *Core) enter(p *play, h decision.Handle) {
 	if !p.adopted {
 		p.try = -1
 	}
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"gullrail/choice"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/ledger"
 	"gullrail/pulse"
 )
@@ -77,10 +77,10 @@
 	return c, out
 }
 
-const ready = start + front.Second
+const ready = start + decision.Second
 
 func want(product int, viewer string) Ask {
-	return Ask{Product: product, Title: "clip", Copies: 4, Viewer: viewer, Limit: ready + 4*front.Second, Top: 2, Reply: NewReply()}
+	return Ask{Product: product, Title: "clip", Copies: 4, Viewer: viewer, Limit: ready + 4*decision.Second, Top: 2, Reply: NewReply()}
 }
 
 func got(t *testing.T, a Ask) Answer {
@@ -108,7 +108,7 @@
 	t.Helper()
 	c.Ask(ready, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, int64(len(out.setUps)), s.Rung, front.Untold)
+	c.Started(ready, s.Ref, 7, int64(len(out.setUps)), s.Rung, decision.Untold)
 	x := got(t, a)
 	if x.Verdict != Plays {
 		t.Fatalf("got %+v", x)
@@ -122,11 +122,11 @@
 	c.Ask(ready, a)
 	silent(t, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 1, s.Rung, front.Untold)
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold)
 	if x := got(t, a); x.Verdict != Plays || x.Node != fmt.Sprint("n", s.Node) {
 		t.Fatalf("got %+v", x)
 	}
-	c.Started(ready, s.Ref, 7, 1, s.Rung, front.Untold) // stale: what runs under no play is ended
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold) // stale: what runs under no play is ended
 	if len(out.ends) != 1 || c.Counts().Orphans != 1 {
 		t.Fatalf("ends %v", out.ends)
 	}
@@ -140,7 +140,7 @@
 	if !a.Reply.Withdraw() {
 		t.Fatal("the first to use a reply has it")
 	}
-	c.Started(ready, s.Ref, 7, 1, s.Rung, front.Untold) // comes second: nobody will watch it
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold) // comes second: nobody will watch it
 	if len(out.ends) != 1 || c.Counts().InHand != 0 {
 		t.Fatalf("ends %v, in hand %d", out.ends, c.Counts().InHand)
 	}
@@ -158,12 +158,12 @@
 }
 
 func TestPaidPlayThatMayHaveRunIsNeverSentAgain(t *testing.T) {
-	for how, again := range map[front.Ending]bool{front.TurnedAway: true, front.NoConnect: true, front.NotSent: true,
-		front.Errored: false, front.Lost: false, front.NoAnswer: false} {
+	for how, again := range map[decision.Ending]bool{decision.TurnedAway: true, decision.NoConnect: true, decision.NotSent: true,
+		decision.Errored: false, decision.Lost: false, decision.NoAnswer: false} {
 		c, out := core(3)
 		a := want(1, "v")
 		c.Ask(ready, a)
-		c.SetUpEnded(ready, out.last(t).Ref, how, front.Untold)
+		c.SetUpEnded(ready, out.last(t).Ref, how, decision.Untold)
 		if again != (len(out.setUps) == 2) {
 			t.Fatalf("ending %d: %d set-ups", how, len(out.setUps))
 		}
@@ -188,7 +188,7 @@
 	if got(t, x).Verdict != Declined {
 		t.Fatal("a third play got one of two seats")
 	}
-	c.SetUpEnded(ready, out.setUps[0].Ref, front.CalledOff, front.Untold)
+	c.SetUpEnded(ready, out.setUps[0].Ref, decision.CalledOff, decision.Untold)
 	y := want(1, "y")
 	c.Ask(ready, y)
 	silent(t, y)
@@ -225,7 +225,7 @@
 		t.Fatal("the node does not deliver: ended there, set up anew")
 	}
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 2, s.Rung, front.Untold)
+	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.Untold)
 	y := got(t, a)
 	a = back(false, x.Play)
 	c.Ask(ready, a)
@@ -251,7 +251,7 @@
 func TestDeclinedViewerMayTryAgainWithItsToken(t *testing.T) {
 	c, out := core(2)
 	x := plays(t, c, out, want(0, "v"))
-	c.PlayEnded(ready, Ref{x.Play, 0, out.last(t).Node}, front.Lost)
+	c.PlayEnded(ready, Ref{x.Play, 0, out.last(t).Node}, decision.Lost)
 	for range 2 {
 		a := want(0, "v")
 		a.Copies = 0 // nobody holds it: declined
@@ -268,8 +268,8 @@
 	a := want(0, "v")
 	c.Ask(ready, a)
 	s := out.last(t)
-	c.PlayEnded(ready, s.Ref, front.Served)
-	c.Started(ready, s.Ref, 7, 1, s.Rung, front.Untold)
+	c.PlayEnded(ready, s.Ref, decision.Served)
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold)
 	if got(t, a).Verdict != Plays || c.Counts().InHand != 0 {
 		t.Fatal("the play is answered and over")
 	}
@@ -280,7 +280,7 @@
 	a := want(0, "v")
 	c.Ask(ready, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 1, s.Rung+1, front.Untold)
+	c.Started(ready, s.Ref, 7, 1, s.Rung+1, decision.Untold)
 	if len(out.rungs) != 1 || out.rungs[0] != s.Rung {
 		t.Fatalf("rungs told %v", out.rungs)
 	}
@@ -302,7 +302,7 @@
 	if len(out.ends) != 2 || out.ends[0].Play != "f-e-77" || out.ends[1].Play != "f-d-6" {
 		t.Fatalf("ended: %v", out.ends)
 	}
-	c.PlayEnded(ready, Ref{"f-d-5", 2, 0}, front.Served)
+	c.PlayEnded(ready, Ref{"f-d-5", 2, 0}, decision.Served)
 	c.Hello(ready, 0, "", 8, 0, nil) // the node's process is another
 	if c.Counts().InHand != 0 {
 		t.Fatalf("%d in hand after the node's restart", c.Counts().InHand)
@@ -350,17 +350,17 @@
 
 func TestNodeGoneFromTheListIsForgottenAndItsNumberUsedAgain(t *testing.T) {
 	c, out := core(2)
-	c.List(ready, []Listed{{Name: "n0", Address: "a0", Phase: front.Gone}}, false)
-	c.Wake(ready + front.Second)
-	c.StreamBroke(ready+front.Second, 0, false)
+	c.List(ready, []Listed{{Name: "n0", Address: "a0", Phase: decision.Gone}}, false)
+	c.Wake(ready + decision.Second)
+	c.StreamBroke(ready+decision.Second, 0, false)
 	if len(out.hung) != 1 {
 		t.Fatal("its stream is still followed")
 	}
-	c.Wake(ready + 20*front.Second)
+	c.Wake(ready + 20*decision.Second)
 	if c.Counts().Nodes != 1 {
 		t.Fatalf("%d nodes known", c.Counts().Nodes)
 	}
-	c.List(ready+21*front.Second, []Listed{{Name: "new", Address: "b", Cell: 0, Weight: 1}}, false)
+	c.List(ready+21*decision.Second, []Listed{{Name: "new", Address: "b", Cell: 0, Weight: 1}}, false)
 	if len(c.nodes) != 2 || c.nodes[0].name != "new" {
 		t.Fatalf("nodes %+v", c.nodes)
 	}
@@ -372,13 +372,13 @@
 	now := int64(ready)
 	for i := range n {
 		now += 300 // 33 plays a second
-		a := Ask{Title: fmt.Sprint("t", i%5000), Copies: 4, Viewer: fmt.Sprint("v", i), Limit: now + 4*front.Second, Top: 2, Reply: NewReply()}
+		a := Ask{Title: fmt.Sprint("t", i%5000), Copies: 4, Viewer: fmt.Sprint("v", i), Limit: now + 4*decision.Second, Top: 2, Reply: NewReply()}
 		c.Ask(now, a)
 		if len(out.setUps) > 0 {
 			s := out.setUps[0]
 			out.setUps = out.setUps[:0]
-			c.Started(now, s.Ref, 7, int64(i), s.Rung, front.Untold)
-			c.PlayEnded(now+10, s.Ref, front.Served)
+			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.Untold)
+			c.PlayEnded(now+10, s.Ref, decision.Served)
 		}
 		if now >= c.WakeAt() {
 			c.Wake(now)
@@ -420,7 +420,7 @@
 	paid, safe := want(1, "paid"), want(0, "safe")
 	c.Ask(ready, paid)
 	c.Ask(ready, safe)
-	c.Part(ready, ready+2*front.Second)
+	c.Part(ready, ready+2*decision.Second)
 	silent(t, paid) // both are out: their nodes' words are waited for
 	silent(t, safe)
 	late := want(0, "late")
@@ -428,15 +428,15 @@
 	if x := got(t, late); x.Verdict != Declined || x.ComeBack == 0 {
 		t.Fatalf("a new one: %+v", x)
 	}
-	c.Close(ready + 2*front.Second)
+	c.Close(ready + 2*decision.Second)
 	if got(t, paid).Verdict != Failed || got(t, safe).Verdict != Declined || len(out.recall) != 2 {
 		t.Fatalf("at the end: recalled %v", out.recall)
 	}
-	c.Started(ready+2*front.Second, out.setUps[1].Ref, 7, 9, 1, front.Untold) // and then it starts after all
+	c.Started(ready+2*decision.Second, out.setUps[1].Ref, 7, 9, 1, decision.Untold) // and then it starts after all
 	if len(out.ends) != 1 {
 		t.Fatalf("it is ended at its node: %v", out.ends)
 	}
-	c.Release(ready, ready+2*front.Second)
+	c.Release(ready, ready+2*decision.Second)
 	if len(out.ends) != 2 {
 		t.Fatalf("what plays is let go: %v", out.ends)
 	}
@@ -445,7 +445,7 @@
 func TestTokenOfAMovedPlayBringsItsViewerBackOnce(t *testing.T) {
 	c, out := core(2)
 	x := plays(t, c, out, want(0, "v"))
-	c.carry(ready, &front.Result{Orders: []front.Order{{Play: c.plays[x.Play].h, Do: front.Move}}})
+	c.carry(ready, &decision.Result{Orders: []decision.Order{{Play: c.plays[x.Play].h, Do: decision.Move}}})
 	if len(out.ends) != 1 || c.Counts().InHand != 0 {
 		t.Fatalf("a move ends it at its node: %v", out.ends)
 	}
@@ -457,7 +457,7 @@
 	a := back()
 	c.Ask(ready, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 2, s.Rung, front.Untold)
+	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.Untold)
 	if y := got(t, a); y.Verdict != Plays || y.Play == x.Play {
 		t.Fatalf("placed anew: %+v", y)
 	}
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 
 	"gullrail/choice"
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/ledger"
 	"gullrail/pulse"
 )
@@ -116,7 +116,7 @@
 				p := plays[rapid.IntRange(0, len(plays)-1).Draw(t, "again")]
 				known := c.plays[p.Play]
 				before := c.Counts().Taken
-				a := Ask{Product: 1, Title: p.Title, Copies: 4, Viewer: p.Viewer, Limit: now + 4*front.Second, Top: 2, Reply: NewReply()}
+				a := Ask{Product: 1, Title: p.Title, Copies: 4, Viewer: p.Viewer, Limit: now + 4*decision.Second, Top: 2, Reply: NewReply()}
 				c.Ask(now, a)
 				if c.settledOrAtOnce() && p.booked && !p.heard && known != nil {
 					select {
@@ -144,7 +144,7 @@
 				c.StreamBroke(now, at, false)
 			}
 		}
-		now += pulse.Lease + 3*front.Second
+		now += pulse.Lease + 3*decision.Second
 		for at := range nodes {
 			if !spoken[at] {
 				for _, p := range plays {
--- a/session/runner.go
+++ b/session/runner.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/intake"
 )
 
@@ -20,7 +20,7 @@
 
 // ClockStart is where clocks begin, so that a time well before the start is still above 0, which
 // stands for long past.
-const ClockStart = 24 * 3600 * front.Second
+const ClockStart = 24 * 3600 * decision.Second
 
 // NewClock starts a clock.
 func NewClock() *Clock { return &Clock{time.Now()} }
--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 // soakPlays asks TestMemoryStaysBounded for a long run: go test ./session -run Memory -soak 5000000 -v
@@ -23,11 +23,11 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now += 300
-		a := Ask{Title: "clip", Copies: 4, Viewer: names[i%len(names)], Limit: now + 4*front.Second, Top: 2, Reply: NewReply()}
+		a := Ask{Title: "clip", Copies: 4, Viewer: names[i%len(names)], Limit: now + 4*decision.Second, Top: 2, Reply: NewReply()}
 		c.Ask(now, a)
 		for _, s := range out.setUps {
-			c.Started(now, s.Ref, 7, int64(i), s.Rung, front.Untold)
-			c.PlayEnded(now+10, s.Ref, front.Served)
+			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.Untold)
+			c.PlayEnded(now+10, s.Ref, decision.Served)
 		}
 		out.setUps, out.ends, out.rungs, out.recall, out.hung = out.setUps[:0], out.ends[:0], out.rungs[:0], out.recall[:0], out.hung[:0]
 		if now >= c.WakeAt() {
--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -1,7 +1,7 @@
 // Package sockets decides about the sockets of players that hold one open: which are let in and when the others
 // may come back, which are shed, how long a broken one's plays and answers are kept, how much a player may say, and
 // when one that floods or lies is cut off. No I/O and no clock: times are int64 tenths of a millisecond, as in
-// package front. One goroutine at a time.
+// package decision. One goroutine at a time.
 package sockets
 
 import (
@@ -10,34 +10,34 @@
 
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
-	"gullrail/front"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
 )
 
 const (
-	Grace       = 10 * front.Second // what a broken socket leaves is kept so long: a phone changes its network in a few
-	BoxMost     = 16                // messages kept for one play: rungs change every few seconds at most
-	MessageMost = 8 << 10           // bytes of a player's message: a token and a few words
-	PlaysMost   = 4                 // requests and plays on one socket: a screen, a preview and room to change
-	PingEvery   = 15 * front.Second // longer than the common idle times of a phone's radio would be of no use
-	PongFor     = 5 * front.Second  // a live peer answers in a round trip
-	WriteFor    = 3 * front.Second  // a peer that takes nothing for so long doesn't read
-	HelloFor    = 10 * front.Second // a socket on which nothing was asked or resumed for so long is closed
-	AdviceLeast = 1 * front.Second
+	Grace       = 10 * decision.Second // what a broken socket leaves is kept so long: a phone changes its network in a few
+	BoxMost     = 16                   // messages kept for one play: rungs change every few seconds at most
+	MessageMost = 8 << 10              // bytes of a player's message: a token and a few words
+	PlaysMost   = 4                    // requests and plays on one socket: a screen, a preview and room to change
+	PingEvery   = 15 * decision.Second // longer than the common idle times of a phone's radio would be of no use
+	PongFor     = 5 * decision.Second  // a live peer answers in a round trip
+	WriteFor    = 3 * decision.Second  // a peer that takes nothing for so long doesn't read
+	HelloFor    = 10 * decision.Second // a socket on which nothing was asked or resumed for so long is closed
+	AdviceLeast = 1 * decision.Second
 
-	paceRate    = 400.0             // sockets let in a second: a handshake and a first request cost about 1 ms of CPU
-	paceBurst   = 200.0             // at once, on top: a half second's
-	paceAhead   = 30 * front.Second // advice to come back lies no further ahead, however many wait
-	sayRate     = 4.0               // messages a second that a player earns: a report each second and room
-	sayBurst    = 20.0              // and may save up
-	warnings    = 10                // messages over it that are told off before the socket is cut
-	claimsMost  = 3                 // times a player may say that a node does not deliver
-	claimsOver  = 30 * front.Second // within this: a third broken node in half a minute is the player's own line
-	malformed   = 3                 // messages that do not hold before the socket is cut: a version that differs, not chance
-	barredFor   = 30 * front.Second // a player cut off stays out so long
-	barredMost  = 4096              // names kept that are barred; the longest unseen goes first
-	shedSlice   = 64                // at the bound: one socket in so many is let go at a time, so that room is made in few steps
-	slowPenalty = 2 * front.Second  // of waiting bytes: a reader that far behind goes before one that keeps up
+	paceRate    = 400.0                // sockets let in a second: a handshake and a first request cost about 1 ms of CPU
+	paceBurst   = 200.0                // at once, on top: a half second's
+	paceAhead   = 30 * decision.Second // advice to come back lies no further ahead, however many wait
+	sayRate     = 4.0                  // messages a second that a player earns: a report each second and room
+	sayBurst    = 20.0                 // and may save up
+	warnings    = 10                   // messages over it that are told off before the socket is cut
+	claimsMost  = 3                    // times a player may say that a node does not deliver
+	claimsOver  = 30 * decision.Second // within this: a third broken node in half a minute is the player's own line
+	malformed   = 3                    // messages that do not hold before the socket is cut: a version that differs, not chance
+	barredFor   = 30 * decision.Second // a player cut off stays out so long
+	barredMost  = 4096                 // names kept that are barred; the longest unseen goes first
+	shedSlice   = 64                   // at the bound: one socket in so many is let go at a time, so that room is made in few steps
+	slowPenalty = 2 * decision.Second  // of waiting bytes: a reader that far behind goes before one that keeps up
 )
 
 // Most is how many sockets a front may hold that may hold so many connections: a quarter is left for those who ask by
@@ -93,7 +93,7 @@
 	if open >= d.most {
 		return Full, d.slot(now)
 	}
-	d.tokens = min(paceBurst, d.tokens+float64(now-d.at)/float64(front.Second)*paceRate)
+	d.tokens = min(paceBurst, d.tokens+float64(now-d.at)/float64(decision.Second)*paceRate)
 	d.at = now
 	if d.tokens < 1 {
 		return Pace, d.slot(now)
@@ -104,7 +104,7 @@
 
 // slot gives the next free time away, as a pause from now, a little moved by chance.
 func (d *Door) slot(now int64) int64 {
-	each := int64(float64(front.Second) / paceRate)
+	each := int64(float64(decision.Second) / paceRate)
 	d.next = max(d.next, now+AdviceLeast) + each
 	if d.next > now+paceAhead { // more wait than come in that time: begin again, mixed by chance
 		d.next = now + AdviceLeast
@@ -118,7 +118,7 @@
 // Leave spreads those who are told to go: of so many, each gets a pause drawn from the time that their return
 // takes at the pace of one front.
 func (d *Door) Leave(sockets int) int64 {
-	window := max(AdviceLeast, int64(float64(sockets)/paceRate*float64(front.Second)))
+	window := max(AdviceLeast, int64(float64(sockets)/paceRate*float64(decision.Second)))
 	return AdviceLeast + int64(d.rnd.Float()*float64(min(window, paceAhead)))
 }
 
@@ -223,7 +223,7 @@
 // Message judges one more message. Guards against a player in a loop: it costs itself its socket, and others nothing, as what
 // is over the rate is not looked at.
 func (c *Conduct) Message(now int64) Word {
-	c.tokens = min(sayBurst, c.tokens+float64(now-c.at)/float64(front.Second)*sayRate)
+	c.tokens = min(sayBurst, c.tokens+float64(now-c.at)/float64(decision.Second)*sayRate)
 	c.at = now
 	if c.tokens >= 1 {
 		c.tokens--
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 const now = 1_000_000
@@ -85,7 +85,7 @@
 		if r != Pace || back < AdviceLeast || back > paceAhead+AdviceLeast {
 			t.Fatalf("%v, %d", r, back)
 		}
-		slots[back/front.Second]++
+		slots[back/decision.Second]++
 		backs = append(backs, back)
 	}
 	if in != paceBurst {
@@ -173,7 +173,7 @@
 
 func TestFates(t *testing.T) {
 	const broke = now
-	limit := int64(broke + 2*front.Second)
+	limit := int64(broke + 2*decision.Second)
 	for _, c := range []struct {
 		at                   int64
 		answered, plays, has bool
@@ -215,7 +215,7 @@
 	}
 	c = NewConduct(now)
 	for i := range 600 { // a report each second and an ack each two for ten minutes
-		if c.Message(now+int64(i)*front.Second) != Take || i%2 == 0 && c.Message(now+int64(i)*front.Second) != Take {
+		if c.Message(now+int64(i)*decision.Second) != Take || i%2 == 0 && c.Message(now+int64(i)*decision.Second) != Take {
 			t.Fatal("a player that behaves was told off")
 		}
 	}
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -13,8 +13,8 @@
 	"github.com/coder/websocket"
 	"github.com/rs/zerolog"
 
+	"gullrail/decision"
 	"gullrail/desk"
-	"gullrail/front"
 	"gullrail/session"
 	"gullrail/sockets"
 )
@@ -85,8 +85,8 @@
 		f.counts.Refused.Add(1)
 		h := w.Header()
 		h.Set("Cache-Control", "no-store")
-		h.Set("Retry-After", strconv.FormatInt((max(back, front.Second)+front.Second-1)/front.Second, 10))
-		h.Set(ComeBackHeader, strconv.FormatInt(session.Duration(max(back, front.Second)).Milliseconds(), 10))
+		h.Set("Retry-After", strconv.FormatInt((max(back, decision.Second)+decision.Second-1)/decision.Second, 10))
+		h.Set(ComeBackHeader, strconv.FormatInt(session.Duration(max(back, decision.Second)).Milliseconds(), 10))
 		why := refused.String()
 		if shut {
 			why = "the front is ending"
