--- a/internal/heath/host.go
+++ b/internal/heath/host.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
-	"gullrail/choice"
 	"gullrail/decision"
 	"gullrail/internal/terms"
+	"gullrail/placement"
 )
 
 // instance is one front end: its module and the numbers that stand for the wire's names.
@@ -158,7 +158,7 @@
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", err)
 	}
-	h.at[h.who] = &instance{mod: choice.New(t.Set, seed), terms: t, nodes: map[string]int{},
+	h.at[h.who] = &instance{mod: placement.New(t.Set, seed), terms: t, nodes: map[string]int{},
 		titles: map[string]int{}, viewers: map[string]int{}, plays: map[int64]decision.Handle{}}
 	return nil
 }
--- a/lab/sim.go
+++ b/lab/sim.go
@@ -9,7 +9,6 @@
 	"sort"
 	"time"
 
-	"gullrail/choice"
 	"gullrail/conf"
 	"gullrail/decision"
 	"gullrail/intake"
@@ -17,6 +16,7 @@
 	"gullrail/lab/tape"
 	"gullrail/ledger"
 	"gullrail/nodes"
+	"gullrail/placement"
 	"gullrail/pulse"
 	"gullrail/session"
 )
@@ -356,7 +356,7 @@
 	if s.Module != nil {
 		module = s.Module(terms, seed)
 	} else {
-		module = choice.New(terms, seed)
+		module = placement.New(terms, seed)
 	}
 	f.gate = intake.New(256, seed)
 	f.core = session.NewCore(s.now, f.name, int64(f.life), module, f, set, seed)
--- a/choice/book.go
+++ b/placement/book.go
@@ -1,4 +1,4 @@
-package choice
+package placement
 
 import (
 	"encoding/binary"
--- a/choice/choice.go
+++ b/placement/placement.go
@@ -1,4 +1,4 @@
-// Package choice decides where plays go, at which rung, and when to let go of them.
+// Package placement decides where plays go, at which rung, and when to let go of them.
 //
 // The front end makes one Front with New and tells it all it learns through the calls of decision.Chooser:
 // package decision holds that interface and its words. Each call returns the orders to carry out, the nodes to
@@ -6,7 +6,7 @@
 // wire. Messages may all be lost: no rule rests on one. state.go holds the records, book.go enters plays
 // and walks lists; neither decides. docs/design.md has the reasons, docs/oncall.md the symptoms. In this
 // order: constants, calls, placing, account and messages, rungs in play, health, the six rules.
-package choice
+package placement
 
 import (
 	"encoding/binary"
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -16,7 +16,6 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
-	"gullrail/choice"
 	"gullrail/conf"
 	"gullrail/dash"
 	"gullrail/desk"
@@ -24,6 +23,7 @@
 	"gullrail/nodes"
 	"gullrail/parting"
 	"gullrail/peers"
+	"gullrail/placement"
 	"gullrail/session"
 	"gullrail/token"
 	"gullrail/wsapi"
@@ -80,7 +80,7 @@
 	service := &f.set.Service
 	f.client = nodes.NewClient(set.Name, epoch, service.Reports == "answers",
 		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, secure, log)
-	module := choice.New(set.Terms(), seed)
+	module := placement.New(set.Terms(), seed)
 	carrier := session.Carrier(f.client)
 	var was earlier
 	if set.State != "" {
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -5,9 +5,9 @@
 	"runtime"
 	"testing"
 
-	"gullrail/choice"
 	"gullrail/decision"
 	"gullrail/ledger"
+	"gullrail/placement"
 	"gullrail/pulse"
 )
 
@@ -65,7 +65,7 @@
 // core makes a ready core with n nodes, each met in life 7.
 func core(n int) (*Core, *recorder) {
 	out := &recorder{dials: map[int]int64{}}
-	c := NewCore(start, "f", 0xe, choice.New(terms(), 1), out, products{}, 1)
+	c := NewCore(start, "f", 0xe, placement.New(terms(), 1), out, products{}, 1)
 	var lines []Listed
 	for i := range n {
 		lines = append(lines, Listed{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
@@ -325,7 +325,7 @@
 
 func TestNoPlayBeforeReady(t *testing.T) {
 	out := &recorder{dials: map[int]int64{}}
-	c := NewCore(start, "f", 1, choice.New(terms(), 1), out, products{}, 1)
+	c := NewCore(start, "f", 1, placement.New(terms(), 1), out, products{}, 1)
 	a := want(0, "v")
 	c.Ask(start, a)
 	if x := got(t, a); x.Verdict != Declined || x.ComeBack == 0 {
@@ -470,7 +470,7 @@
 
 func TestRecordedPlaysHoldTheirSeatsUntilTheirNodesSpeak(t *testing.T) {
 	out := &recorder{dials: map[int]int64{}}
-	c := NewCore(start, "f", 2, choice.New(terms(), 1), out, products{}, 1)
+	c := NewCore(start, "f", 2, placement.New(terms(), 1), out, products{}, 1)
 	was := func(play, node string) Expected {
 		return Expected{Running{Play: play, Epoch: 1, Product: 1, Title: "clip", Copies: 4, Viewer: play, Rung: 1, Top: 2}, node, true}
 	}
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	"gullrail/choice"
 	"gullrail/decision"
 	"gullrail/ledger"
+	"gullrail/placement"
 	"gullrail/pulse"
 )
 
@@ -31,7 +31,7 @@
 		const nodes = 4
 		now := start
 		rec := &recorder{dials: map[int]int64{}}
-		c := NewCore(now, "f", 5, choice.New(terms(), 1), rec, products{}, 1)
+		c := NewCore(now, "f", 5, placement.New(terms(), 1), rec, products{}, 1)
 		lost := uint64(rapid.IntRange(0, 1).Draw(t, "lost"))
 		var plays []*truth
 		var open []Expected
@@ -169,7 +169,7 @@
 func (c *Core) settledOrAtOnce() bool { return c.counts.Ready }
 
 func TestTokensEndedStayEndedOverACrash(t *testing.T) {
-	c := NewCore(start, "f", 2, choice.New(terms(), 1), &recorder{dials: map[int]int64{}}, products{}, 1)
+	c := NewCore(start, "f", 2, placement.New(terms(), 1), &recorder{dials: map[int]int64{}}, products{}, 1)
 	c.Expect(start, nil, []ledger.Past{{Play: "f-1-1", How: ledger.Returned}, {Play: "f-1-2", How: ledger.Served}, {Play: "f-1-3", How: ledger.Moved}}, 0)
 	c.List(start, []Listed{{Name: "n0", Address: "a0", Weight: 1}}, true)
 	c.Hello(start, 0, "", 7, 0, nil)
