--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -17,7 +17,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/lab"
 	"gullrail/lab/audit"
 	"gullrail/lab/page"
@@ -50,7 +50,7 @@
 }
 
 func (v *serveVerb) Run(ctx context.Context) error {
-	set, err := conf.ReadFront(v.File)
+	set, err := config.ReadFront(v.File)
 	if err != nil {
 		return wrong{err}
 	}
@@ -110,7 +110,7 @@
 }
 
 func (v *checkVerb) Run() error {
-	_, root, err := conf.Open(v.File)
+	_, root, err := config.Open(v.File)
 	if err == nil {
 		switch {
 		case root.At("day").Given():
@@ -118,7 +118,7 @@
 		case root.At("known").Given() || root.At("channel").Given():
 			_, err = platform.ReadOptions(v.File)
 		default:
-			_, err = conf.ReadFront(v.File)
+			_, err = config.ReadFront(v.File)
 		}
 	}
 	if err != nil {
--- a/conf/doc.go
+++ b/config/doc.go
@@ -1,6 +1,6 @@
-// Package conf reads settings: JSON with comments and trailing commas, checked whole, so that one run
+// Package config reads settings: JSON with comments and trailing commas, checked whole, so that one run
 // tells every mistake with its file, line and field. Defaults are said once, where a field is read.
-package conf
+package config
 
 import (
 	"fmt"
--- a/conf/service.go
+++ b/config/service.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"crypto/ed25519"
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/desk"
 	"gullrail/session"
@@ -41,7 +41,7 @@
 
 // ParseFirst reads a first request for a title: product and viewer are needed; top, limit_ms, length_ms and
 // broken may be left out.
-func ParseFirst(set *conf.Service, title string, q url.Values) (desk.Request, error) {
+func ParseFirst(set *config.Service, title string, q url.Values) (desk.Request, error) {
 	w, err := read(q)
 	if err != nil {
 		return desk.Request{}, err
@@ -51,7 +51,7 @@
 }
 
 // ParseAgain reads a request by a token that was checked.
-func ParseAgain(set *conf.Service, cl token.Claims, q url.Values) (desk.Request, error) {
+func ParseAgain(set *config.Service, cl token.Claims, q url.Values) (desk.Request, error) {
 	w, err := read(q)
 	if err != nil {
 		return desk.Request{}, err
--- a/dash/dash_test.go
+++ b/dash/dash_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"gullrail/conf"
+	"gullrail/config"
 )
 
-func service() *conf.Service {
-	doc, v, err := conf.Parse("s", []byte(`{"fronts": 1, "rates_kb": [100, 200], "worth": [0.5, 1], "cells": 4, "racks": 2, "link_kb": 1000,
+func service() *config.Service {
+	doc, v, err := config.Parse("s", []byte(`{"fronts": 1, "rates_kb": [100, 200], "worth": [0.5, 1], "cells": 4, "racks": 2, "link_kb": 1000,
     "kinds": [{"name": "std", "streams": 10}], "zones": ["z"],
     "products": [{"name": "p", "importance": 1, "target_ms": 1000, "limit_ms": 4000, "floor": 1}],
     "titles": [{"name": "t", "home": 0, "copies": 2}], "reports": {"how": "probe"},
@@ -19,7 +19,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s := conf.ReadService(v)
+	s := config.ReadService(v)
 	if doc.Err() != nil {
 		panic(doc.Err())
 	}
--- a/desk/desk.go
+++ b/desk/desk.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/session"
 	"gullrail/token"
 )
@@ -52,7 +52,7 @@
 func (b BadRequest) Error() string { return b.Field + ": " + b.What }
 
 // First checks a request for a title. The time limit can be made shorter than the product's, not longer.
-func First(set *conf.Service, w Want) (Request, error) {
+func First(set *config.Service, w Want) (Request, error) {
 	r := Request{Title: w.Title, Viewer: w.Viewer}
 	if _, _, ok := set.Title(w.Title); !ok {
 		return r, BadRequest{"title", fmt.Sprintf("%.40q is not known", w.Title)}
@@ -75,7 +75,7 @@
 }
 
 // Again checks a request for what a token names; the token itself was checked before.
-func Again(set *conf.Service, cl token.Claims, w Want) (Request, error) {
+func Again(set *config.Service, cl token.Claims, w Want) (Request, error) {
 	r := Request{Title: cl.Title, Viewer: cl.Viewer, Top: min(cl.Top, len(set.RatesKB)-1), Back: &session.Back{Play: cl.Play, Broken: w.Broken}}
 	var ok bool
 	if r.Product, ok = set.ProductNumber(cl.Product); !ok {
@@ -87,7 +87,7 @@
 	return r, r.rest(set, w)
 }
 
-func (r *Request) rest(set *conf.Service, w Want) error {
+func (r *Request) rest(set *config.Service, w Want) error {
 	most := int(set.Products[r.Product].LimitMs)
 	if w.LimitMs < 0 {
 		return BadRequest{"limit_ms", "a whole number from 1 is needed"}
@@ -106,7 +106,7 @@
 }
 
 // Fits tells whether a token was made for what a request asks.
-func Fits(set *conf.Service, cl token.Claims, r Request) bool {
+func Fits(set *config.Service, cl token.Claims, r Request) bool {
 	return cl.Title == r.Title && cl.Viewer == r.Viewer && cl.Product == set.Products[r.Product].Name
 }
 
@@ -124,7 +124,7 @@
 
 // Desk serves the protocol fronts of one front end. It keeps no state of its own.
 type Desk struct {
-	Set    *conf.Service
+	Set    *config.Service
 	Tokens *token.Minter
 	asker  Asker
 	name   string
@@ -135,7 +135,7 @@
 
 // New makes a desk. Tokens live for life; name is the front's own; media is http or https, as players reach
 // the nodes.
-func New(name, media string, set *conf.Service, tokens *token.Minter, life time.Duration, a Asker, log zerolog.Logger) *Desk {
+func New(name, media string, set *config.Service, tokens *token.Minter, life time.Duration, a Asker, log zerolog.Logger) *Desk {
 	return &Desk{Set: set, Tokens: tokens, asker: a, name: name, media: media, life: life, log: log}
 }
 
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"sort"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/lab/tape"
 )
 
@@ -62,7 +62,7 @@
 }
 
 type audit struct {
-	set     *conf.Service
+	set     *config.Service
 	lines   []tape.Line
 	crossed map[int]bool // ends that a node read before the set-ups they end, and these set-ups
 	rep     *Report
@@ -74,7 +74,7 @@
 }
 
 // Check audits a tape. Lines must be in the order of their times, as a Tape records them.
-func Check(set *conf.Service, lines []tape.Line) *Report {
+func Check(set *config.Service, lines []tape.Line) *Report {
 	a := &audit{set: set, lines: lines, crossed: crossed(lines), rep: &Report{}}
 	a.answers()
 	a.allocations()
@@ -115,11 +115,11 @@
 	return both
 }
 
-func (a *audit) product(name string) *conf.Product {
+func (a *audit) product(name string) *config.Product {
 	if i, ok := a.set.ProductNumber(name); ok {
 		return &a.set.Products[i]
 	}
-	return &conf.Product{Name: name}
+	return &config.Product{Name: name}
 }
 
 func (a *audit) worth(rung int) float64 {
@@ -143,7 +143,7 @@
 	got := map[string]bool{}
 	asked, served := 0.0, 0.0
 	wanted, earned := 0.0, 0.0
-	products := map[string]*conf.Product{} // of plays
+	products := map[string]*config.Product{} // of plays
 	for i, l := range a.lines {
 		switch l.What {
 		case tape.Killed:
@@ -418,7 +418,7 @@
 
 // Allowance is how many set-ups a cold node stands within the window that ends so many milliseconds
 // after its start.
-func Allowance(set *conf.Service, streams int, ageMs float64) float64 {
+func Allowance(set *config.Service, streams int, ageMs float64) float64 {
 	warmth := min(1, set.ColdShare+(1-set.ColdShare)*ageMs/set.ColdLastsMs)
 	return set.FallMultiple * float64(streams) / set.ColdLastsMs * warmth * set.FallOverMs
 }
--- a/lab/audit/audit_test.go
+++ b/lab/audit/audit_test.go
@@ -5,15 +5,15 @@
 	"strings"
 	"testing"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/lab/tape"
 )
 
-func service() *conf.Service {
-	return &conf.Service{Products: []conf.Product{
+func service() *config.Service {
+	return &config.Service{Products: []config.Product{
 		{Name: "paid", Importance: 2, TargetMs: 1500, LimitMs: 5000, Paid: true, Floor: 1, Seats: 2},
 		{Name: "safe", Importance: 1, TargetMs: 1000, LimitMs: 5000}},
-		Kinds: []conf.Kind{{Name: "std", Streams: 20}}, ColdShare: 0.4, ColdLastsMs: 10000, FallMultiple: 2.5, FallOverMs: 1000,
+		Kinds: []config.Kind{{Name: "std", Streams: 20}}, ColdShare: 0.4, ColdLastsMs: 10000, FallMultiple: 2.5, FallOverMs: 1000,
 		DrainGraceMs: 1000, BudgetFree: 2, BudgetShare: 0.1, BudgetOverMs: 10000}
 }
 
--- a/lab/day.go
+++ b/lab/day.go
@@ -5,12 +5,12 @@
 	"path/filepath"
 	"slices"
 
-	"gullrail/conf"
+	"gullrail/config"
 )
 
 // Day is a rehearsal's script: the load, the stand-ins, and what goes wrong when.
 type Day struct {
-	Service    conf.Service
+	Service    config.Service
 	RawService []byte
 	Seconds    float64
 	Seed       uint64
@@ -79,7 +79,7 @@
 
 // ReadDay reads and checks a day.
 func ReadDay(file string) (*Day, error) {
-	doc, v, err := conf.Open(file)
+	doc, v, err := config.Open(file)
 	if err != nil {
 		return nil, err
 	}
@@ -88,24 +88,24 @@
 
 // ParseDay reads a day from text.
 func ParseDay(file string, text []byte) (*Day, error) {
-	doc, v, err := conf.Parse(file, text)
+	doc, v, err := config.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
 	return readDay(doc, v)
 }
 
-func readDay(doc *conf.Doc, v conf.Value) (*Day, error) {
+func readDay(doc *config.Doc, v config.Value) (*Day, error) {
 	v.Object(true)
 	sv, d := v.At("service"), &Day{}
-	var shared *conf.Doc
+	var shared *config.Doc
 	if file := v.At("service_file"); file.Given() { // a service that several days share
 		var err error
-		if shared, sv, err = conf.Open(filepath.Join(filepath.Dir(doc.File()), file.Text())); err != nil {
+		if shared, sv, err = config.Open(filepath.Join(filepath.Dir(doc.File()), file.Text())); err != nil {
 			return nil, err
 		}
 	}
-	d.Service = conf.ReadService(sv)
+	d.Service = config.ReadService(sv)
 	if sv.Given() {
 		d.RawService = sv.Raw()
 	}
@@ -141,7 +141,7 @@
 	return d, doc.Err()
 }
 
-func pair(v conf.Value, or [2]float64) [2]float64 {
+func pair(v config.Value, or [2]float64) [2]float64 {
 	if !v.Given() {
 		return or
 	}
@@ -153,7 +153,7 @@
 	return [2]float64{n[0], n[1]}
 }
 
-func (d *Day) fault(v conf.Value) Fault {
+func (d *Day) fault(v config.Value) Fault {
 	v.Object(true)
 	f := Fault{At: v.At("at_s").Number(0, d.Seconds), Do: v.At("do").Text(), For: v.At("for_s").NumberOr(0, 0, 86400)}
 	kind, ok := faults[f.Do]
--- a/lab/mixed_test.go
+++ b/lab/mixed_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
 	"gullrail/serve"
@@ -60,7 +60,7 @@
 		set.Number, set.Name = i, fmt.Sprint("old", i)
 		if i >= fronts/2 {
 			set.Name, set.Service = fmt.Sprint("new", i), moved
-			set.Peers = conf.Peers{Listen: ports[i], Fronts: ports, Secret: bytes.Repeat([]byte{5}, 32)}
+			set.Peers = config.Peers{Listen: ports[i], Fronts: ports, Secret: bytes.Repeat([]byte{5}, 32)}
 		}
 		f, err := serve.Listen(set, time.Now().UnixNano(), zerolog.Nop())
 		if err != nil {
--- a/lab/node.go
+++ b/lab/node.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/dash"
 	"gullrail/decision"
 	"gullrail/lab/audit"
@@ -38,7 +38,7 @@
 // Fleet is all stand-in nodes and what they share: racks with their uplinks. One lock covers it, as
 // the figures of a rack need those of all its nodes.
 type Fleet struct {
-	set     *conf.Service
+	set     *config.Service
 	check   *token.Checker
 	tape    *tape.Tape
 	setUpMs [2]float64 // a set-up takes from so long to so long
@@ -141,7 +141,7 @@
 type running struct {
 	nodes.Play
 	front    string
-	product  *conf.Product
+	product  *config.Product
 	playing  bool
 	began    time.Time
 	until    time.Time
--- a/lab/player.go
+++ b/lab/player.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"gullrail/client"
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/dash"
 	"gullrail/lab/tape"
 )
@@ -22,7 +22,7 @@
 // Viewer is one simulated viewer: what it wants and how it behaves.
 type Viewer struct {
 	Name    string
-	Product *conf.Product
+	Product *config.Product
 	Title   string
 	Top     int
 	Watch   time.Duration
@@ -37,7 +37,7 @@
 
 // Players are the simulated viewers' side of the sockets.
 type Players struct {
-	Set    *conf.Service
+	Set    *config.Service
 	Tape   *tape.Tape
 	Client *http.Client
 	ids    atomic.Int64
@@ -55,7 +55,7 @@
 func (s *Seen) add(f func(s *Seen)) { s.mu.Lock(); f(s); s.mu.Unlock() }
 
 // NewPlayers makes the players' side with connections of its own.
-func NewPlayers(set *conf.Service, t *tape.Tape) *Players {
+func NewPlayers(set *config.Service, t *tape.Tape) *Players {
 	return &Players{Set: set, Tape: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 10 * time.Second}}}
 }
--- a/lab/rehearse.go
+++ b/lab/rehearse.go
@@ -20,7 +20,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
 	"gullrail/nodes"
@@ -150,7 +150,7 @@
 }
 
 // prepare makes what every part of a rehearsal needs, the same for all of them.
-func (r *Rehearsal) prepare(t *tape.Tape) (conf.Key, error) {
+func (r *Rehearsal) prepare(t *tape.Tape) (config.Key, error) {
 	d := r.Day
 	r.tape = t
 	r.rnd = rand.New(rand.NewPCG(d.Seed, 1))
@@ -158,11 +158,11 @@
 	if r.Say == nil {
 		r.Say = func(string, ...any) {}
 	}
-	key := conf.Key{ID: "rehearsal", Seed: make([]byte, 32), Signs: true}
+	key := config.Key{ID: "rehearsal", Seed: make([]byte, 32), Signs: true}
 	for i := range key.Seed {
 		key.Seed[i] = byte(r.rnd.UintN(256))
 	}
-	minter, err := serve.Minter([]conf.Key{key})
+	minter, err := serve.Minter([]config.Key{key})
 	if err != nil {
 		return key, err
 	}
@@ -236,7 +236,7 @@
 
 // ---- Fronts ----
 
-func (r *Rehearsal) startFronts(ctx context.Context, key conf.Key, list string) error {
+func (r *Rehearsal) startFronts(ctx context.Context, key config.Key, list string) error {
 	d := r.Day
 	for i := range d.Service.Fronts {
 		addr, err := freePort()
@@ -271,7 +271,7 @@
 }
 
 // FrontSettings is the settings file of one front of the day.
-func (d *Day) FrontSettings(i int, name, listen, list, state string, key conf.Key) ([]byte, error) {
+func (d *Day) FrontSettings(i int, name, listen, list, state string, key config.Key) ([]byte, error) {
 	settings := map[string]any{"name": name, "number": i, "zone": d.Service.Zones[i%len(d.Service.Zones)], "listen": listen, "seed": d.Seed}
 	if d.Records {
 		settings["state"] = state
@@ -357,7 +357,7 @@
 
 // startHere runs the front in this process.
 func (f *frontProcess) startHere() error {
-	set, err := conf.ReadFront(f.file)
+	set, err := config.ReadFront(f.file)
 	if err != nil {
 		return err
 	}
--- a/lab/rig_test.go
+++ b/lab/rig_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/dash"
 	"gullrail/lab/tape"
 	"gullrail/nodes"
@@ -40,14 +40,14 @@
 // rig is one front in this process with what it needs round it, on loopback.
 type rig struct {
 	t        *testing.T
-	set      *conf.Service
+	set      *config.Service
 	tape     *tape.Tape
 	fleet    *Fleet
 	registry *Registry
 	minter   *token.Minter
 	addr     string
 	scheme   string
-	settings conf.Front
+	settings config.Front
 	front    *serve.Front
 	client   *http.Client
 	nodes    []*Node
@@ -64,22 +64,22 @@
 func newRigWith(t *testing.T, n int, change func(r *rig), others ...nodes.Line) *rig {
 	t.Helper()
 	r := &rig{t: t, scheme: "http", tape: tape.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
-	doc, v, err := conf.Parse("service", []byte(testService))
+	doc, v, err := config.Parse("service", []byte(testService))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := conf.ReadService(v)
+	set := config.ReadService(v)
 	if doc.Err() != nil {
 		t.Fatal(doc.Err())
 	}
 	r.set = &set
-	keys := []conf.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
+	keys := []config.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
 	if r.minter, err = serve.Minter(keys); err != nil {
 		t.Fatal(err)
 	}
 	r.fleet = &Fleet{set: r.set, check: r.minter.Checker, tape: r.tape, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
 		rnd: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*Node{}, racks: []rack{{1e9, 1}, {1e9, 1}}}
-	r.settings = conf.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, Waiting: 64, Sockets: 1000, TokenMs: 60000,
+	r.settings = config.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, Waiting: 64, Sockets: 1000, TokenMs: 60000,
 		EndMs: 3000, Keys: keys, Service: set}
 	change(r)
 	r.registry = NewRegistry(r.tape, 0)
--- a/lab/sim.go
+++ b/lab/sim.go
@@ -9,7 +9,7 @@
 	"sort"
 	"time"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/intake"
 	"gullrail/lab/audit"
@@ -120,7 +120,7 @@
 	front   int
 	epoch   int64
 	node    *simNode
-	product *conf.Product
+	product *config.Product
 	rate    float64
 	playing bool
 	used    int64
--- a/nodes/client_test.go
+++ b/nodes/client_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/intake"
 	"gullrail/session"
@@ -39,7 +39,7 @@
 			return node.Client().Transport.(*http.Transport).TLSClientConfig.Clone(), nil
 		}
 		names := service()
-		names.Products = []conf.Product{{Name: "p"}}
+		names.Products = []config.Product{{Name: "p"}}
 		client := NewClient("f", 1, false, c.grace, names, session.NewRunner(session.NewClock(), intake.New(1, 1)), secure, zerolog.Nop())
 		a := session.Allocation{Ref: session.Ref{Play: "p"}, Address: node.Listener.Addr().String()}
 		_, how, _ := client.exchange(context.Background(), a, time.Now(), time.Now().Add(5*time.Second))
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -14,7 +14,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/internal/pcg"
 	"gullrail/pulse"
@@ -46,7 +46,7 @@
 var phases = map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
 // ParseChange reads a message of the list service into lines as the core knows them.
-func ParseChange(text []byte, set *conf.Service, clock *session.Clock) (Change, []session.Listed, error) {
+func ParseChange(text []byte, set *config.Service, clock *session.Clock) (Change, []session.Listed, error) {
 	var c Change
 	if err := json.Unmarshal(text, &c); err != nil {
 		return Change{}, nil, fmt.Errorf("list: %w", err)
@@ -59,7 +59,7 @@
 }
 
 // ParseLines checks lines and turns them into the core's, with the numbers of kinds and zones.
-func ParseLines(given []Line, set *conf.Service, clock *session.Clock) ([]session.Listed, error) {
+func ParseLines(given []Line, set *config.Service, clock *session.Clock) ([]session.Listed, error) {
 	lines := make([]session.Listed, 0, len(given))
 	for i, n := range given {
 		wrong := func(field string, v any) ([]session.Listed, error) {
@@ -107,7 +107,7 @@
 }
 
 // FormatLine is a line as the list service would tell it; its start is not told.
-func FormatLine(l session.Listed, set *conf.Service) Line {
+func FormatLine(l session.Listed, set *config.Service) Line {
 	return Line{Name: l.Name, Address: l.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[l.Phase],
 		Kind: set.Kinds[l.Kind].Name, Zone: set.Zones[l.Zone], Cell: l.Cell, Weight: l.Weight}
 }
@@ -117,7 +117,7 @@
 type List struct {
 	Front  string
 	URL    string
-	Set    *conf.Service
+	Set    *config.Service
 	Runner *session.Runner
 	Log    zerolog.Logger
 	Seed   uint64
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/session"
 )
@@ -33,8 +33,8 @@
 	}
 }
 
-func service() *conf.Service {
-	return &conf.Service{Cells: 4, Kinds: []conf.Kind{{Name: "std", Streams: 1}}, Zones: []string{"z"}}
+func service() *config.Service {
+	return &config.Service{Cells: 4, Kinds: []config.Kind{{Name: "std", Streams: 1}}, Zones: []string{"z"}}
 }
 
 func TestListLinesThatAreNotTaken(t *testing.T) {
--- a/serve/fleet.go
+++ b/serve/fleet.go
@@ -12,7 +12,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/nodes"
 	"gullrail/roster"
@@ -35,7 +35,7 @@
 
 // fleet keeps the saved list of one front.
 type fleet struct {
-	set    *conf.Service
+	set    *config.Service
 	url    string
 	runner *session.Runner
 	say    zerolog.Logger
@@ -45,7 +45,7 @@
 }
 
 // openFleet reads what was saved. A saved list that is damaged or another site's is told and not used; it is no reason not to start.
-func openFleet(folder, url string, set *conf.Service, r *session.Runner, say zerolog.Logger) (*fleet, error) {
+func openFleet(folder, url string, set *config.Service, r *session.Runner, say zerolog.Logger) (*fleet, error) {
 	f := &fleet{set: set, url: url, runner: r, say: say}
 	if folder == "" {
 		return f, nil
--- a/serve/history_test.go
+++ b/serve/history_test.go
@@ -16,7 +16,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/ledger"
 	"gullrail/store"
 )
@@ -66,7 +66,7 @@
 	err := os.MkdirAll(folder, 0o700)
 	var j *journal
 	if err == nil {
-		j, _, err = newJournal(slow{store.Folder(folder)}, &conf.Service{}, 1, nil, nil, zerolog.Nop())
+		j, _, err = newJournal(slow{store.Folder(folder)}, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	}
 	if err != nil {
 		fmt.Println("x", err)
@@ -225,7 +225,7 @@
 
 func TestSalvagedStoreMakesTheFrontWaitAndIsWholeAfterwards(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop())
+	j, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,14 +262,14 @@
 	if _, err := SalvageStore(plays, filepath.Join(other, PlaysFolder)); !errors.Is(err, os.ErrExist) {
 		t.Fatalf("wrote over a store: %v", err)
 	}
-	j, was, err := openJournal(other, &conf.Service{}, 2, nil, nil, zerolog.Nop())
+	j, was, err := openJournal(other, &config.Service{}, 2, nil, nil, zerolog.Nop())
 	if err != nil || was.lost != 1 || len(was.open) != 19 {
 		t.Fatalf("%+v, %v", was, err)
 	}
 	j.Settled()
 	j.wg.Wait()
 	j.log.Close()
-	if j, was, err = openJournal(other, &conf.Service{}, 3, nil, nil, zerolog.Nop()); err != nil || was.lost != 0 {
+	if j, was, err = openJournal(other, &config.Service{}, 3, nil, nil, zerolog.Nop()); err != nil || was.lost != 0 {
 		t.Fatalf("after the nodes made up for it: %+v, %v", was, err)
 	}
 	j.log.Close()
@@ -304,7 +304,7 @@
 		if err := os.WriteFile(filepath.Join(dir, PlaysFolder), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop()); err == nil {
+		if _, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop()); err == nil {
 			t.Fatal("a front without a place for its records started")
 		}
 		return
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	defer os.Chmod(dir, 0o700)
-	if _, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop()); !errors.Is(err, os.ErrPermission) {
+	if _, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop()); !errors.Is(err, os.ErrPermission) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/serve/journal.go
+++ b/serve/journal.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/ledger"
 	"gullrail/nodes"
@@ -26,7 +26,7 @@
 type journal struct {
 	*nodes.Client
 	log    *store.Log
-	set    *conf.Service
+	set    *config.Service
 	epoch  int64
 	runner *session.Runner
 	say    zerolog.Logger
@@ -46,7 +46,7 @@
 }
 
 // openJournal opens the store in a state folder and returns what earlier lives left.
-func openJournal(folder string, set *conf.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
+func openJournal(folder string, set *config.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
 	dir := filepath.Join(folder, PlaysFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, earlier{}, fmt.Errorf("state folder: %w", err)
@@ -58,7 +58,7 @@
 	return j, was, nil
 }
 
-func newJournal(files store.Files, set *conf.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
+func newJournal(files store.Files, set *config.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
 	log, contents, err := store.Open(files)
 	if err != nil {
 		return nil, earlier{}, err
--- a/serve/journal_test.go
+++ b/serve/journal_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/ledger"
 	"gullrail/store"
 )
@@ -64,7 +64,7 @@
 // many there were.
 func TestAWeekOfPlaysLeavesASmallStore(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop())
+	j, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -16,7 +16,7 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/dash"
 	"gullrail/desk"
 	"gullrail/intake"
@@ -31,7 +31,7 @@
 
 // Front is a front end that listens but does not run yet.
 type Front struct {
-	set     conf.Front
+	set     config.Front
 	log     zerolog.Logger
 	listen  net.Listener
 	runner  *session.Runner
@@ -46,7 +46,7 @@
 
 // Listen makes a front end and opens its socket, so that a port that is taken shows at once. Epoch
 // tells the lives of the front apart: it must be greater than that of any earlier one.
-func Listen(set conf.Front, epoch int64, log zerolog.Logger) (*Front, error) {
+func Listen(set config.Front, epoch int64, log zerolog.Logger) (*Front, error) {
 	minter, err := Minter(set.Keys)
 	if err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 }
 
 // Minter makes the minter of session tokens from the keys in the settings.
-func Minter(keys []conf.Key) (*token.Minter, error) {
+func Minter(keys []config.Key) (*token.Minter, error) {
 	var signing token.Key
 	older := map[string]ed25519.PublicKey{}
 	for _, k := range keys {
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -20,7 +20,7 @@
 	"github.com/coder/websocket"
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/desk"
 	"gullrail/ledger"
 	"gullrail/session"
@@ -86,7 +86,7 @@
 
 func newBench(t testing.TB, connections int) *bench {
 	t.Helper()
-	doc, v, err := conf.Parse("s", []byte(`{"fronts": 1, "rates_kb": [100, 200], "worth": [0.5, 1], "cells": 4, "racks": 2, "link_kb": 1000,
+	doc, v, err := config.Parse("s", []byte(`{"fronts": 1, "rates_kb": [100, 200], "worth": [0.5, 1], "cells": 4, "racks": 2, "link_kb": 1000,
     "kinds": [{"name": "std", "streams": 10}], "zones": ["z"],
     "products": [{"name": "p", "importance": 1, "target_ms": 300, "limit_ms": 900}],
     "titles": [{"name": "t", "home": 0, "copies": 2}], "reports": {"how": "probe"},
@@ -94,7 +94,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := conf.ReadService(v)
+	set := config.ReadService(v)
 	if doc.Err() != nil {
 		t.Fatal(doc.Err())
 	}
