--- a/cmd/gullrail/store.go
+++ b/cmd/gullrail/store.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"os"
 
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/serve"
 	"gullrail/store"
 )
@@ -33,7 +33,7 @@
 		}
 		return fmt.Errorf("%s: %w", v.Folder, err)
 	}
-	book, err := ledger.Read(c.Records)
+	book, err := playlog.Read(c.Records)
 	if err != nil {
 		return fmt.Errorf("%s: %w", v.Folder, err)
 	}
@@ -51,7 +51,7 @@
 	}
 	enc := json.NewEncoder(os.Stdout)
 	for i, raw := range c.Records {
-		r, e := ledger.Decode(raw)
+		r, e := playlog.Decode(raw)
 		if e != nil {
 			err = errors.Join(err, fmt.Errorf("record %d: %w", c.First+uint64(i), e))
 			continue
--- a/lab/sim.go
+++ b/lab/sim.go
@@ -14,9 +14,9 @@
 	"gullrail/intake"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
-	"gullrail/ledger"
 	"gullrail/nodes"
 	"gullrail/placement"
+	"gullrail/playlog"
 	"gullrail/pulse"
 	"gullrail/session"
 )
@@ -654,9 +654,9 @@
 }
 
 // Finished is for records on disk, which a simulated front does not keep.
-func (f *simFront) Finished(string, int, ledger.How) {}
-func (f *simFront) Begun(session.Ref, int, string)   {}
-func (f *simFront) Settled()                         {}
+func (f *simFront) Finished(string, int, playlog.How) {}
+func (f *simFront) Begun(session.Ref, int, string)    {}
+func (f *simFront) Settled()                          {}
 
 // nodeDied cuts what the front has to do with a node whose process ended.
 func (f *simFront) nodeDied(n *simNode) {
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -21,7 +21,7 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/decision"
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/pulse"
 	"gullrail/session"
 )
@@ -400,7 +400,7 @@
 }
 
 // Finished is for who keeps records of plays; the client keeps none.
-func (c *Client) Finished(string, int, ledger.How) {}
+func (c *Client) Finished(string, int, playlog.How) {}
 
 // Begun does nothing, nor does Settled: the client keeps no records.
 func (c *Client) Begun(session.Ref, int, string) {}
--- a/ledger/ledger.go
+++ b/playlog/playlog.go
@@ -1,11 +1,11 @@
-// Package ledger decides what a front end writes down of its plays before and after it acts, and what a
+// Package playlog decides what a front end writes down of its plays before and after it acts, and what a
 // front started again may conclude from it. No I/O: records come in and go out as bytes for a store.
 //
 // The rule is one line: before an allocation that must not be doubled, or that takes a seat, leaves the
 // front, its record is durable. Its end is written down afterwards, without waiting: an end that is lost in a
 // crash leaves a play open that has ended, which its node's word settles; the other way round a seat
 // would be given twice.
-package ledger
+package playlog
 
 import (
 	"encoding/json"
--- a/ledger/ledger_test.go
+++ b/playlog/playlog_test.go
@@ -1,4 +1,4 @@
-package ledger
+package playlog
 
 import (
 	"fmt"
--- a/serve/history_test.go
+++ b/serve/history_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/store"
 )
 
@@ -85,9 +85,9 @@
 				n := id
 				mu.Unlock()
 				play, open := rand.IntN(historyPlays), rand.IntN(2)
-				r := ledger.Record{Kind: ledger.Ended, Play: fmt.Sprint(play)}
+				r := playlog.Record{Kind: playlog.Ended, Play: fmt.Sprint(play)}
 				if open == 1 {
-					r = ledger.Record{Kind: ledger.Allocated, Play: r.Play, Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
+					r = playlog.Record{Kind: playlog.Allocated, Play: r.Play, Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
 				}
 				fmt.Fprintf(os.Stdout, "c %d %d %d\n", n, play, open)
 				if err := j.wait(j.write(r)); err != nil {
@@ -198,7 +198,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		book, err := ledger.Read(c.Records)
+		book, err := playlog.Read(c.Records)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		r := ledger.Record{Kind: ledger.Allocated, Play: fmt.Sprint("p", i), Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
+		r := playlog.Record{Kind: playlog.Allocated, Play: fmt.Sprint("p", i), Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
 		if err := j.wait(j.write(r)); err != nil {
 			t.Fatal(err)
 		}
--- a/serve/journal.go
+++ b/serve/journal.go
@@ -12,8 +12,8 @@
 
 	"gullrail/config"
 	"gullrail/decision"
-	"gullrail/ledger"
 	"gullrail/nodes"
+	"gullrail/playlog"
 	"gullrail/session"
 	"gullrail/store"
 )
@@ -21,7 +21,7 @@
 // PlaysFolder is where a front's store is, in its state folder.
 const PlaysFolder = "plays"
 
-// journal is the carrier of a front that keeps records: what ledger.Before says is durable before it leaves.
+// journal is the carrier of a front that keeps records: what playlog.Before says is durable before it leaves.
 // While the store is broken such allocations are not sent at all, and their plays are declined.
 type journal struct {
 	*nodes.Client
@@ -33,7 +33,7 @@
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	book    *ledger.Book
+	book    *playlog.Book
 	waiting map[session.Ref]bool // not durable yet; false once recalled
 	broken  bool
 }
@@ -41,7 +41,7 @@
 // earlier is what the records of a front's earlier lives come to.
 type earlier struct {
 	open []session.Expected
-	past []ledger.Past
+	past []playlog.Past
 	lost uint64 // records that are missing
 }
 
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, earlier{}, err
 	}
-	book, err := ledger.Read(contents.Records)
+	book, err := playlog.Read(contents.Records)
 	if err != nil {
 		log.Close()
 		return nil, earlier{}, err
@@ -87,7 +87,7 @@
 }
 
 func (j *journal) keeps(product int) bool {
-	return ledger.Before(j.set.Products[product].Paid, j.set.Products[product].Seats)
+	return playlog.Before(j.set.Products[product].Paid, j.set.Products[product].Seats)
 }
 
 // SetUp records an allocation where that comes first, and then sends it.
@@ -96,7 +96,7 @@
 		j.Client.SetUp(a)
 		return
 	}
-	done := j.write(ledger.Record{Kind: ledger.Allocated, Play: a.Play, Epoch: j.epoch, Try: a.Try, Product: j.set.Product(a.Product),
+	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Try: a.Try, Product: j.set.Product(a.Product),
 		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, Top: a.Top})
 	j.mu.Lock()
 	j.waiting[a.Ref] = true
@@ -138,16 +138,16 @@
 	if !j.keeps(product) {
 		return
 	}
-	j.later(ledger.Record{Kind: ledger.Started, Play: r.Play, Try: r.Try})
+	j.later(playlog.Record{Kind: playlog.Started, Play: r.Play, Try: r.Try})
 	if back != "" {
-		j.later(ledger.Record{Kind: ledger.Token, Play: back, At: time.Now().UnixMilli()})
+		j.later(playlog.Record{Kind: playlog.Token, Play: back, At: time.Now().UnixMilli()})
 	}
 }
 
 // Finished records a play's end; nobody waits for it.
-func (j *journal) Finished(play string, product int, how ledger.How) {
+func (j *journal) Finished(play string, product int, how playlog.How) {
 	if j.keeps(product) {
-		r := ledger.Record{Kind: ledger.Ended, Play: play, How: how}
+		r := playlog.Record{Kind: playlog.Ended, Play: play, How: how}
 		if how != "" {
 			r.At = time.Now().UnixMilli()
 		}
@@ -162,11 +162,11 @@
 	j.mu.Unlock()
 	if lost > 0 {
 		j.say.Info().Uint64("records", lost).Msg("the nodes have made up for the records that were missing")
-		j.later(ledger.Record{Kind: ledger.Whole})
+		j.later(playlog.Record{Kind: playlog.Whole})
 	}
 }
 
-func (j *journal) later(r ledger.Record) {
+func (j *journal) later(r playlog.Record) {
 	done := j.write(r)
 	j.spawn(func() { j.wait(done) })
 }
@@ -174,7 +174,7 @@
 // write puts a record into the log and the book in one step, so that a compaction to what the book holds
 // leaves out nothing that the log has, and in the order of the core's calls. It never waits for the disk: where
 // the log is too far behind, the record is not taken, which is as good as a failed write.
-func (j *journal) write(r ledger.Record) <-chan error {
+func (j *journal) write(r playlog.Record) <-chan error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	done, err := j.log.TryBegin(r.Encode())
@@ -201,7 +201,7 @@
 	}
 }
 
-func encode(b *ledger.Book) (out [][]byte) {
+func encode(b *playlog.Book) (out [][]byte) {
 	for _, r := range b.Records() {
 		out = append(out, r.Encode())
 	}
--- a/serve/journal_test.go
+++ b/serve/journal_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/store"
 )
 
@@ -28,12 +28,12 @@
 	began := time.Now()
 	var last <-chan error
 	for i := range n {
-		r := ledger.Record{Kind: ledger.Ended, Play: fmt.Sprintf("f0-18ed25f932a30537-%d", i/2)}
+		r := playlog.Record{Kind: playlog.Ended, Play: fmt.Sprintf("f0-18ed25f932a30537-%d", i/2)}
 		if i%2 == 0 {
-			r = ledger.Record{Kind: ledger.Allocated, Play: r.Play, Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7",
+			r = playlog.Record{Kind: playlog.Allocated, Play: r.Play, Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7",
 				Node: "n0", Rung: 1, Top: 2}
 		} else if i/2%5 == 0 { // one play in five stays open
-			r = ledger.Record{Kind: ledger.Ended, Play: "another"}
+			r = playlog.Record{Kind: playlog.Ended, Play: "another"}
 		}
 		last = log.Begin(r.Encode())
 	}
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	book, err := ledger.Read(c.Records)
+	book, err := playlog.Read(c.Records)
 	if err != nil || len(c.Records) != n || len(book.Open()) != (n/2+4)/5 {
 		t.Fatalf("%d records, %d open, %v", len(c.Records), len(book.Open()), err)
 	}
@@ -72,7 +72,7 @@
 	clock := time.Now().UnixMilli()
 	var last <-chan error
 	written, most := int64(0), int64(0)
-	add := func(r ledger.Record) {
+	add := func(r playlog.Record) {
 		last = j.log.Begin(r.Encode())
 		written += int64(len(r.Encode()))
 		if err := j.book.Apply(r); err != nil {
@@ -87,11 +87,11 @@
 	}
 	for i := range *weekPlays {
 		play := func(k int) string { return fmt.Sprintf("f0-18ed25f932a30537-%d", k) }
-		add(ledger.Record{Kind: ledger.Allocated, Play: play(i), Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7", Node: "n0",
+		add(playlog.Record{Kind: playlog.Allocated, Play: play(i), Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7", Node: "n0",
 			Rung: 1, Top: 2})
-		add(ledger.Record{Kind: ledger.Started, Play: play(i)})
+		add(playlog.Record{Kind: playlog.Started, Play: play(i)})
 		if i >= open {
-			add(ledger.Record{Kind: ledger.Ended, Play: play(i - open), How: ledger.Served, At: clock})
+			add(playlog.Record{Kind: playlog.Ended, Play: play(i - open), How: playlog.Served, At: clock})
 		}
 		clock += 86 // 33 plays a second, 35 in 100 recorded
 		if i%5000 == 4999 {
--- a/serve/offline.go
+++ b/serve/offline.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/store"
 )
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	book, err := ledger.Read(c.Records)
+	book, err := playlog.Read(c.Records)
 	if err != nil {
 		log.Close()
 		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
@@ -80,9 +80,9 @@
 		return Salvaged{}, fmt.Errorf("%s: %w", dir, err)
 	}
 	out := Salvaged{Lost: found.Lost, Gaps: found.Gaps}
-	book := ledger.NewBook()
+	book := playlog.NewBook()
 	for _, raw := range found.Records {
-		r, err := ledger.Decode(raw)
+		r, err := playlog.Decode(raw)
 		if err != nil { // its checksum holds and its text does not: not one that a front wrote
 			out.Lost++
 			continue
@@ -92,7 +92,7 @@
 		out.Records++
 	}
 	if out.Lost > 0 {
-		if err := book.Apply(ledger.Record{Kind: ledger.Lost, Count: out.Lost}); err != nil {
+		if err := book.Apply(playlog.Record{Kind: playlog.Lost, Count: out.Lost}); err != nil {
 			return out, err
 		}
 	}
--- a/session/core.go
+++ b/session/core.go
@@ -12,8 +12,8 @@
 
 	"gullrail/decision"
 	"gullrail/internal/numbers"
-	"gullrail/ledger"
 	"gullrail/parting"
+	"gullrail/playlog"
 	"gullrail/pulse"
 	"gullrail/recovery"
 	"gullrail/roster"
@@ -62,7 +62,7 @@
 	// and is used up, if any. Nothing comes of it, nor of the following two.
 	Begun(r Ref, product int, back string)
 	// Finished says that a play of which allocations were sent is over, and how, if it ever played.
-	Finished(play string, product int, how ledger.How)
+	Finished(play string, product int, how playlog.How)
 	// Settled says, once, that what may run of earlier lives of this front is known from the nodes alone.
 	Settled()
 }
@@ -110,8 +110,8 @@
 
 // Event is a change of a play that plays, for who follows it.
 type Event struct {
-	Ended  ledger.How // empty while it plays
-	Answer Answer     // as it is now; of an ended play only its id
+	Ended  playlog.How // empty while it plays
+	Answer Answer      // as it is now; of an ended play only its id
 }
 
 // key tells requests for the same play apart from others.
@@ -175,7 +175,7 @@
 type finished struct {
 	id  string
 	at  int64
-	how ledger.How
+	how playlog.How
 }
 
 // node is a playout node that the front knows.
@@ -268,7 +268,7 @@
 // comes before anything else. With the first list the open plays are taken over at their nodes, so that their
 // seats count from then on; the nodes' words then settle which of them still run. A front whose records are
 // whole need not wait for all nodes; lost counts those that are missing.
-func (c *Core) Expect(now int64, open []Expected, past []ledger.Past, lost uint64) {
+func (c *Core) Expect(now int64, open []Expected, past []playlog.Past, lost uint64) {
 	c.expected, c.atOnce = open, recovery.Ready(true, lost)
 	for _, p := range past {
 		c.remember(now, p.Play, p.How)
@@ -281,7 +281,7 @@
 		at, ok := c.nodeAt[e.Node]
 		switch {
 		case !ok || e.Product < 0:
-			c.out.Finished(e.Play, max(0, e.Product), ledger.Broken)
+			c.out.Finished(e.Play, max(0, e.Product), playlog.Broken)
 		case c.plays[e.Play] == nil:
 			p := c.adopt(now, at, 0, 0, e.Running)
 			if recovery.Asked(recovery.Recorded, e.Heard, true) != recovery.Fresh {
@@ -380,17 +380,17 @@
 		case p != nil:
 			c.deny(a, busy)
 			return
-		case how == ledger.Served:
+		case how == playlog.Served:
 			c.deny(a, "the play has ended")
 			return
-		case how == ledger.Returned:
+		case how == playlog.Returned:
 			c.deny(a, "the token was used to come back already")
 			return
 		case how == "" && c.ownLife(a.Back.Play):
 			c.deny(a, "the play ended long ago")
 			return
 		}
-		isMoved = how == ledger.Moved
+		isMoved = how == playlog.Moved
 	}
 	if a.Back == nil && c.again(now, a) {
 		return
@@ -420,7 +420,7 @@
 
 // Follow lets a viewer who was away hear of its play again, in place of who did. It returns the play as it is now,
 // if it plays, or how it ended, if that is remembered; neither if this front does not know it.
-func (c *Core) Follow(id string, f func(Event)) (ans Answer, plays bool, how ledger.How) {
+func (c *Core) Follow(id string, f func(Event)) (ans Answer, plays bool, how playlog.How) {
 	how, p := c.recall(id)
 	if p == nil || p.stage != playing {
 		return Answer{}, false, how
@@ -455,7 +455,7 @@
 	p.left = true
 	res := c.mod.Left(now, p.h)
 	if p.stage == waiting {
-		c.finish(now, p, ledger.Served)
+		c.finish(now, p, playlog.Served)
 	}
 	c.carry(now, res)
 }
@@ -467,14 +467,14 @@
 		return
 	}
 	if p.stage == playing {
-		c.endAt(now, p, "viewer left", decision.CalledOff, ledger.Served)
+		c.endAt(now, p, "viewer left", decision.CalledOff, playlog.Served)
 		return
 	}
 	c.leave(now, p)
 }
 
 // endAt ends a playing play at its node and for the module.
-func (c *Core) endAt(now int64, p *play, why string, how decision.Ending, as ledger.How) {
+func (c *Core) endAt(now int64, p *play, why string, how decision.Ending, as playlog.How) {
 	c.out.End(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, why)
 	res := c.mod.Ended(now, p.h, p.number(), how, true, decision.Untold)
 	c.finish(now, p, as)
@@ -491,7 +491,7 @@
 // nodeGaveUp takes a viewer's word that the node does not deliver.
 func (c *Core) nodeGaveUp(now int64, p *play) {
 	c.counts.Lost++
-	c.endAt(now, p, "viewer says it broke", decision.Lost, ledger.Broken)
+	c.endAt(now, p, "viewer says it broke", decision.Lost, playlog.Broken)
 }
 
 // Started says that a node set an allocation up, in which life of its process, with which mark of
@@ -505,7 +505,7 @@
 	p.stage, p.life, p.mark = playing, life, mark
 	c.free(p)
 	if p.left { // the module still counts a set-up: its end is called off
-		c.endAt(now, p, "viewer left", decision.CalledOff, ledger.Served)
+		c.endAt(now, p, "viewer left", decision.CalledOff, playlog.Served)
 		return
 	}
 	c.carry(now, c.mod.Started(now, p.h, r.Try))
@@ -520,13 +520,13 @@
 		c.out.SetRung(r, c.nodes[p.node].address, p.rung, p.seq)
 	}
 	if !p.ask.Reply.Give(c.answer(p, "")) { // withdrawn in the same moment: nobody will watch it
-		c.endAt(now, p, "viewer left", decision.CalledOff, ledger.Served)
+		c.endAt(now, p, "viewer left", decision.CalledOff, playlog.Served)
 		return
 	}
 	c.counts.Plays++
 	c.heard(p)
 	if p.ask.Back != nil { // its token is used up only now: a viewer declined may try again with it
-		c.remember(now, p.ask.Back.Play, ledger.Returned)
+		c.remember(now, p.ask.Back.Play, playlog.Returned)
 	}
 	if p.early != nil {
 		c.PlayEnded(now, r, *p.early)
@@ -552,7 +552,7 @@
 	c.nodes[p.node].plays--
 	res := c.mod.Ended(now, p.h, r.Try, how, p.left, load)
 	if p.left {
-		c.finish(now, p, ledger.Served)
+		c.finish(now, p, playlog.Served)
 	}
 	c.carry(now, res)
 }
@@ -564,9 +564,9 @@
 		return
 	}
 	if p := c.at(r, playing); p != nil {
-		as := ledger.Served
+		as := playlog.Served
 		if how != decision.Served {
-			as = ledger.Broken
+			as = playlog.Broken
 			c.counts.Lost++
 		}
 		res := c.mod.Ended(now, p.h, p.number(), how, true, decision.Untold)
@@ -861,7 +861,7 @@
 func (c *Core) letGo(now int64) {
 	for len(c.releases) > 0 && c.releases[0].at <= now {
 		if p := c.plays[c.releases[0].id]; p != nil && p.stage == playing {
-			c.endAt(now, p, "the front retires", decision.CalledOff, ledger.Broken)
+			c.endAt(now, p, "the front retires", decision.CalledOff, playlog.Broken)
 		}
 		c.releases = c.releases[1:]
 	}
@@ -917,11 +917,11 @@
 		case decision.Decline:
 			c.counts.Declined++
 			p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, ComeBack: o.ComeBack, Why: "no node can take it"})
-			c.finish(now, p, ledger.Served)
+			c.finish(now, p, playlog.Served)
 		case decision.Fail:
 			c.counts.Failed++
 			p.ask.Reply.Give(Answer{Verdict: Failed, Play: p.id, Why: "its set-up may have run and did not answer"})
-			c.finish(now, p, ledger.Served)
+			c.finish(now, p, playlog.Served)
 		case decision.SetRung:
 			p.rung = o.Rung
 			p.seq++
@@ -946,7 +946,7 @@
 	}
 	for _, p := range moves { // the result is not read any more: the module may be called again
 		c.counts.Moved++
-		c.endAt(now, p, "moved", decision.CalledOff, ledger.Moved)
+		c.endAt(now, p, "moved", decision.CalledOff, playlog.Moved)
 	}
 }
 
@@ -985,7 +985,7 @@
 }
 
 // finish drops a play that the module has dropped.
-func (c *Core) finish(now int64, p *play, how ledger.How) {
+func (c *Core) finish(now int64, p *play, how playlog.How) {
 	if c.plays[p.id] != p {
 		return
 	}
@@ -1014,7 +1014,7 @@
 }
 
 // remember keeps how a play ended for those who come back with its token, as long as one is good.
-func (c *Core) remember(now int64, id string, how ledger.How) {
+func (c *Core) remember(now int64, id string, how playlog.How) {
 	f := finished{id, now, how}
 	c.ended[id] = f
 	c.endings = append(c.endings, f)
@@ -1038,7 +1038,7 @@
 }
 
 // recall is what is known of a play by its id.
-func (c *Core) recall(id string) (ledger.How, *play) { return c.ended[id].how, c.plays[id] }
+func (c *Core) recall(id string) (playlog.How, *play) { return c.ended[id].how, c.plays[id] }
 
 // ownLife tells that a play was taken by this life of this front.
 func (c *Core) ownLife(id string) bool {
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -6,8 +6,8 @@
 	"testing"
 
 	"gullrail/decision"
-	"gullrail/ledger"
 	"gullrail/placement"
+	"gullrail/playlog"
 	"gullrail/pulse"
 )
 
@@ -34,7 +34,7 @@
 func (r *recorder) Dial(node int, _ string, at int64)      { r.dials[node] = at }
 func (r *recorder) Begun(x Ref, _ int, back string)        { r.begun = append(r.begun, x) }
 func (r *recorder) Settled()                               { r.settled++ }
-func (r *recorder) Finished(play string, _ int, _ ledger.How) {
+func (r *recorder) Finished(play string, _ int, _ playlog.How) {
 	r.finished = append(r.finished, play)
 }
 func (r *recorder) Hangup(node int) { r.hung = append(r.hung, node) }
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"gullrail/decision"
-	"gullrail/ledger"
 	"gullrail/placement"
+	"gullrail/playlog"
 	"gullrail/pulse"
 )
 
@@ -35,7 +35,7 @@
 		lost := uint64(rapid.IntRange(0, 1).Draw(t, "lost"))
 		var plays []*truth
 		var open []Expected
-		var past []ledger.Past
+		var past []playlog.Past
 		for i := range rapid.IntRange(0, 8).Draw(t, "plays") {
 			p := &truth{Running: Running{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Try: rapid.IntRange(0, 2).Draw(t, "try"),
 				Product: 1, Title: fmt.Sprint("t", i), Copies: 4, Viewer: fmt.Sprint("v", i), Rung: 1, Top: 2}, node: rapid.IntRange(0, nodes-1).Draw(t, "node")}
@@ -49,7 +49,7 @@
 			case p.booked:
 				open = append(open, Expected{p.Running, fmt.Sprint("n", p.node), p.heard})
 			case !p.runs:
-				past = append(past, ledger.Past{Play: p.Play, How: ledger.Served})
+				past = append(past, playlog.Past{Play: p.Play, How: playlog.Served})
 			}
 		}
 		c.Expect(now, open, past, lost)
@@ -170,7 +170,7 @@
 
 func TestTokensEndedStayEndedOverACrash(t *testing.T) {
 	c := NewCore(start, "f", 2, placement.New(terms(), 1), &recorder{dials: map[int]int64{}}, products{}, 1)
-	c.Expect(start, nil, []ledger.Past{{Play: "f-1-1", How: ledger.Returned}, {Play: "f-1-2", How: ledger.Served}, {Play: "f-1-3", How: ledger.Moved}}, 0)
+	c.Expect(start, nil, []playlog.Past{{Play: "f-1-1", How: playlog.Returned}, {Play: "f-1-2", How: playlog.Served}, {Play: "f-1-3", How: playlog.Moved}}, 0)
 	c.List(start, []Listed{{Name: "n0", Address: "a0", Weight: 1}}, true)
 	c.Hello(start, 0, "", 7, 0, nil)
 	for play, why := range map[string]string{"f-1-1": "the token was used to come back already", "f-1-2": "the play has ended"} {
--- a/wsapi/line.go
+++ b/wsapi/line.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"gullrail/desk"
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/session"
 	"gullrail/sockets"
 )
@@ -81,9 +81,9 @@
 	case session.Event:
 		out.Type, out.Play = "ended", v.Answer.Play
 		switch v.Ended {
-		case ledger.Moved, ledger.Broken:
+		case playlog.Moved, playlog.Broken:
 			out.Type = "moved"
-		case ledger.Returned:
+		case playlog.Returned:
 			out.Why = "it was taken up elsewhere"
 		}
 		return out, true
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -22,7 +22,7 @@
 
 	"gullrail/config"
 	"gullrail/desk"
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/session"
 	"gullrail/sockets"
 	"gullrail/token"
@@ -191,7 +191,7 @@
 	if m = p.hear(); m.Type != "rung" || m.Cursor != 2 || len(m.Grant.Rungs) != 2 || m.Grant.Rungs[1].ID != "r1" {
 		t.Fatalf("%+v", m)
 	}
-	x.Follow(session.Event{Ended: ledger.Moved, Answer: session.Answer{Play: "p1"}})
+	x.Follow(session.Event{Ended: playlog.Moved, Answer: session.Answer{Play: "p1"}})
 	if m = p.hear(); m.Type != "moved" || m.Cursor != 3 || m.Play != "p1" {
 		t.Fatalf("%+v", m)
 	}
@@ -233,7 +233,7 @@
 			t.Fatalf("%d: %+v", want, m)
 		}
 	}
-	x.Follow(session.Event{Ended: ledger.Served, Answer: session.Answer{Play: "p1"}})
+	x.Follow(session.Event{Ended: playlog.Served, Answer: session.Answer{Play: "p1"}})
 	q.conn.CloseNow()
 	r := b.dial(t)
 	r.say(`{"type":"resume","ticket":%q,"cursor":3}`, ticketA)
