--- a/intake/intake.go
+++ b/admission/admission.go
@@ -1,11 +1,11 @@
-// Package intake decides what a front end does with requests for plays before its core can take
+// Package admission decides what a front end does with requests for plays before its core can take
 // them: which wait, which are turned away when the queue is full or a client floods, and when to
 // come back. It does no I/O and has no clock: times are int64 tenths of a millisecond, as in
 // package decision, and come in as arguments. One goroutine at a time may use a Gate.
 //
 // A play turned away here was never taken by the module, so that no allocation of it can exist:
 // declining it is always safe, for paid products too.
-package intake
+package admission
 
 import (
 	"container/list"
--- a/intake/intake_test.go
+++ b/admission/admission_test.go
@@ -1,4 +1,4 @@
-package intake
+package admission
 
 import (
 	"fmt"
--- a/lab/sim.go
+++ b/lab/sim.go
@@ -9,9 +9,9 @@
 	"sort"
 	"time"
 
+	"gullrail/admission"
 	"gullrail/config"
 	"gullrail/decision"
-	"gullrail/intake"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
 	"gullrail/nodes"
@@ -323,7 +323,7 @@
 	number  int
 	name    string
 	core    *session.Core
-	gate    *intake.Gate
+	gate    *admission.Gate
 	life    int
 	up      bool
 	stopped bool
@@ -358,7 +358,7 @@
 	} else {
 		module = placement.New(terms, seed)
 	}
-	f.gate = intake.New(256, seed)
+	f.gate = admission.New(256, seed)
 	f.core = session.NewCore(s.now, f.name, int64(f.life), module, f, set, seed)
 	f.beat(f.life)
 	f.hear(f.life)
@@ -396,7 +396,7 @@
 			break
 		}
 		ask := a.Value.(session.Ask)
-		ask.Limit = intake.Limit(s.now, a.Limit)
+		ask.Limit = admission.Limit(s.now, a.Limit)
 		f.core.Ask(s.now, ask)
 	}
 	if at := f.core.WakeAt(); f.wakeDue == 0 || at < f.wakeDue {
@@ -412,7 +412,7 @@
 	}
 }
 
-func (f *simFront) turnAway(t *intake.Turned) {
+func (f *simFront) turnAway(t *admission.Turned) {
 	t.Ask.Value.(session.Ask).Reply.Give(session.Answer{Verdict: session.Declined, Why: t.Why.String(), ComeBack: t.ComeBack})
 }
 
@@ -832,13 +832,13 @@
 	life := f.life
 	s.after(clientHop, func() {
 		f.run(life, func() {
-			w := &intake.Ask{Importance: v.Product.Importance, Limit: limit, Client: v.Name, Value: a}
+			w := &admission.Ask{Importance: v.Product.Importance, Limit: limit, Client: v.Name, Value: a}
 			verdict, back, gone := f.gate.Offer(s.now, w)
 			if gone != nil {
 				f.turnAway(gone)
 			}
-			if verdict != intake.Waits {
-				f.turnAway(&intake.Turned{Ask: w, Why: verdict, ComeBack: back})
+			if verdict != admission.Waits {
+				f.turnAway(&admission.Turned{Ask: w, Why: verdict, ComeBack: back})
 			}
 		})
 	})
--- a/nodes/client_test.go
+++ b/nodes/client_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/rs/zerolog"
 
+	"gullrail/admission"
 	"gullrail/config"
 	"gullrail/decision"
-	"gullrail/intake"
 	"gullrail/session"
 )
 
@@ -40,7 +40,7 @@
 		}
 		names := service()
 		names.Products = []config.Product{{Name: "p"}}
-		client := NewClient("f", 1, false, c.grace, names, session.NewRunner(session.NewClock(), intake.New(1, 1)), secure, zerolog.Nop())
+		client := NewClient("f", 1, false, c.grace, names, session.NewRunner(session.NewClock(), admission.New(1, 1)), secure, zerolog.Nop())
 		a := session.Allocation{Ref: session.Ref{Play: "p"}, Address: node.Listener.Addr().String()}
 		_, how, _ := client.exchange(context.Background(), a, time.Now(), time.Now().Add(5*time.Second))
 		client.Close()
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -16,10 +16,10 @@
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
+	"gullrail/admission"
 	"gullrail/config"
 	"gullrail/dash"
 	"gullrail/desk"
-	"gullrail/intake"
 	"gullrail/nodes"
 	"gullrail/parting"
 	"gullrail/peers"
@@ -76,7 +76,7 @@
 	}
 	clock := session.NewClock()
 	seed := set.Seed + uint64(set.Number)*1_000_003 // fronts that share a settings file still draw apart
-	f := &Front{set: set, log: log, listen: listen, runner: session.NewRunner(clock, intake.New(set.Waiting, seed))}
+	f := &Front{set: set, log: log, listen: listen, runner: session.NewRunner(clock, admission.New(set.Waiting, seed))}
 	service := &f.set.Service
 	f.client = nodes.NewClient(set.Name, epoch, service.Reports == "answers",
 		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, secure, log)
@@ -120,9 +120,9 @@
 	mux.HandleFunc("GET /readyz", f.ready)
 	mux.HandleFunc("GET "+FleetPath, f.believed)
 	mux.Handle("GET /metrics", f.metrics())
-	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(intake.HeaderFor),
-		IdleTimeout: session.Duration(intake.IdleFor), MaxHeaderBytes: 16 << 10,
-		WriteTimeout: time.Duration(service.LongestMs()*float64(time.Millisecond)) + session.Duration(intake.AnswerFor)}
+	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(admission.HeaderFor),
+		IdleTimeout: session.Duration(admission.IdleFor), MaxHeaderBytes: 16 << 10,
+		WriteTimeout: time.Duration(service.LongestMs()*float64(time.Millisecond)) + session.Duration(admission.AnswerFor)}
 	return f, nil
 }
 
--- a/session/runner.go
+++ b/session/runner.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
+	"gullrail/admission"
 	"gullrail/decision"
-	"gullrail/intake"
 )
 
 const (
@@ -52,7 +52,7 @@
 	done   chan struct{}
 
 	mu   sync.Mutex
-	gate *intake.Gate
+	gate *admission.Gate
 	shut bool
 	turn uint64 // requests turned away at the gate
 
@@ -60,7 +60,7 @@
 }
 
 // NewRunner makes a runner; Run runs it. The core must not be used by anyone else.
-func NewRunner(clock *Clock, gate *intake.Gate) *Runner {
+func NewRunner(clock *Clock, gate *admission.Gate) *Runner {
 	return &Runner{clock: clock, gate: gate, events: make(chan func(int64, *Core), eventsHeld),
 		poke: make(chan struct{}, 1), done: make(chan struct{})}
 }
@@ -89,18 +89,18 @@
 // The result withdraws it: the caller must call it if it stops waiting before the answer.
 func (r *Runner) Ask(a Ask, client string, importance float64) (withdraw func()) {
 	now := r.clock.Now()
-	w := &intake.Ask{Importance: importance, Limit: a.Limit, Client: client, Value: a}
+	w := &admission.Ask{Importance: importance, Limit: a.Limit, Client: client, Value: a}
 	r.mu.Lock()
-	var turned []*intake.Turned
+	var turned []*admission.Turned
 	if r.shut {
-		turned = append(turned, r.gate.Refuse(w, intake.Ending))
+		turned = append(turned, r.gate.Refuse(w, admission.Ending))
 	} else {
 		v, back, gone := r.gate.Offer(now, w)
 		if gone != nil {
 			turned = append(turned, gone)
 		}
-		if v != intake.Waits {
-			turned = append(turned, &intake.Turned{Ask: w, Why: v, ComeBack: back})
+		if v != admission.Waits {
+			turned = append(turned, &admission.Turned{Ask: w, Why: v, ComeBack: back})
 		}
 	}
 	r.turn += uint64(len(turned))
@@ -122,7 +122,7 @@
 	}
 }
 
-func turnAway(t *intake.Turned) {
+func turnAway(t *admission.Turned) {
 	t.Ask.Value.(Ask).Reply.Give(Answer{Verdict: Declined, Why: t.Why.String(), ComeBack: t.ComeBack})
 }
 
@@ -166,7 +166,7 @@
 
 // beat tells the gate that the process runs, whatever the core is doing.
 func (r *Runner) beat(ctx context.Context) {
-	every := time.NewTicker(Duration(intake.BeatEvery))
+	every := time.NewTicker(Duration(admission.BeatEvery))
 	defer every.Stop()
 	for {
 		r.mu.Lock()
@@ -208,7 +208,7 @@
 				turnAway(late)
 			case a != nil:
 				ask := a.Value.(Ask)
-				ask.Limit = intake.Limit(now, a.Limit)
+				ask.Limit = admission.Limit(now, a.Limit)
 				r.core.Ask(now, ask)
 			default:
 				return
