--- a/client/client.go
+++ b/client/client.go
@@ -19,7 +19,7 @@
 
 	"github.com/coder/websocket"
 
-	"gullrail/desk"
+	"gullrail/playapi"
 	"gullrail/wsapi"
 )
 
@@ -75,7 +75,7 @@
 // Event is a change of a play.
 type Event struct {
 	What  What
-	Grant desk.Grant // with Rung and Moved
+	Grant playapi.Grant // with Rung and Moved
 	Why   string
 }
 
@@ -165,7 +165,7 @@
 	ticket   string
 	front    int // where it was asked
 	cursor   uint64
-	grant    desk.Grant
+	grant    playapi.Grant
 	broken   bool
 	tries    int
 	before   string // token of the play that it is to be placed again
@@ -214,7 +214,7 @@
 func (p *Play) Events() <-chan Event { return p.events }
 
 // Grant is what may be fetched now.
-func (p *Play) Grant() desk.Grant {
+func (p *Play) Grant() playapi.Grant {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
 	return p.grant
--- a/client/example/main.go
+++ b/client/example/main.go
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 
 	"gullrail/client"
-	"gullrail/desk"
+	"gullrail/playapi"
 )
 
 type arguments struct {
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func segment(ctx context.Context, g desk.Grant, n int) error {
+func segment(ctx context.Context, g playapi.Grant, n int) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s%s/%d.m4s", g.Base, g.Rungs[len(g.Rungs)-1].ID, n), nil)
 	if err != nil {
 		return err
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -13,7 +13,7 @@
 
 	"gullrail/config"
 	"gullrail/decision"
-	"gullrail/desk"
+	"gullrail/playapi"
 	"gullrail/session"
 	"gullrail/token"
 )
@@ -23,13 +23,13 @@
 
 // Front serves DASH players of one front end. It keeps no state of its own.
 type Front struct {
-	desk *desk.Desk
+	desk *playapi.Desk
 	log  zerolog.Logger
 	mux  *http.ServeMux
 }
 
 // NewFront makes the handler.
-func NewFront(d *desk.Desk, log zerolog.Logger) *Front {
+func NewFront(d *playapi.Desk, log zerolog.Logger) *Front {
 	f := &Front{desk: d, log: log, mux: http.NewServeMux()}
 	f.mux.HandleFunc("GET /v1/titles/{title}/manifest.mpd", f.first)
 	f.mux.HandleFunc("GET /v1/plays/{token}/manifest.mpd", f.again)
@@ -41,25 +41,25 @@
 
 // ParseFirst reads a first request for a title: product and viewer are needed; top, limit_ms, length_ms and
 // broken may be left out.
-func ParseFirst(set *config.Service, title string, q url.Values) (desk.Request, error) {
+func ParseFirst(set *config.Service, title string, q url.Values) (playapi.Request, error) {
 	w, err := read(q)
 	if err != nil {
-		return desk.Request{}, err
+		return playapi.Request{}, err
 	}
 	w.Title, w.Product, w.Viewer = title, q.Get("product"), q.Get("viewer")
-	return desk.First(set, w)
+	return playapi.First(set, w)
 }
 
 // ParseAgain reads a request by a token that was checked.
-func ParseAgain(set *config.Service, cl token.Claims, q url.Values) (desk.Request, error) {
+func ParseAgain(set *config.Service, cl token.Claims, q url.Values) (playapi.Request, error) {
 	w, err := read(q)
 	if err != nil {
-		return desk.Request{}, err
+		return playapi.Request{}, err
 	}
-	return desk.Again(set, cl, w)
+	return playapi.Again(set, cl, w)
 }
 
-func read(q url.Values) (w desk.Want, err error) {
+func read(q url.Values) (w playapi.Want, err error) {
 	if w.Top, err = whole(q, "top", -1, 0, 1000); err != nil {
 		return w, err
 	}
@@ -74,7 +74,7 @@
 	case "1":
 		w.Broken = true
 	default:
-		return w, desk.BadRequest{Field: "broken", What: "0 or 1 is needed"}
+		return w, playapi.BadRequest{Field: "broken", What: "0 or 1 is needed"}
 	}
 	return w, nil
 }
@@ -86,7 +86,7 @@
 	}
 	n, err := strconv.Atoi(s)
 	if err != nil || n < least || n > most {
-		return 0, desk.BadRequest{Field: name, What: fmt.Sprintf("a whole number from %d is needed, not %.20q", least, s)}
+		return 0, playapi.BadRequest{Field: name, What: fmt.Sprintf("a whole number from %d is needed, not %.20q", least, s)}
 	}
 	return n, nil
 }
@@ -103,7 +103,7 @@
 		if !ok {
 			return
 		}
-		if !desk.Fits(f.desk.Set, cl, req) {
+		if !playapi.Fits(f.desk.Set, cl, req) {
 			refuse(w, http.StatusForbidden, "token: made for another title, viewer or product")
 			return
 		}
@@ -155,7 +155,7 @@
 }
 
 // ask asks and writes the one answer. A client that went away has its request withdrawn.
-func (f *Front) ask(w http.ResponseWriter, r *http.Request, req desk.Request) {
+func (f *Front) ask(w http.ResponseWriter, r *http.Request, req playapi.Request) {
 	began := time.Now()
 	got := make(chan session.Answer, 1)
 	pending := f.desk.Begin(req, nil, func(ans session.Answer) { got <- ans })
--- a/dash/mpd.go
+++ b/dash/mpd.go
@@ -9,7 +9,7 @@
 	"net/url"
 	"strconv"
 
-	"gullrail/desk"
+	"gullrail/playapi"
 )
 
 // Manifest is what an MPD is made of.
@@ -69,7 +69,7 @@
 }
 
 // RepresentationID is the id of a rung's Representation.
-func RepresentationID(rung int) string { return desk.RungID(rung) }
+func RepresentationID(rung int) string { return playapi.RungID(rung) }
 
 // RungOf reads a Representation's id.
 func RungOf(id string) (int, error) {
--- a/lab/ws_test.go
+++ b/lab/ws_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"gullrail/client"
-	"gullrail/desk"
 	"gullrail/lab/tape"
+	"gullrail/playapi"
 )
 
 func (r *rig) viewer(name string, fronts ...string) *client.Client {
@@ -32,7 +32,7 @@
 }
 
 // fetches asks the node for a segment at the best rung granted.
-func (r *rig) fetches(g desk.Grant) int {
+func (r *rig) fetches(g playapi.Grant) int {
 	return r.getAt(g.Base + g.Rungs[len(g.Rungs)-1].ID + "/1.m4s").status
 }
 
--- a/desk/desk.go
+++ b/playapi/playapi.go
@@ -1,7 +1,7 @@
-// Package desk is the half that all protocol fronts share: what a request for a play must hold, its one answer
+// Package playapi is the half that all protocol fronts share: what a request for a play must hold, its one answer
 // within its time limit, and what a viewer is granted with it. A protocol front reads requests and writes answers
 // in its protocol's terms, and does nothing else.
-package desk
+package playapi
 
 import (
 	"fmt"
--- a/serve/serve.go
+++ b/serve/serve.go
@@ -19,11 +19,11 @@
 	"gullrail/admission"
 	"gullrail/config"
 	"gullrail/dash"
-	"gullrail/desk"
 	"gullrail/nodes"
 	"gullrail/parting"
 	"gullrail/peers"
 	"gullrail/placement"
+	"gullrail/playapi"
 	"gullrail/session"
 	"gullrail/token"
 	"gullrail/wsapi"
@@ -106,7 +106,7 @@
 	}
 	mux := http.NewServeMux()
 	life := time.Duration(set.TokenMs * float64(time.Millisecond))
-	d := desk.New(set.Name, media, service, minter, life, f.runner, log)
+	d := playapi.New(set.Name, media, service, minter, life, f.runner, log)
 	mux.Handle("/v1/", dash.NewFront(d, log))
 	f.sockets = wsapi.New(d, clock, set.Sockets, seed+1, log)
 	mux.Handle("GET "+wsapi.Path, f.sockets)
--- a/wsapi/line.go
+++ b/wsapi/line.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"gullrail/desk"
+	"gullrail/playapi"
 	"gullrail/playlog"
 	"gullrail/session"
 	"gullrail/sockets"
@@ -14,7 +14,7 @@
 type line struct {
 	front   *Front
 	ticket  string
-	request desk.Request
+	request playapi.Request
 	limit   int64 // of the request
 	began   time.Time
 
@@ -23,7 +23,7 @@
 	sent     uint64  // cursor up to which the socket in force was sent
 	socket   *socket // nil while there is none
 	brokeAt  int64
-	pending  *desk.Pending
+	pending  *playapi.Pending
 	answered bool
 	plays    bool
 	answerAt uint64 // cursor of the answer
--- a/wsapi/wire.go
+++ b/wsapi/wire.go
@@ -11,7 +11,7 @@
 
 	"github.com/santhosh-tekuri/jsonschema/v6"
 
-	"gullrail/desk"
+	"gullrail/playapi"
 )
 
 // Subprotocol is the name and version of the protocol.
@@ -45,25 +45,25 @@
 
 // Message is a message of either side; which fields it has is the schema's.
 type Message struct {
-	Type     string      `json:"type"`
-	Ticket   string      `json:"ticket,omitempty"`
-	Cursor   uint64      `json:"cursor,omitempty"`
-	Title    string      `json:"title,omitempty"`
-	Product  string      `json:"product,omitempty"`
-	Viewer   string      `json:"viewer,omitempty"`
-	Top      *int        `json:"top,omitempty"`
-	LimitMs  int         `json:"limit_ms,omitempty"`
-	LengthMs int         `json:"length_ms,omitempty"`
-	Token    string      `json:"token,omitempty"`
-	Broken   bool        `json:"broken,omitempty"`
-	Share    *float64    `json:"share,omitempty"`
-	BufferMs int64       `json:"buffer_ms,omitempty"`
-	Verdict  string      `json:"verdict,omitempty"`
-	Why      string      `json:"why,omitempty"`
-	ComeBack int64       `json:"come_back_ms,omitempty"`
-	Play     string      `json:"play,omitempty"`
-	Skipped  int         `json:"skipped,omitempty"`
-	Grant    *desk.Grant `json:"grant,omitempty"`
+	Type     string         `json:"type"`
+	Ticket   string         `json:"ticket,omitempty"`
+	Cursor   uint64         `json:"cursor,omitempty"`
+	Title    string         `json:"title,omitempty"`
+	Product  string         `json:"product,omitempty"`
+	Viewer   string         `json:"viewer,omitempty"`
+	Top      *int           `json:"top,omitempty"`
+	LimitMs  int            `json:"limit_ms,omitempty"`
+	LengthMs int            `json:"length_ms,omitempty"`
+	Token    string         `json:"token,omitempty"`
+	Broken   bool           `json:"broken,omitempty"`
+	Share    *float64       `json:"share,omitempty"`
+	BufferMs int64          `json:"buffer_ms,omitempty"`
+	Verdict  string         `json:"verdict,omitempty"`
+	Why      string         `json:"why,omitempty"`
+	ComeBack int64          `json:"come_back_ms,omitempty"`
+	Play     string         `json:"play,omitempty"`
+	Skipped  int            `json:"skipped,omitempty"`
+	Grant    *playapi.Grant `json:"grant,omitempty"`
 }
 
 // Decode reads a message of a player, checked by the schema.
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -14,14 +14,14 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/decision"
-	"gullrail/desk"
+	"gullrail/playapi"
 	"gullrail/session"
 	"gullrail/sockets"
 )
 
 // Front serves the sockets of one front end.
 type Front struct {
-	desk  *desk.Desk
+	desk  *playapi.Desk
 	clock *session.Clock
 	log   zerolog.Logger
 	ctx   context.Context // ends with the front
@@ -45,7 +45,7 @@
 }
 
 // New makes the sockets' front of a front end that may hold so many connections. Close ends it.
-func New(d *desk.Desk, clock *session.Clock, connections int, seed uint64, log zerolog.Logger) *Front {
+func New(d *playapi.Desk, clock *session.Clock, connections int, seed uint64, log zerolog.Logger) *Front {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Front{desk: d, clock: clock, log: log, ctx: ctx, stop: stop, door: sockets.NewDoor(clock.Now(), sockets.Most(connections), seed),
 		open: map[*socket]bool{}, lines: map[string]*line{}}
@@ -546,11 +546,11 @@
 
 func (s *socket) ask(m Message) string {
 	f := s.front
-	w := desk.Want{Title: m.Title, Product: m.Product, Viewer: m.Viewer, Top: -1, LimitMs: m.LimitMs, LengthMs: m.LengthMs, Broken: m.Broken}
+	w := playapi.Want{Title: m.Title, Product: m.Product, Viewer: m.Viewer, Top: -1, LimitMs: m.LimitMs, LengthMs: m.LengthMs, Broken: m.Broken}
 	if m.Top != nil {
 		w.Top = *m.Top
 	}
-	r, err := desk.First(f.desk.Set, w)
+	r, err := playapi.First(f.desk.Set, w)
 	if err != nil {
 		return err.Error()
 	}
@@ -559,7 +559,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		if !desk.Fits(f.desk.Set, cl, r) {
+		if !playapi.Fits(f.desk.Set, cl, r) {
 			return "token: made for another title, viewer or product"
 		}
 		r.Back = &session.Back{Play: cl.Play, Broken: m.Broken}
@@ -621,7 +621,7 @@
 		s.unknown(m.Ticket, err.Error())
 		return ""
 	}
-	r, err := desk.Again(f.desk.Set, cl, desk.Want{})
+	r, err := playapi.Again(f.desk.Set, cl, playapi.Want{})
 	if err != nil {
 		return err.Error()
 	}
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -21,7 +21,7 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
-	"gullrail/desk"
+	"gullrail/playapi"
 	"gullrail/playlog"
 	"gullrail/session"
 	"gullrail/sockets"
@@ -104,7 +104,7 @@
 	}
 	a := &asker{clock: session.NewClock()}
 	b := &bench{asker: a}
-	b.front = New(desk.New("f", "http", &set, minter, time.Minute, a, zerolog.Nop()), a.clock, connections, 1, zerolog.Nop())
+	b.front = New(playapi.New("f", "http", &set, minter, time.Minute, a, zerolog.Nop()), a.clock, connections, 1, zerolog.Nop())
 	b.server = httptest.NewServer(b.front)
 	t.Cleanup(func() {
 		b.front.Close()
