--- a/lab/node.go
+++ b/lab/node.go
@@ -22,8 +22,8 @@
 	"gullrail/decision"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
+	"gullrail/liveness"
 	"gullrail/nodes"
-	"gullrail/pulse"
 	"gullrail/session"
 	"gullrail/token"
 )
@@ -600,7 +600,7 @@
 	if !send(hello) {
 		return
 	}
-	beat := time.NewTicker(session.Duration(pulse.Beat))
+	beat := time.NewTicker(session.Duration(liveness.Beat))
 	defer beat.Stop()
 	for {
 		note := nodes.Note{Kind: nodes.Beat}
@@ -656,7 +656,7 @@
 					alone = now
 				}
 			}
-			if !p.playing || now.Sub(p.lastUsed) <= f.idle && now.Sub(alone) <= session.Duration(pulse.Lease) {
+			if !p.playing || now.Sub(p.lastUsed) <= f.idle && now.Sub(alone) <= session.Duration(liveness.Lease) {
 				continue
 			}
 			delete(n.plays, id)
--- a/lab/sim.go
+++ b/lab/sim.go
@@ -14,10 +14,10 @@
 	"gullrail/decision"
 	"gullrail/lab/audit"
 	"gullrail/lab/tape"
+	"gullrail/liveness"
 	"gullrail/nodes"
 	"gullrail/placement"
 	"gullrail/playlog"
-	"gullrail/pulse"
 	"gullrail/session"
 )
 
@@ -271,7 +271,7 @@
 		if !ok {
 			heard = p.began
 		}
-		if !p.playing || s.now-p.used <= idle && s.now-heard <= pulse.Lease {
+		if !p.playing || s.now-p.used <= idle && s.now-heard <= liveness.Lease {
 			continue
 		}
 		n.drop(p)
@@ -418,7 +418,7 @@
 
 // beat is once a second: the beats of all streams that live, both ways.
 func (f *simFront) beat(life int) {
-	f.sim.after(pulse.Beat, func() {
+	f.sim.after(liveness.Beat, func() {
 		if !f.up || f.life != life {
 			return
 		}
@@ -606,7 +606,7 @@
 		case !n.up || !f.reaches(n):
 			how = decision.NoConnect
 		case n.hushed > 0:
-			how, after = decision.NoAnswer, pulse.ProbeFor
+			how, after = decision.NoAnswer, liveness.ProbeFor
 		default:
 			load = n.load()
 		}
@@ -628,7 +628,7 @@
 		case !f.reaches(n):
 			f.call(hop, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 		case n.hushed > 0:
-			f.call(pulse.CallFor, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
+			f.call(liveness.CallFor, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 		default:
 			f.streams[node] = n
 			n.heard[f.number] = s.now
--- a/pulse/pulse.go
+++ b/liveness/liveness.go
@@ -1,4 +1,4 @@
-// Package pulse decides what a front end believes of its streams from playout nodes: when silence
+// Package liveness decides what a front end believes of its streams from playout nodes: when silence
 // means that a stream is broken, when to dial it again, when the plays there must have ended, and
 // when a front that just started knows enough of its earlier life to take plays. No I/O and no
 // clock: times are int64 tenths of a millisecond, as in package decision. One goroutine at a time.
@@ -7,7 +7,7 @@
 // reports all plays of that front when the stream is back. So a front may count a play as ended
 // when the node says so, when the node's process is seen to be gone, or Lease and a margin after the
 // stream was last alive; never because of silence alone.
-package pulse
+package liveness
 
 import (
 	"gullrail/decision"
--- a/pulse/pulse_test.go
+++ b/liveness/liveness_test.go
@@ -1,4 +1,4 @@
-package pulse
+package liveness
 
 import (
 	"testing"
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -17,7 +17,7 @@
 	"gullrail/config"
 	"gullrail/decision"
 	"gullrail/internal/pcg"
-	"gullrail/pulse"
+	"gullrail/liveness"
 	"gullrail/roster"
 	"gullrail/session"
 )
@@ -137,7 +137,7 @@
 			failures = 0
 		}
 		l.Log.Warn().Err(err).Int64("version", version).Msg("list service out of reach; the last list holds")
-		pause := session.Duration(pulse.Pause(failures, rnd.Float()))
+		pause := session.Duration(liveness.Pause(failures, rnd.Float()))
 		failures++
 		select {
 		case <-time.After(pause):
@@ -155,8 +155,8 @@
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
-	transport := &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: session.Duration(pulse.CallFor),
-		DialContext: (&net.Dialer{Timeout: session.Duration(pulse.ConnectFor)}).DialContext}
+	transport := &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: session.Duration(liveness.CallFor),
+		DialContext: (&net.Dialer{Timeout: session.Duration(liveness.ConnectFor)}).DialContext}
 	resp, err := (&http.Client{Transport: transport}).Do(req)
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
@@ -165,12 +165,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("list service: %s", resp.Status)
 	}
-	quiet := time.AfterFunc(session.Duration(pulse.SilentFor), cancel) // a dead peer says nothing, not even that
+	quiet := time.AfterFunc(session.Duration(liveness.SilentFor), cancel) // a dead peer says nothing, not even that
 	defer quiet.Stop()
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, lineMost)
 	for lines.Scan() {
-		quiet.Reset(session.Duration(pulse.SilentFor))
+		quiet.Reset(session.Duration(liveness.SilentFor))
 		c, listed, err := ParseChange(lines.Bytes(), l.Set, l.Runner.Clock())
 		if err != nil {
 			return err
--- a/session/core.go
+++ b/session/core.go
@@ -12,9 +12,9 @@
 
 	"gullrail/decision"
 	"gullrail/internal/numbers"
+	"gullrail/liveness"
 	"gullrail/parting"
 	"gullrail/playlog"
-	"gullrail/pulse"
 	"gullrail/recovery"
 	"gullrail/roster"
 )
@@ -216,7 +216,7 @@
 	epoch    int64
 	mod      decision.Chooser
 	out      Carrier
-	watch    *pulse.Watch
+	watch    *liveness.Watch
 	fleet    *roster.Fleet
 	fleetAt  int64 // when the fleet is to be asked again; 0 is not by itself
 	n        uint64
@@ -248,7 +248,7 @@
 // NewCore makes a core for a front's life. Epoch tells its lives apart and only grows; seed draws
 // the pauses between dials. Products may be nil: all then count as paid.
 func NewCore(now int64, name string, epoch int64, mod decision.Chooser, out Carrier, products Products, seed uint64) *Core {
-	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: pulse.New(now, seed), fleet: roster.New(), wakeAt: now,
+	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: liveness.New(now, seed), fleet: roster.New(), wakeAt: now,
 		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: numbers.New(), viewers: numbers.New(),
 		nodeAt: map[string]int{}, ended: map[string]finished{}}
 }
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -6,9 +6,9 @@
 	"testing"
 
 	"gullrail/decision"
+	"gullrail/liveness"
 	"gullrail/placement"
 	"gullrail/playlog"
-	"gullrail/pulse"
 )
 
 const start = ClockStart
@@ -313,11 +313,11 @@
 	c, out := core(1)
 	plays(t, c, out, want(0, "v"))
 	c.StreamBroke(ready, 0, false)
-	c.Wake(ready + pulse.Lease)
+	c.Wake(ready + liveness.Lease)
 	if c.Counts().InHand != 1 {
 		t.Fatal("given up while the node may run it")
 	}
-	c.Wake(ready + 2*pulse.Lease)
+	c.Wake(ready + 2*liveness.Lease)
 	if c.Counts().InHand != 0 || c.Counts().Lost != 1 {
 		t.Fatal("its lease has passed")
 	}
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 
 	"gullrail/decision"
+	"gullrail/liveness"
 	"gullrail/placement"
 	"gullrail/playlog"
-	"gullrail/pulse"
 )
 
 // truth is the naive model of what a crash leaves: where each play of the earlier life really runs, whatever
@@ -144,7 +144,7 @@
 				c.StreamBroke(now, at, false)
 			}
 		}
-		now += pulse.Lease + 3*decision.Second
+		now += liveness.Lease + 3*decision.Second
 		for at := range nodes {
 			if !spoken[at] {
 				for _, p := range plays {
