--- a/roster/roster.go
+++ b/membership/membership.go
@@ -1,4 +1,4 @@
-// Package roster decides what a front end believes of its fleet: which playout nodes there are, by whose word, and which of
+// Package membership decides what a front end believes of its fleet: which playout nodes there are, by whose word, and which of
 // them may be given new plays. Words come from several sources, late, repeated, shuffled, behind or wrong. No I/O and no
 // clock: times are int64 tenths of a millisecond, as in package decision. One goroutine at a time.
 //
@@ -14,7 +14,7 @@
 //     for nodes that are in touch: they are kept until it has said so for a while.
 //  5. An address that answers with another name is another node: the line is not used until its address or start changes.
 //  6. What was saved serves by its age, and only until the list service speaks.
-package roster
+package membership
 
 import (
 	"cmp"
--- a/roster/roster_test.go
+++ b/membership/membership_test.go
@@ -1,4 +1,4 @@
-package roster
+package membership
 
 import (
 	"fmt"
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -18,7 +18,7 @@
 	"gullrail/decision"
 	"gullrail/internal/pcg"
 	"gullrail/liveness"
-	"gullrail/roster"
+	"gullrail/membership"
 	"gullrail/session"
 )
 
@@ -184,7 +184,7 @@
 			return fmt.Errorf("list service: version %d came after %d", c.Version, have)
 		}
 		*version = c.Version
-		word := roster.Word{Source: roster.List, Version: c.Version, Whole: c.Whole, Lines: listed}
+		word := membership.Word{Source: membership.List, Version: c.Version, Whole: c.Whole, Lines: listed}
 		l.Runner.Tell(func(now int64, core *session.Core) { core.Word(now, word) })
 	}
 	if err := lines.Err(); err != nil {
--- a/serve/fleet.go
+++ b/serve/fleet.go
@@ -14,8 +14,8 @@
 
 	"gullrail/config"
 	"gullrail/decision"
+	"gullrail/membership"
 	"gullrail/nodes"
-	"gullrail/roster"
 	"gullrail/session"
 	"gullrail/store"
 )
@@ -40,7 +40,7 @@
 	runner *session.Runner
 	say    zerolog.Logger
 	log    *store.Log // nil where nothing is kept
-	saved  *roster.Word
+	saved  *membership.Word
 	last   string
 }
 
@@ -76,7 +76,7 @@
 	return f, nil
 }
 
-func (f *fleet) read(text []byte) (*roster.Word, error) {
+func (f *fleet) read(text []byte) (*membership.Word, error) {
 	var s savedFleet
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("saved list: %w", err)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("saved %w", err)
 	}
-	return &roster.Word{Source: roster.Saved, Version: s.Version, Whole: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Lines: lines}, nil
+	return &membership.Word{Source: membership.Saved, Version: s.Version, Whole: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Lines: lines}, nil
 }
 
 // run offers what was saved if the list service has not spoken in time, and writes the list down as it changes, until
@@ -99,7 +99,7 @@
 	}
 	if f.saved != nil {
 		select {
-		case <-time.After(session.Duration(roster.SavedAfter)):
+		case <-time.After(session.Duration(membership.SavedAfter)):
 		case <-ctx.Done():
 			return nil
 		}
@@ -133,7 +133,7 @@
 func (f *fleet) save(ctx context.Context) {
 	type kept struct {
 		version int64
-		lines   []roster.Line
+		lines   []membership.Line
 		heard   bool
 	}
 	got := make(chan kept, 1)
@@ -186,7 +186,7 @@
 
 // believed answers with what the front believes.
 func (f *Front) believed(w http.ResponseWriter, r *http.Request) {
-	got := make(chan []roster.Belief, 1)
+	got := make(chan []membership.Belief, 1)
 	f.runner.Tell(func(now int64, c *session.Core) { got <- c.Beliefs(now) })
 	select {
 	case all := <-got:
--- a/session/core.go
+++ b/session/core.go
@@ -13,10 +13,10 @@
 	"gullrail/decision"
 	"gullrail/internal/numbers"
 	"gullrail/liveness"
+	"gullrail/membership"
 	"gullrail/parting"
 	"gullrail/playlog"
 	"gullrail/recovery"
-	"gullrail/roster"
 )
 
 const (
@@ -75,7 +75,7 @@
 }
 
 // Listed is one line of the list of playout nodes, by name.
-type Listed = roster.Line
+type Listed = membership.Line
 
 // Running is a play that a node reports as running for this front.
 type Running struct {
@@ -217,7 +217,7 @@
 	mod      decision.Chooser
 	out      Carrier
 	watch    *liveness.Watch
-	fleet    *roster.Fleet
+	fleet    *membership.Fleet
 	fleetAt  int64 // when the fleet is to be asked again; 0 is not by itself
 	n        uint64
 	plays    map[string]*play
@@ -248,7 +248,7 @@
 // NewCore makes a core for a front's life. Epoch tells its lives apart and only grows; seed draws
 // the pauses between dials. Products may be nil: all then count as paid.
 func NewCore(now int64, name string, epoch int64, mod decision.Chooser, out Carrier, products Products, seed uint64) *Core {
-	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: liveness.New(now, seed), fleet: roster.New(), wakeAt: now,
+	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: liveness.New(now, seed), fleet: membership.New(), wakeAt: now,
 		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: numbers.New(), viewers: numbers.New(),
 		nodeAt: map[string]int{}, ended: map[string]finished{}}
 }
@@ -705,21 +705,21 @@
 
 // List brings the whole list of nodes, or what changed of it, from a list service that counts no versions.
 func (c *Core) List(now int64, lines []Listed, whole bool) {
-	c.Word(now, roster.Word{Source: roster.List, Whole: whole, Lines: lines})
+	c.Word(now, membership.Word{Source: membership.List, Whole: whole, Lines: lines})
 }
 
 // Word brings what a source says of the fleet, and tells whether it counts.
-func (c *Core) Word(now int64, w roster.Word) bool {
+func (c *Core) Word(now int64, w membership.Word) bool {
 	counts := c.fleet.Hear(now, w)
 	c.learn(now)
 	return counts
 }
 
 // Beliefs are what the front believes of its fleet.
-func (c *Core) Beliefs(now int64) []roster.Belief { return c.fleet.Beliefs(now) }
+func (c *Core) Beliefs(now int64) []membership.Belief { return c.fleet.Beliefs(now) }
 
 // ListHeard tells that the list service has spoken in this life.
-func (c *Core) ListHeard() bool { return c.fleet.Spoke(roster.List) }
+func (c *Core) ListHeard() bool { return c.fleet.Spoke(membership.List) }
 
 // Keep is the list as it is worth writing down.
 func (c *Core) Keep() (version int64, lines []Listed) { return c.fleet.Keep() }
