--- a/serve/serve.go
+++ b/serve/serve.go
@@ -20,11 +20,11 @@
 	"gullrail/config"
 	"gullrail/dash"
 	"gullrail/nodes"
-	"gullrail/parting"
 	"gullrail/peers"
 	"gullrail/placement"
 	"gullrail/playapi"
 	"gullrail/session"
+	"gullrail/shutdown"
 	"gullrail/token"
 	"gullrail/wsapi"
 )
@@ -182,7 +182,7 @@
 	f.runner.Shut()
 	f.runner.Tell(func(now int64, c *session.Core) { c.Part(now, end) })
 	f.sockets.Shut()
-	last := time.AfterFunc(session.Duration(parting.Deadline(end)-f.runner.Clock().Now()), func() {
+	last := time.AfterFunc(session.Duration(shutdown.Deadline(end)-f.runner.Clock().Now()), func() {
 		f.runner.Tell(func(now int64, c *session.Core) { c.Close(now) })
 	})
 	defer last.Stop()
--- a/session/core.go
+++ b/session/core.go
@@ -14,9 +14,9 @@
 	"gullrail/internal/numbers"
 	"gullrail/liveness"
 	"gullrail/membership"
-	"gullrail/parting"
 	"gullrail/playlog"
 	"gullrail/recovery"
+	"gullrail/shutdown"
 )
 
 const (
@@ -828,7 +828,7 @@
 func (c *Core) Part(now, end int64) {
 	c.parting = true
 	for _, p := range c.unanswered() {
-		c.giveUp(now, p, parting.Judge(now, end, c.request(p)))
+		c.giveUp(now, p, shutdown.Judge(now, end, c.request(p)))
 	}
 }
 
@@ -836,21 +836,21 @@
 func (c *Core) Close(now int64) {
 	c.parting = true
 	for _, p := range c.unanswered() {
-		c.giveUp(now, p, parting.Expired(c.request(p)))
+		c.giveUp(now, p, shutdown.Expired(c.request(p)))
 	}
 }
 
 // Release lets the plays that play go, one by one up to a time, as nobody takes this front's place.
 func (c *Core) Release(now, end int64) {
-	var plays []parting.Playing
+	var plays []shutdown.Playing
 	var ids []string
 	for i, p := range c.places {
 		if p != nil && p.stage == playing {
-			plays = append(plays, parting.Playing{Importance: c.importance(p.ask.Product), Key: i})
+			plays = append(plays, shutdown.Playing{Importance: c.importance(p.ask.Product), Key: i})
 			ids = append(ids, p.id)
 		}
 	}
-	order, at := parting.Release(now, end, plays)
+	order, at := shutdown.Release(now, end, plays)
 	for i, o := range order {
 		c.releases = append(c.releases, release{ids[o], at[i]})
 	}
@@ -876,18 +876,18 @@
 	return all
 }
 
-func (c *Core) request(p *play) parting.Request {
-	return parting.Request{Limit: p.ask.Limit, Paid: c.paid(p.ask.Product), Out: p.stage == settingUp, MayHave: p.mayHave}
+func (c *Core) request(p *play) shutdown.Request {
+	return shutdown.Request{Limit: p.ask.Limit, Paid: c.paid(p.ask.Product), Out: p.stage == settingUp, MayHave: p.mayHave}
 }
 
-func (c *Core) giveUp(now int64, p *play, v parting.Verdict) {
+func (c *Core) giveUp(now int64, p *play, v shutdown.Verdict) {
 	switch v {
-	case parting.Wait:
+	case shutdown.Wait:
 		return
-	case parting.Fail:
+	case shutdown.Fail:
 		c.counts.Failed++
 		p.ask.Reply.Give(Answer{Verdict: Failed, Play: p.id, Why: "the front is ending"})
-	case parting.Decline:
+	case shutdown.Decline:
 		c.counts.Declined++
 		p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, Why: "the front is ending", ComeBack: decision.Second})
 	}
--- a/parting/parting.go
+++ b/shutdown/shutdown.go
@@ -1,8 +1,8 @@
-// Package parting decides how a front end gives up what it holds when it ends in order: which requests
+// Package shutdown decides how a front end gives up what it holds when it ends in order: which requests
 // still wait for their answer and for how long, how the others are answered, and when the plays that play
 // are let go where nobody will take them over. No I/O and no clock: times are int64 tenths of a
 // millisecond, as in package decision, and come in as arguments.
-package parting
+package shutdown
 
 import (
 	"sort"
--- a/parting/parting_test.go
+++ b/shutdown/shutdown_test.go
@@ -1,4 +1,4 @@
-package parting
+package shutdown
 
 import (
 	"testing"
