--- a/internal/terms/terms.go
+++ b/internal/convert/convert.go
@@ -1,6 +1,6 @@
-// Package terms turns the platform's words into the module's, the same for every way in: the settings, what a
+// Package convert turns the platform's words into the module's, the same for every way in: the settings, what a
 // request says of a title and its viewer, lines of the list, reports. It decides nothing.
-package terms
+package convert
 
 import (
 	"encoding/json"
--- a/internal/heath/codec.go
+++ b/internal/heath/codec.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"gullrail/decision"
-	"gullrail/internal/terms"
+	"gullrail/internal/convert"
 )
 
 // line is one message: its name and its parts, not yet read.
@@ -67,7 +67,7 @@
 }
 
 // A fieldError names the part of a line that could not be read.
-type fieldError = terms.FieldError
+type fieldError = convert.FieldError
 
 func wrong(field, what string) fieldError { return fieldError{Field: field, What: what} }
 
@@ -130,7 +130,7 @@
 }
 
 // load reads a report by the columns of the settings; columns that no call uses are passed over.
-func (ln *line) load(t *terms.Terms) decision.Load {
+func (ln *line) load(t *convert.Terms) decision.Load {
 	row, ok := ln.find("report")
 	if !ok || row == "" || row == "-" {
 		return decision.Untold
--- a/internal/heath/heath_test.go
+++ b/internal/heath/heath_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"gullrail/decision"
-	"gullrail/internal/terms"
+	"gullrail/internal/convert"
 )
 
 const config = `{"balancers":1,"me":0,"zone":"a","localities":["a"],"shapes":["k"],"new-key":[{"x":1}],` +
@@ -96,7 +96,7 @@
 }
 
 func TestSettingsOfLiveTitlesMessagesAndReports(t *testing.T) {
-	t0, err := terms.Read(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
+	t0, err := convert.Read(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
 		`"rate-factor":[1]`, `"rate-factor":[1],"is-live":[true],"join-adds":0.3`).Replace(config))
 	if err != nil {
 		t.Fatal(err)
@@ -107,7 +107,7 @@
 			t.Errorf("%s is %v", name, v)
 		}
 	}
-	if plain, _ := terms.Read(config); plain.Set["reports.answers"][0] != 0 || plain.Set["peers"] != nil || plain.Set["join"] != nil {
+	if plain, _ := convert.Read(config); plain.Set["reports.answers"][0] != 0 || plain.Set["peers"] != nil || plain.Set["join"] != nil {
 		t.Errorf("not given, yet there: %v", plain.Set)
 	}
 }
--- a/internal/heath/host.go
+++ b/internal/heath/host.go
@@ -10,14 +10,14 @@
 	"strings"
 
 	"gullrail/decision"
-	"gullrail/internal/terms"
+	"gullrail/internal/convert"
 	"gullrail/placement"
 )
 
 // instance is one front end: its module and the numbers that stand for the wire's names.
 type instance struct {
 	mod     decision.Chooser
-	terms   *terms.Terms
+	terms   *convert.Terms
 	nodes   map[string]int
 	addr    []string
 	titles  map[string]int
@@ -89,7 +89,7 @@
 		if h.inBatch {
 			return fmt.Errorf("MARK: the batch before it has no EOB")
 		}
-		h.now, h.batch, h.inBatch, h.last, h.lineNo = terms.Ticks(ln.number("ts-ms")), ln.whole("n"), true, -1, 1
+		h.now, h.batch, h.inBatch, h.last, h.lineNo = convert.Ticks(ln.number("ts-ms")), ln.whole("n"), true, -1, 1
 		return nil
 	case "EOB":
 		if !h.inBatch {
@@ -134,7 +134,7 @@
 
 func readRow(ln *line) row {
 	r := row{addr: ln.text("node"), zone: ln.text("campus"), kind: ln.text("generation-hw"),
-		cell: int(ln.whole("place")), started: terms.Ticks(ln.numberOr("ready-at-ms", 0)),
+		cell: int(ln.whole("place")), started: convert.Ticks(ln.numberOr("ready-at-ms", 0)),
 		weight: ln.numberOr("heft", 1)}
 	switch p := ln.text("phase"); p {
 	case "ready":
@@ -154,7 +154,7 @@
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", wrong("random-seed", "not a whole number"))
 	}
-	t, err := terms.Read(h.ln.text("config"))
+	t, err := convert.Read(h.ln.text("config"))
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", err)
 	}
@@ -194,7 +194,7 @@
 	bits := ln.wholeOr("bits", 0)
 	product := known(in.terms.Products, "service", ln.text("service"))
 	asset := ln.text("asset")
-	r := terms.Request{
+	r := convert.Request{
 		Product:   product,
 		Title:     number(in.titles, asset),
 		TitleName: asset,
@@ -272,7 +272,7 @@
 }
 
 func (in *instance) update(ln *line, now int64, hd decision.Handle) *decision.Result {
-	return terms.Note(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
+	return convert.Note(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
 }
 
 func (in *instance) bind(job int64, hd decision.Handle) {
@@ -294,7 +294,7 @@
 	}
 	in.list = in.list[:0]
 	for _, r := range h.pages[page] {
-		in.list = append(in.list, terms.Row{Phase: r.phase, Name: r.addr, Kind: known(in.terms.Kinds, "generation-hw", r.kind),
+		in.list = append(in.list, convert.Row{Phase: r.phase, Name: r.addr, Kind: known(in.terms.Kinds, "generation-hw", r.kind),
 			Zone: known(in.terms.Zones, "campus", r.zone), Cell: r.cell, Started: r.started, Weight: r.weight}.Node(in.node(r.addr)))
 	}
 	h.encode(in, in.mod.Nodes(h.now, in.list, how != "update"))
