--- a/internal/numbers/numbers.go
+++ b/internal/intern/intern.go
@@ -1,5 +1,5 @@
-// Package numbers gives names small numbers.
-package numbers
+// Package intern gives names small numbers.
+package intern
 
 // Numbers gives names small numbers, and gives a number back once nothing refers to it and
 // may forget says so. Guards against tables that grow with every name ever met.
--- a/session/core.go
+++ b/session/core.go
@@ -11,7 +11,7 @@
 	"strconv"
 
 	"gullrail/decision"
-	"gullrail/internal/numbers"
+	"gullrail/internal/intern"
 	"gullrail/liveness"
 	"gullrail/membership"
 	"gullrail/playlog"
@@ -223,8 +223,8 @@
 	plays    map[string]*play
 	places   []*play // by place of the handle
 	asking   map[string]*play
-	titles   *numbers.Numbers
-	viewers  *numbers.Numbers
+	titles   *intern.Numbers
+	viewers  *intern.Numbers
 	nodes    []node
 	nodeAt   map[string]int
 	freed    []int // node numbers that may name another
@@ -249,7 +249,7 @@
 // the pauses between dials. Products may be nil: all then count as paid.
 func NewCore(now int64, name string, epoch int64, mod decision.Chooser, out Carrier, products Products, seed uint64) *Core {
 	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: liveness.New(now, seed), fleet: membership.New(), wakeAt: now,
-		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: numbers.New(), viewers: numbers.New(),
+		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: intern.New(), viewers: intern.New(),
 		nodeAt: map[string]int{}, ended: map[string]finished{}}
 }
 
