--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"gullrail/internal/heath"
+	"gullrail/internal/benchproto"
 )
 
 func main() {
-	if err := heath.Run(os.Stdin, os.Stdout); err != nil {
+	if err := benchproto.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "drill:", err)
 		os.Exit(1)
 	}
--- a/internal/heath/heath_test.go
+++ b/internal/benchproto/benchproto_test.go
@@ -1,4 +1,4 @@
-package heath
+package benchproto
 
 import (
 	"bufio"
--- a/internal/heath/codec.go
+++ b/internal/benchproto/codec.go
@@ -1,6 +1,6 @@
-// Package heath speaks the bench's wire: it decodes lines into calls on the decision module
+// Package benchproto speaks the bench's wire: it decodes lines into calls on the decision module
 // and encodes what they return. It hosts many instances and shares nothing among them.
-package heath
+package benchproto
 
 import (
 	"bufio"
