--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"gullrail/kit"
 	"gullrail/lab"
 	"gullrail/lab/tape"
 	"gullrail/nodes"
+	"gullrail/rundir"
 )
 
 type kitVerbs struct {
@@ -43,7 +43,7 @@
 
 // started is a run that goes on, as the one who started it holds it.
 type started struct {
-	run   *kit.Run
+	run   *rundir.Run
 	day   *lab.Day
 	self  string
 	stage *lab.Rehearsal // the fronts' side
@@ -55,7 +55,7 @@
 // terminal reaches the kit alone, which then ends it in order.
 func (s *started) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(s.self, append([]string{"kit", "member", "--dir", s.run.Folder}, args...)...)
-	cmd.Env = append(os.Environ(), kit.Nonce+"="+s.run.Nonce)
+	cmd.Env = append(os.Environ(), rundir.Nonce+"="+s.run.Nonce)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd
 }
@@ -119,7 +119,7 @@
 		return nil, err
 	}
 	base := tape.Monotonic()
-	run, err := kit.Create(folder, file, day.Seed, base)
+	run, err := rundir.Create(folder, file, day.Seed, base)
 	if err != nil {
 		return nil, err
 	}
@@ -350,7 +350,7 @@
 type kitDown struct{ kitFolder }
 
 func (v *kitDown) Run() error {
-	run, err := kit.Open(v.Dir)
+	run, err := rundir.Open(v.Dir)
 	if err != nil {
 		return wrong{err}
 	}
@@ -362,7 +362,7 @@
 type kitStatus struct{ kitFolder }
 
 func (v *kitStatus) Run() error {
-	run, err := kit.Open(v.Dir)
+	run, err := rundir.Open(v.Dir)
 	if err != nil {
 		return wrong{err}
 	}
@@ -384,10 +384,10 @@
 type kitClean struct{ kitFolder }
 
 func (v *kitClean) Run() error {
-	run, err := kit.Open(v.Dir)
-	if errors.Is(err, kit.ErrNoRun) {
+	run, err := rundir.Open(v.Dir)
+	if errors.Is(err, rundir.ErrNoRun) {
 		fmt.Println("nothing to clean")
-		return kit.Tidy(v.Dir)
+		return rundir.Tidy(v.Dir)
 	}
 	if err != nil {
 		return wrong{err}
@@ -411,7 +411,7 @@
 }
 
 func (v *kitMember) Run(ctx context.Context) error {
-	run, err := kit.Open(v.Dir)
+	run, err := rundir.Open(v.Dir)
 	if err != nil {
 		return err
 	}
--- a/cmd/gullrail/kit_test.go
+++ b/cmd/gullrail/kit_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"gullrail/kit"
 	"gullrail/lab"
 	"gullrail/nodes"
+	"gullrail/rundir"
 )
 
 // interrupts asks for a long run: go test ./cmd/gullrail -run Interrupted -interrupts 50 -v
@@ -58,7 +58,7 @@
 
 // nonceIn reads the nonce of a run folder, "" where there is none.
 func nonceIn(folder string) string {
-	var r kit.Run
+	var r rundir.Run
 	b, _ := os.ReadFile(filepath.Join(folder, "run.json"))
 	json.Unmarshal(b, &r)
 	return r.Nonce
@@ -68,7 +68,7 @@
 func runs(nonce string) (n int) {
 	files, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, f := range files {
-		if b, err := os.ReadFile(f); err == nil && nonce != "" && bytes.Contains(b, []byte(kit.Nonce+"="+nonce)) {
+		if b, err := os.ReadFile(f); err == nil && nonce != "" && bytes.Contains(b, []byte(rundir.Nonce+"="+nonce)) {
 			n++
 		}
 	}
--- a/kit/folder.go
+++ b/rundir/rundir.go
@@ -1,4 +1,4 @@
-// Package kit runs rehearsals as processes of their own under one run folder, and finds and ends them
+// Package rundir runs rehearsals as processes of their own under one run folder, and finds and ends them
 // whatever became of the one who started them.
 //
 // The protocol of a run folder. The run file names the run by a nonce and says whether it goes on. Each
@@ -10,7 +10,7 @@
 // A registration holds the process's id, the time of its start as the kernel counts it, and the run
 // file the machine's boot and the folder's own path. A process is ours only if id, start time and nonce
 // all match: a reused id, a folder copied from elsewhere or another run's process never is.
-package kit
+package rundir
 
 import (
 	"crypto/rand"
--- a/kit/signals_test.go
+++ b/rundir/signals_test.go
@@ -1,4 +1,4 @@
-package kit
+package rundir
 
 import (
 	"os/signal"
