--- a/cmd/gullrail/compare.go
+++ b/cmd/gullrail/compare.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"gullrail/lab"
+	"gullrail/testbed"
 )
 
 type compareVerb struct {
@@ -18,15 +18,15 @@
 }
 
 func (v *compareVerb) Run(ctx context.Context) error {
-	side := func(file, module, build string) (lab.Side, error) {
-		day, err := lab.ReadDay(file)
+	side := func(file, module, build string) (testbed.Side, error) {
+		day, err := testbed.ReadDay(file)
 		if err != nil {
 			return nil, wrong{err}
 		}
 		if build != "" {
-			return lab.BuildSide(ctx, build, file, module), nil
+			return testbed.BuildSide(ctx, build, file, module), nil
 		}
-		return lab.DaySide(day, module), nil
+		return testbed.DaySide(day, module), nil
 	}
 	a, err := side(v.A, v.ModuleA, v.BuildA)
 	if err != nil {
@@ -43,7 +43,7 @@
 	for i := range v.Seeds {
 		seeds = append(seeds, uint64(i+1))
 	}
-	pairs, err := lab.Compare(a, b, seeds)
+	pairs, err := testbed.Compare(a, b, seeds)
 	if err != nil {
 		return err
 	}
@@ -55,7 +55,7 @@
 			broken++
 		}
 	}
-	for _, d := range lab.Differences(pairs) {
+	for _, d := range testbed.Differences(pairs) {
 		fmt.Println("  " + d.String())
 	}
 	if broken > 0 {
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"gullrail/lab"
-	"gullrail/lab/tape"
 	"gullrail/nodes"
 	"gullrail/rundir"
+	"gullrail/testbed"
+	"gullrail/testbed/tape"
 )
 
 type kitVerbs struct {
@@ -44,9 +44,9 @@
 // started is a run that goes on, as the one who started it holds it.
 type started struct {
 	run   *rundir.Run
-	day   *lab.Day
+	day   *testbed.Day
 	self  string
-	stage *lab.Rehearsal // the fronts' side
+	stage *testbed.Rehearsal // the fronts' side
 	tape  *tape.Tape
 	ended map[string]chan struct{} // closed once a member's process has ended
 }
@@ -104,7 +104,7 @@
 
 // start begins a run and brings it up. What it started is to be ended by Clean, also when it fails.
 func start(ctx context.Context, folder, file string, seed uint64, say func(string, ...any)) (*started, error) {
-	day, err := lab.ReadDay(file)
+	day, err := testbed.ReadDay(file)
 	if err != nil {
 		return nil, wrong{err}
 	}
@@ -154,7 +154,7 @@
 	if err := s.await(ctx, "list", &list); err != nil {
 		return s, err
 	}
-	s.stage = &lab.Rehearsal{Day: day, Folder: run.Folder, Say: say, Command: func(name, file string) *exec.Cmd {
+	s.stage = &testbed.Rehearsal{Day: day, Folder: run.Folder, Say: say, Command: func(name, file string) *exec.Cmd {
 		return s.command("--file", file, name)
 	}}
 	if err := s.stage.StartFronts(ctx, list.Players, s.tape); err != nil {
@@ -223,7 +223,7 @@
 }
 
 // played plays the day and leaves its tape and page in the run folder.
-func (v *kitRun) played(ctx context.Context, say io.Writer) (*lab.Outcome, error) {
+func (v *kitRun) played(ctx context.Context, say io.Writer) (*testbed.Outcome, error) {
 	s, err := start(ctx, v.Dir, v.File, v.Seed, func(format string, args ...any) { fmt.Fprintf(say, "  "+format+"\n", args...) })
 	if s == nil {
 		return nil, err
@@ -255,7 +255,7 @@
 		}
 		tapes = append(tapes, lines)
 	}
-	out := &lab.Outcome{Short: short.Short}
+	out := &testbed.Outcome{Short: short.Short}
 	out.Report, out.Lines = s.day.Audit(tapes...)
 	return out, keep(s.run.Folder, v.File, s.day, out)
 }
@@ -275,17 +275,17 @@
 	fmt.Printf("%-18s %8s %8s %8s %8s %8s  %s\n", "day", "asked", "declined", "failed", "service", "worth", "rules")
 	broken := 0
 	for _, file := range files {
-		var out *lab.Outcome
+		var out *testbed.Outcome
 		name := strings.TrimSuffix(filepath.Base(file), ".jsonc")
 		if v.Sim {
-			day, err := lab.ReadDay(file)
+			day, err := testbed.ReadDay(file)
 			if err != nil {
 				return wrong{err}
 			}
 			if v.Seed != 0 {
 				day.Seed = v.Seed
 			}
-			out = (&lab.Sim{Day: day}).Run()
+			out = (&testbed.Sim{Day: day}).Run()
 		} else {
 			run := kitRun{kitFolder: kitFolder{filepath.Join(v.Dir, name)}, File: file, Seed: v.Seed}
 			if out, err = run.played(ctx, io.Discard); err != nil {
@@ -427,13 +427,13 @@
 		run.Leave(v.Name + ".starting")
 		return (&serveVerb{File: v.File}).Run(ctx)
 	}
-	day, err := lab.ReadDay(run.Day)
+	day, err := testbed.ReadDay(run.Day)
 	if err != nil {
 		return err
 	}
 	day.Seed = run.Seed
 	t := tape.NewAt(time.Duration(run.BaseNs))
-	part := &lab.Rehearsal{Day: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
+	part := &testbed.Rehearsal{Day: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
 	defer part.Down()
 	var lines []tape.Line
 	if v.Name == "viewers" {
@@ -441,7 +441,7 @@
 			return err
 		}
 		run.Leave(v.Name + ".starting")
-		var fronts []lab.Reached
+		var fronts []testbed.Reached
 		if err := readJSON(filepath.Join(run.Folder, "fronts.json"), &fronts); err != nil {
 			return err
 		}
--- a/cmd/gullrail/kit_test.go
+++ b/cmd/gullrail/kit_test.go
@@ -15,9 +15,9 @@
 	"testing"
 	"time"
 
-	"gullrail/lab"
 	"gullrail/nodes"
 	"gullrail/rundir"
+	"gullrail/testbed"
 )
 
 // interrupts asks for a long run: go test ./cmd/gullrail -run Interrupted -interrupts 50 -v
@@ -86,7 +86,7 @@
 	for _, l := range lines {
 		addrs = append(addrs, l.Address)
 	}
-	var fronts []lab.Reached
+	var fronts []testbed.Reached
 	readJSON(filepath.Join(folder, "fronts.json"), &fronts)
 	for _, f := range fronts {
 		addrs = append(addrs, f.Address)
--- a/cmd/gullrail/load.go
+++ b/cmd/gullrail/load.go
@@ -6,7 +6,7 @@
 	"os"
 	"time"
 
-	"gullrail/lab"
+	"gullrail/testbed"
 )
 
 type loadVerb struct {
@@ -18,7 +18,7 @@
 
 // Run starts the day's nodes and fronts and measures the fronts under an open loop of requests.
 func (v *loadVerb) Run(ctx context.Context) (err error) {
-	day, err := lab.ReadDay(v.File)
+	day, err := testbed.ReadDay(v.File)
 	if err != nil {
 		return wrong{err}
 	}
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	run := &lab.Rehearsal{Day: day, Program: self, Folder: folder}
+	run := &testbed.Rehearsal{Day: day, Program: self, Folder: folder}
 	defer func() {
 		if e := run.Down(); e != nil && err == nil {
 			err = e
@@ -43,7 +43,7 @@
 	fmt.Printf("%d fronts, %d nodes (loopback, all on this machine)\n", day.Service.Fronts, day.Nodes)
 	fmt.Println("   rate    asked    plays declined   failed   broken  p50 ms  p99 ms p99.9 ms   max ms  allocs/req  kB/req  cpu us/req  core us/req  goroutines  heap MB")
 	for i, rate := range v.Rate {
-		l := &lab.Load{Day: day, Fronts: run.Fronts(), Rate: rate, For: v.For, Hold: v.Hold, Name: fmt.Sprint("load", i)}
+		l := &testbed.Load{Day: day, Fronts: run.Fronts(), Rate: rate, For: v.For, Hold: v.Hold, Name: fmt.Sprint("load", i)}
 		res, err := l.Run(ctx)
 		if err != nil {
 			return err
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -18,12 +18,12 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
-	"gullrail/lab"
-	"gullrail/lab/audit"
-	"gullrail/lab/page"
-	"gullrail/lab/tape"
 	"gullrail/platform"
 	"gullrail/serve"
+	"gullrail/testbed"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/page"
+	"gullrail/testbed/tape"
 )
 
 // Exit codes beside 0.
@@ -114,7 +114,7 @@
 	if err == nil {
 		switch {
 		case root.At("day").Given():
-			_, err = lab.ReadDay(v.File)
+			_, err = testbed.ReadDay(v.File)
 		case root.At("known").Given() || root.At("channel").Given():
 			_, err = platform.ReadOptions(v.File)
 		default:
@@ -139,7 +139,7 @@
 }
 
 func (v *rehearseVerb) Run(ctx context.Context) error {
-	day, err := lab.ReadDay(v.File)
+	day, err := testbed.ReadDay(v.File)
 	if err != nil {
 		return wrong{err}
 	}
@@ -152,7 +152,7 @@
 		day.Sockets = v.Sockets
 	}
 	if v.Sim {
-		out := (&lab.Sim{Day: day, Module: lab.Baseline(v.Module)}).Run()
+		out := (&testbed.Sim{Day: day, Module: testbed.Baseline(v.Module)}).Run()
 		if !v.JSON {
 			fmt.Printf("%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (simulated, module %s)\n", filepath.Base(v.File), day.Seed,
 				day.Service.Fronts, day.Nodes, day.Rate, day.Seconds, v.Module)
@@ -189,7 +189,7 @@
 	}
 	fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback)\n", filepath.Base(v.File), day.Seed,
 		day.Service.Fronts, day.Nodes, day.Rate, day.Seconds)
-	run := &lab.Rehearsal{Day: day, Program: self, Folder: folder, Say: func(format string, args ...any) {
+	run := &testbed.Rehearsal{Day: day, Program: self, Folder: folder, Say: func(format string, args ...any) {
 		fmt.Fprintf(say, "  "+format+"\n", args...)
 	}}
 	out, err := run.Run(ctx)
@@ -205,7 +205,7 @@
 }
 
 // keep writes a run's tape and its page into a folder.
-func keep(folder, file string, day *lab.Day, out *lab.Outcome) error {
+func keep(folder, file string, day *testbed.Day, out *testbed.Outcome) error {
 	if err := writeTape(filepath.Join(folder, "tape.jsonl"), out.Lines); err != nil {
 		return err
 	}
@@ -239,7 +239,7 @@
 }
 
 func (v *auditVerb) Run() error {
-	day, err := lab.ReadDay(v.Day)
+	day, err := testbed.ReadDay(v.Day)
 	if err != nil {
 		return wrong{err}
 	}
--- a/lab/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -7,7 +7,7 @@
 	"sort"
 
 	"gullrail/config"
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 const (
--- a/lab/audit/audit_test.go
+++ b/testbed/audit/audit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"gullrail/config"
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 func service() *config.Service {
--- a/lab/baseline.go
+++ b/testbed/baseline.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"gullrail/decision"
--- a/lab/compare.go
+++ b/testbed/compare.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"gullrail/lab/audit"
+	"gullrail/testbed/audit"
 )
 
 // Side is one of two things compared: something that plays a seed and says what it came to.
--- a/lab/fleet_test.go
+++ b/testbed/fleet_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"net/http"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 // saved starts a front, lets it write its list down, and stops it and the list service.
--- a/lab/list.go
+++ b/testbed/list.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"gullrail/lab/tape"
 	"gullrail/nodes"
+	"gullrail/testbed/tape"
 )
 
 // Registry is the stand-in list service: it knows the fleet and tells each front late.
--- a/lab/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
 	"gullrail/serve"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/tape"
 )
 
 // freeUDP finds a port for messages that nobody uses.
--- a/lab/node.go
+++ b/testbed/node.go
@@ -1,6 +1,6 @@
-// Package lab holds the stand-ins that the project rehearses against: playout nodes, the list service
+// Package testbed holds the stand-ins that the project rehearses against: playout nodes, the list service
 // and viewers, with the faults of a script. Nothing of the product imports it.
-package lab
+package testbed
 
 import (
 	"context"
@@ -20,11 +20,11 @@
 	"gullrail/config"
 	"gullrail/dash"
 	"gullrail/decision"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
 	"gullrail/liveness"
 	"gullrail/nodes"
 	"gullrail/session"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/tape"
 	"gullrail/token"
 )
 
--- a/lab/page/page.go
+++ b/testbed/page/page.go
@@ -15,9 +15,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"gullrail/lab"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
+	"gullrail/testbed"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/tape"
 )
 
 const bin = 2.0 // seconds that one point of a curve stands for
@@ -53,7 +53,7 @@
 }
 
 // charts works the curves out of a tape.
-func charts(day *lab.Day, lines []tape.Line) []*chart {
+func charts(day *testbed.Day, lines []tape.Line) []*chart {
 	set := &day.Service
 	type ask struct {
 		t          int64
@@ -164,7 +164,7 @@
 	name     string
 }
 
-func bands(day *lab.Day, lines []tape.Line) (out []band) {
+func bands(day *testbed.Day, lines []tape.Line) (out []band) {
 	lasts := map[string]float64{}
 	for _, f := range day.Faults {
 		lasts[f.String()] = max(1, f.For)
@@ -263,7 +263,7 @@
 `))
 
 // Write writes the page of a day that was played.
-func Write(w io.Writer, title string, day *lab.Day, lines []tape.Line, rep *audit.Report) error {
+func Write(w io.Writer, title string, day *testbed.Day, lines []tape.Line, rep *audit.Report) error {
 	faults := bands(day, lines)
 	all := charts(day, lines)
 	for _, c := range all {
--- a/lab/page/page_test.go
+++ b/testbed/page/page_test.go
@@ -5,16 +5,16 @@
 	"strings"
 	"testing"
 
-	"gullrail/lab"
-	"gullrail/lab/tape"
+	"gullrail/testbed"
+	"gullrail/testbed/tape"
 )
 
 func TestPageOfADay(t *testing.T) {
-	day, err := lab.ReadDay("../../days/short.jsonc")
+	day, err := testbed.ReadDay("../../days/short.jsonc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := (&lab.Sim{Day: day}).Run()
+	out := (&testbed.Sim{Day: day}).Run()
 	out.Report.Rules[2].Breaks = []string{"line 7: <planted>"}
 	var page bytes.Buffer
 	if err := Write(&page, "short", day, out.Lines, out.Report); err != nil {
@@ -35,7 +35,7 @@
 }
 
 func TestCurvesByHand(t *testing.T) {
-	day, err := lab.ReadDay("../../days/short.jsonc")
+	day, err := testbed.ReadDay("../../days/short.jsonc")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 }
 
 func FuzzTapeNeverBreaksAPage(f *testing.F) {
-	day, err := lab.ReadDay("../../days/short.jsonc")
+	day, err := testbed.ReadDay("../../days/short.jsonc")
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/lab/path_test.go
+++ b/testbed/path_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"gullrail/lab/tape"
 	"gullrail/nodes"
+	"gullrail/testbed/tape"
 	"gullrail/token"
 )
 
--- a/lab/player.go
+++ b/testbed/player.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"gullrail/client"
 	"gullrail/config"
 	"gullrail/dash"
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 // Viewer is one simulated viewer: what it wants and how it behaves.
--- a/lab/race_off_test.go
+++ b/testbed/race_off_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package lab
+package testbed
 
 const raceEnabled = false
--- a/lab/rehearse.go
+++ b/testbed/rehearse.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -21,10 +21,10 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
 	"gullrail/nodes"
 	"gullrail/serve"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/tape"
 )
 
 // Rehearsal runs a day: fronts as processes of their own, stand-in nodes, the list service and viewers in
--- a/lab/rig_test.go
+++ b/testbed/rig_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -19,9 +19,9 @@
 
 	"gullrail/config"
 	"gullrail/dash"
-	"gullrail/lab/tape"
 	"gullrail/nodes"
 	"gullrail/serve"
+	"gullrail/testbed/tape"
 	"gullrail/token"
 )
 
--- a/lab/sim.go
+++ b/testbed/sim.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"container/heap"
@@ -12,13 +12,13 @@
 	"gullrail/admission"
 	"gullrail/config"
 	"gullrail/decision"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
 	"gullrail/liveness"
 	"gullrail/nodes"
 	"gullrail/placement"
 	"gullrail/playlog"
 	"gullrail/session"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/tape"
 )
 
 // Sim plays a day in simulated time, without sockets: the same cores, gates and modules as the daemon's, over
--- a/lab/sim_test.go
+++ b/testbed/sim_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -7,7 +7,7 @@
 	"runtime"
 	"testing"
 
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 func readDayFile(t *testing.T, name string) *Day {
--- a/lab/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"gullrail/client"
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 // statuses of a socket's verdicts on the tape, as DASH would tell them.
--- a/lab/stand.go
+++ b/testbed/stand.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -8,9 +8,9 @@
 	"net/http"
 	"time"
 
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
 	"gullrail/nodes"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/tape"
 )
 
 // A rehearsal may be spread over processes: one for each rack of nodes, one for the list service, one for
--- a/lab/store_test.go
+++ b/testbed/store_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 func TestRecordsLetAFrontStartAgainBesideASilentNode(t *testing.T) {
--- a/lab/tls_test.go
+++ b/testbed/tls_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"crypto/ecdsa"
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"gullrail/lab/tape"
+	"gullrail/testbed/tape"
 )
 
 // authority signs certificates for loopback.
--- a/lab/ws_test.go
+++ b/testbed/ws_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"gullrail/client"
-	"gullrail/lab/tape"
 	"gullrail/playapi"
+	"gullrail/testbed/tape"
 )
 
 func (r *rig) viewer(name string, fronts ...string) *client.Client {
