--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -18,7 +18,7 @@
 	"gullrail/nodes"
 	"gullrail/rundir"
 	"gullrail/testbed"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 type kitVerbs struct {
@@ -47,7 +47,7 @@
 	day   *testbed.Day
 	self  string
 	stage *testbed.Rehearsal // the fronts' side
-	tape  *tape.Tape
+	tape  *trace.Tape
 	ended map[string]chan struct{} // closed once a member's process has ended
 }
 
@@ -118,7 +118,7 @@
 	if err != nil {
 		return nil, err
 	}
-	base := tape.Monotonic()
+	base := trace.Monotonic()
 	run, err := rundir.Create(folder, file, day.Seed, base)
 	if err != nil {
 		return nil, err
@@ -127,7 +127,7 @@
 		os.Remove(filepath.Join(run.Folder, old))
 	}
 	os.RemoveAll(filepath.Join(run.Folder, "tapes"))
-	s := &started{run: run, day: day, self: self, tape: tape.NewAt(base), ended: map[string]chan struct{}{}}
+	s := &started{run: run, day: day, self: self, tape: trace.NewAt(base), ended: map[string]chan struct{}{}}
 	if err := os.MkdirAll(filepath.Join(run.Folder, "tapes"), 0o700); err != nil {
 		return s, fmt.Errorf("kit: %w", err)
 	}
@@ -242,13 +242,13 @@
 	if err != nil {
 		return nil, err
 	}
-	tapes := [][]tape.Line{s.tape.Lines()}
+	tapes := [][]trace.Line{s.tape.Lines()}
 	for _, file := range files {
 		f, err := os.Open(file)
 		if err != nil {
 			return nil, err
 		}
-		lines, err := tape.Read(f)
+		lines, err := trace.Read(f)
 		f.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
@@ -311,7 +311,7 @@
 
 // play lets the viewers in and plays the fronts' part of the script until the viewers are done.
 func (s *started) play(ctx context.Context, short any) error {
-	at := tape.Monotonic() + before
+	at := trace.Monotonic() + before
 	if err := writeJSON(filepath.Join(s.run.Folder, "start.json"), at); err != nil {
 		return err
 	}
@@ -345,7 +345,7 @@
 }
 
 // moment is the wall clock's time of a moment of the monotonic clock.
-func moment(at time.Duration) time.Time { return time.Now().Add(at - tape.Monotonic()) }
+func moment(at time.Duration) time.Time { return time.Now().Add(at - trace.Monotonic()) }
 
 type kitDown struct{ kitFolder }
 
@@ -432,10 +432,10 @@
 		return err
 	}
 	day.Seed = run.Seed
-	t := tape.NewAt(time.Duration(run.BaseNs))
+	t := trace.NewAt(time.Duration(run.BaseNs))
 	part := &testbed.Rehearsal{Day: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
 	defer part.Down()
-	var lines []tape.Line
+	var lines []trace.Line
 	if v.Name == "viewers" {
 		if err := run.Join(v.Name, nil); err != nil {
 			return err
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -23,7 +23,7 @@
 	"gullrail/testbed"
 	"gullrail/testbed/audit"
 	"gullrail/testbed/page"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // Exit codes beside 0.
@@ -220,13 +220,13 @@
 	return f.Close()
 }
 
-func writeTape(file string, lines []tape.Line) error {
+func writeTape(file string, lines []trace.Line) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if err := tape.Write(f, lines); err != nil {
+	if err := trace.Write(f, lines); err != nil {
 		return err
 	}
 	return f.Close()
@@ -248,7 +248,7 @@
 		return wrong{err}
 	}
 	defer f.Close()
-	lines, err := tape.Read(f)
+	lines, err := trace.Read(f)
 	if err != nil {
 		return wrong{fmt.Errorf("%s: %w", v.Tape, err)}
 	}
--- a/testbed/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -7,7 +7,7 @@
 	"sort"
 
 	"gullrail/config"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 const (
@@ -63,7 +63,7 @@
 
 type audit struct {
 	set     *config.Service
-	lines   []tape.Line
+	lines   []trace.Line
 	crossed map[int]bool // ends that a node read before the set-ups they end, and these set-ups
 	rep     *Report
 	breaks  [6][]string
@@ -74,7 +74,7 @@
 }
 
 // Check audits a tape. Lines must be in the order of their times, as a Tape records them.
-func Check(set *config.Service, lines []tape.Line) *Report {
+func Check(set *config.Service, lines []trace.Line) *Report {
 	a := &audit{set: set, lines: lines, crossed: crossed(lines), rep: &Report{}}
 	a.answers()
 	a.allocations()
@@ -92,7 +92,7 @@
 
 // crossed finds set-ups whose end their node read first, as it came on another connection: such a set-up was sent before
 // its end, wherever it stands on the tape, and is no further attempt. Each end stands for one set-up only.
-func crossed(lines []tape.Line) map[int]bool {
+func crossed(lines []trace.Line) map[int]bool {
 	type attempt struct {
 		play, node string
 		try        int
@@ -101,11 +101,11 @@
 	for i, l := range lines {
 		this := attempt{l.Play, l.Node, l.Try}
 		switch l.What {
-		case tape.End:
+		case trace.End:
 			if !seen[this] {
 				ends[this] = i
 			}
-		case tape.SetUp:
+		case trace.SetUp:
 			if end, ok := ends[this]; ok && !seen[this] {
 				both[end], both[i] = true, true
 			}
@@ -146,9 +146,9 @@
 	products := map[string]*config.Product{} // of plays
 	for i, l := range a.lines {
 		switch l.What {
-		case tape.Killed:
+		case trace.Killed:
 			killed[l.Front] = append(killed[l.Front], l.T)
-		case tape.Ask:
+		case trace.Ask:
 			asks[l.ID] = &ask{line: i}
 			order = append(order, l.ID)
 			a.rep.Requests++
@@ -159,12 +159,12 @@
 				asked += p.Importance
 				wanted += p.Importance * a.worth(l.Rung) * float64(l.WatchMs)
 			}
-		case tape.Gone:
+		case trace.Gone:
 			if q := asks[l.ID]; q != nil {
 				q.gone = true
 				a.rep.Left++
 			}
-		case tape.Served:
+		case trace.Served:
 			for len(a.rep.Rungs) <= l.Rung {
 				a.rep.Rungs = append(a.rep.Rungs, 0)
 			}
@@ -172,9 +172,9 @@
 			if p := products[l.Play]; p != nil {
 				earned += p.Importance * a.worth(l.Rung) * a.set.SegmentMs * max(0, 1-stall*max(0, 0.98-l.Share))
 			}
-		case tape.SetUp:
+		case trace.SetUp:
 			products[l.Play] = a.product(l.Product)
-		case tape.Answer:
+		case trace.Answer:
 			q := asks[l.ID]
 			if q == nil {
 				a.broken(1, "line %d: an answer to nothing that was asked", i+1)
@@ -244,9 +244,9 @@
 func (a *audit) down(front string, line int) bool {
 	down := false
 	for _, l := range a.lines[:line] {
-		if l.Front == front && l.What == tape.Killed {
+		if l.Front == front && l.What == trace.Killed {
 			down = true
-		} else if l.Front == front && l.What == tape.Up {
+		} else if l.Front == front && l.What == trace.Up {
 			down = false
 		}
 	}
@@ -262,9 +262,9 @@
 			continue
 		}
 		switch l.What {
-		case tape.Stopped:
+		case trace.Stopped:
 			stopped = l.T
-		case tape.Goes:
+		case trace.Goes:
 			if stopped >= 0 && stopped <= limit && limit <= l.T && answered <= l.T+wakes {
 				return true
 			}
@@ -291,7 +291,7 @@
 	plays := map[string]*state{}
 	for i, l := range a.lines {
 		switch l.What {
-		case tape.SetUp:
+		case trace.SetUp:
 			if a.crossed[i] { // entered with its end
 				continue
 			}
@@ -316,23 +316,23 @@
 				a.rep.Doubled++
 			}
 			s.line, s.try, s.node, s.out = i, l.Try, l.Node, true
-		case tape.Started, tape.Errored, tape.Dropped, tape.End:
+		case trace.Started, trace.Errored, trace.Dropped, trace.End:
 			if s := plays[l.Play]; a.crossed[i] && (s == nil || s.try < l.Try) {
 				plays[l.Play] = &state{line: i, try: l.Try, node: l.Node, mayHave: i + 1}
 			} else if s != nil && s.try == l.Try {
 				s.out, s.mayHave = false, i+1
 			}
-		case tape.Refused:
+		case trace.Refused:
 			if s := plays[l.Play]; s != nil && s.try == l.Try {
 				s.out = false
 			}
-		case tape.Crash, tape.Fell:
+		case trace.Crash, trace.Fell:
 			for _, s := range plays {
 				if s.out && s.node == l.Node {
 					s.out, s.mayHave = false, i+1
 				}
 			}
-		case tape.Answer: // declined as if nothing had run
+		case trace.Answer: // declined as if nothing had run
 			if s := plays[l.Play]; s != nil && l.Status == 503 && s.mayHave > 0 && a.product(a.lines[s.line].Product).Paid {
 				a.broken(2, "lines %d and %d: paid play %s is declined though it may have run", s.mayHave, i+1, l.Play)
 			}
@@ -346,8 +346,8 @@
 		if l.T > a.lines[from].T+skew {
 			return false
 		}
-		if l.Node == node && (l.What == tape.Crash || l.What == tape.Fell || l.Play == play && l.Try == try &&
-			(l.What == tape.Dropped || l.What == tape.Refused || l.What == tape.Errored || l.What == tape.End)) {
+		if l.Node == node && (l.What == trace.Crash || l.What == trace.Fell || l.Play == play && l.Try == try &&
+			(l.What == trace.Dropped || l.What == trace.Refused || l.What == trace.Errored || l.What == trace.End)) {
 			return true
 		}
 	}
@@ -361,19 +361,19 @@
 	for i, l := range a.lines {
 		k := key{l.Front, l.Node}
 		switch l.What {
-		case tape.Told:
+		case trace.Told:
 			if l.Note == "ready" {
 				delete(told, k)
 			} else if told[k] == 0 {
 				told[k] = i + 1
 			}
-		case tape.Killed:
+		case trace.Killed:
 			for t := range told {
 				if t.front == l.Front {
 					delete(told, t)
 				}
 			}
-		case tape.SetUp:
+		case trace.SetUp:
 			if t := told[k]; t > 0 && float64(l.T-a.lines[t-1].T) > a.set.DrainGraceMs*1000+skew {
 				a.broken(3, "lines %d and %d: %s set up at %s after it was told", t, i+1, l.Front, l.Node)
 			}
@@ -390,15 +390,15 @@
 	recent := map[string][]int64{}
 	for i, l := range a.lines {
 		switch l.What {
-		case tape.Life:
+		case trace.Life:
 			delete(started, l.Node)
 			delete(recent, l.Node)
 			if l.Note == "cold" {
 				started[l.Node] = l.T
 			}
-		case tape.Fell:
+		case trace.Fell:
 			a.broken(4, "line %d: %s was pushed over", i+1, l.Node)
-		case tape.SetUp:
+		case trace.SetUp:
 			began, ok := started[l.Node]
 			if !ok || float64(l.T-began) > a.set.ColdLastsMs*1000 {
 				continue
@@ -453,11 +453,11 @@
 	for i, l := range a.lines {
 		p := a.product(l.Product)
 		switch l.What {
-		case tape.SetUp, tape.Rung:
+		case trace.SetUp, trace.Rung:
 			if l.Rung < p.Floor {
 				a.broken(5, "line %d: play %s of %s at rung %d, under its floor of %d", i+1, l.Play, l.Product, l.Rung, p.Floor)
 			}
-			if l.What == tape.Rung || a.crossed[i] {
+			if l.What == trace.Rung || a.crossed[i] {
 				continue
 			}
 			free(l.Play)
@@ -469,16 +469,16 @@
 					a.broken(5, "line %d: %s holds %d plays of %s, %s; %d seats", i+1, l.Front, over, l.Title, l.Product, p.Seats)
 				}
 			}
-		case tape.Refused, tape.Errored, tape.Dropped, tape.End, tape.Ended:
+		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
 			if h, ok := held[l.Play]; ok && h.try == l.Try && h.node == l.Node {
 				free(l.Play)
 			}
-		case tape.Crash, tape.Fell:
+		case trace.Crash, trace.Fell:
 			freeAll(func(h hold) bool { return h.node == l.Node })
-		case tape.Killed: // its plays are handed over to its next life, or end
-		case tape.Leave: // its front frees a seat as it sends the end of the play, which its node may read much later
+		case trace.Killed: // its plays are handed over to its next life, or end
+		case trace.Leave: // its front frees a seat as it sends the end of the play, which its node may read much later
 			free(l.Play)
-		case tape.Ask: // a viewer who comes back to the same front as its node does not deliver ends what it had
+		case trace.Ask: // a viewer who comes back to the same front as its node does not deliver ends what it had
 			if h, ok := held[l.Play]; ok && l.Note == "broken" && h.seat.front == l.Front {
 				free(l.Play)
 			}
@@ -490,7 +490,7 @@
 func (a *audit) freedSoon(from int, front, product, title string, held func(play string) bool) (n int) {
 	seat := map[string]bool{}
 	for _, l := range a.lines[:from+1] {
-		if l.What == tape.SetUp && l.Front == front && l.Product == product && l.Title == title && held(l.Play) {
+		if l.What == trace.SetUp && l.Front == front && l.Product == product && l.Title == title && held(l.Play) {
 			seat[l.Play] = true
 		}
 	}
@@ -499,7 +499,7 @@
 			break
 		}
 		switch l.What {
-		case tape.Refused, tape.Errored, tape.Dropped, tape.End, tape.Ended:
+		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
 			if seat[l.Play] {
 				delete(seat, l.Play)
 				n++
@@ -515,16 +515,16 @@
 		return
 	}
 	over := int64(a.set.BudgetOverMs * 1000)
-	answers := map[int64]tape.Line{}
+	answers := map[int64]trace.Line{}
 	for _, l := range a.lines {
-		if l.What == tape.Answer {
+		if l.What == trace.Answer {
 			answers[l.ID] = l
 		}
 	}
 	type span struct{ from, to int64 } // a play was taken some time between its request and its answer
 	taken, further := map[string][]span{}, map[string][]int64{}
 	for _, l := range a.lines {
-		if l.What != tape.Ask {
+		if l.What != trace.Ask {
 			continue
 		}
 		ans, ok := answers[l.ID]
@@ -540,11 +540,11 @@
 	}
 	began := map[string]int64{} // of a front's present life: each counts from nothing
 	for i, l := range a.lines {
-		if l.What == tape.Killed {
+		if l.What == trace.Killed {
 			began[l.Front] = l.T
 			delete(further, l.Front)
 		}
-		if l.What != tape.SetUp || l.Try == 0 {
+		if l.What != trace.SetUp || l.Try == 0 {
 			continue
 		}
 		further[l.Front] = append(further[l.Front], l.T)
--- a/testbed/audit/audit_test.go
+++ b/testbed/audit/audit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"gullrail/config"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 func service() *config.Service {
@@ -19,11 +19,11 @@
 
 // script is a tape by hand: a line a call, each some milliseconds after the one before.
 type script struct {
-	lines []tape.Line
+	lines []trace.Line
 	t     int64
 }
 
-func (s *script) add(afterMs int64, l tape.Line) *script {
+func (s *script) add(afterMs int64, l trace.Line) *script {
 	s.t += afterMs * 1000
 	l.T = s.t
 	s.lines = append(s.lines, l)
@@ -31,29 +31,29 @@
 }
 
 func (s *script) ask(id int64, product string) *script {
-	return s.add(10, tape.Line{What: tape.Ask, ID: id, Front: "f", Viewer: fmt.Sprint("v", id), Product: product, Title: "t", LimitMs: 5000, First: true})
+	return s.add(10, trace.Line{What: trace.Ask, ID: id, Front: "f", Viewer: fmt.Sprint("v", id), Product: product, Title: "t", LimitMs: 5000, First: true})
 }
 
 func (s *script) node(afterMs int64, what, node, play string, try int, product string, rung int) *script {
-	return s.add(afterMs, tape.Line{What: what, Front: "f", Node: node, Play: play, Try: try, Product: product, Title: "t", Rung: rung})
+	return s.add(afterMs, trace.Line{What: what, Front: "f", Node: node, Play: play, Try: try, Product: product, Title: "t", Rung: rung})
 }
 
 func (s *script) answer(afterMs, id int64, status int, play string) *script {
-	return s.add(afterMs, tape.Line{What: tape.Answer, ID: id, Status: status, Play: play})
+	return s.add(afterMs, trace.Line{What: trace.Answer, ID: id, Status: status, Play: play})
 }
 
 // whole is a play from its request to its end, with nothing wrong.
 func (s *script) whole(id int64, product, play string) *script {
-	return s.ask(id, product).node(1, tape.SetUp, "n", play, 0, product, 1).node(50, tape.Started, "n", play, 0, product, 1).
-		answer(1, id, 200, play).node(2000, tape.Ended, "n", play, 0, product, 1)
+	return s.ask(id, product).node(1, trace.SetUp, "n", play, 0, product, 1).node(50, trace.Started, "n", play, 0, product, 1).
+		answer(1, id, 200, play).node(2000, trace.Ended, "n", play, 0, product, 1)
 }
 
-func (s *script) late() *script { return s.add(20000, tape.Line{What: tape.Fault}) }
+func (s *script) late() *script { return s.add(20000, trace.Line{What: trace.Fault}) }
 
 func TestPlantedBreaks(t *testing.T) {
 	told := func(afterMs int64, phase string) func(s *script) *script {
 		return func(s *script) *script {
-			return s.add(afterMs, tape.Line{What: tape.Told, Front: "f", Node: "n", Note: phase})
+			return s.add(afterMs, trace.Line{What: trace.Told, Front: "f", Node: "n", Note: phase})
 		}
 	}
 	for _, c := range []struct {
@@ -65,148 +65,148 @@
 		{"no answer", 1, func(s *script) *script { return s.ask(1, "safe").late() }},
 		{"no answer, and the tape ends before the limit", 0, func(s *script) *script { return s.ask(1, "safe") }},
 		{"no answer, of a front that was killed", 0, func(s *script) *script {
-			return s.ask(1, "safe").add(100, tape.Line{What: tape.Killed, Front: "f"}).late()
+			return s.ask(1, "safe").add(100, trace.Line{What: trace.Killed, Front: "f"}).late()
 		}},
 		{"no answer, and another front was killed", 1, func(s *script) *script {
-			return s.ask(1, "safe").add(100, tape.Line{What: tape.Killed, Front: "g"}).late()
+			return s.ask(1, "safe").add(100, trace.Line{What: trace.Killed, Front: "g"}).late()
 		}},
 		{"no answer after the front was up again", 1, func(s *script) *script {
-			return s.add(1, tape.Line{What: tape.Killed, Front: "f"}).add(100, tape.Line{What: tape.Up, Front: "f"}).ask(1, "safe").late()
+			return s.add(1, trace.Line{What: trace.Killed, Front: "f"}).add(100, trace.Line{What: trace.Up, Front: "f"}).ask(1, "safe").late()
 		}},
 		{"two answers", 1, func(s *script) *script { return s.whole(1, "safe", "p").answer(1, 1, 503, "p").late() }},
 		{"an answer after the limit", 1, func(s *script) *script { return s.ask(1, "safe").answer(5200, 1, 503, "p") }},
 		{"a late answer, of a front that stood still at the limit", 0, func(s *script) *script {
-			return s.ask(1, "safe").add(4000, tape.Line{What: tape.Stopped, Front: "f"}).add(2000, tape.Line{What: tape.Goes, Front: "f"}).answer(200, 1, 504, "p")
+			return s.ask(1, "safe").add(4000, trace.Line{What: trace.Stopped, Front: "f"}).add(2000, trace.Line{What: trace.Goes, Front: "f"}).answer(200, 1, 504, "p")
 		}},
 		{"a late answer, long after the front went on", 1, func(s *script) *script {
-			return s.ask(1, "safe").add(4000, tape.Line{What: tape.Stopped, Front: "f"}).add(2000, tape.Line{What: tape.Goes, Front: "f"}).answer(400, 1, 504, "p")
+			return s.ask(1, "safe").add(4000, trace.Line{What: trace.Stopped, Front: "f"}).add(2000, trace.Line{What: trace.Goes, Front: "f"}).answer(400, 1, 504, "p")
 		}},
 		{"a late answer, of a front that stood still before", 1, func(s *script) *script {
-			return s.ask(1, "safe").add(1000, tape.Line{What: tape.Stopped, Front: "f"}).add(2000, tape.Line{What: tape.Goes, Front: "f"}).answer(2300, 1, 504, "p")
+			return s.ask(1, "safe").add(1000, trace.Line{What: trace.Stopped, Front: "f"}).add(2000, trace.Line{What: trace.Goes, Front: "f"}).answer(2300, 1, 504, "p")
 		}},
 		{"an answer nobody asked for", 1, func(s *script) *script { return s.answer(1, 9, 200, "p") }},
 		{"sent again after it was refused", 0, func(s *script) *script {
-			return s.ask(1, "paid").node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(9, tape.Refused, "n", "p", 0, "paid", 1).
-				node(1, tape.SetUp, "m", "p", 1, "paid", 1).node(9, tape.Started, "m", "p", 1, "paid", 1).answer(1, 1, 200, "p")
+			return s.ask(1, "paid").node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(9, trace.Refused, "n", "p", 0, "paid", 1).
+				node(1, trace.SetUp, "m", "p", 1, "paid", 1).node(9, trace.Started, "m", "p", 1, "paid", 1).answer(1, 1, 200, "p")
 		}},
 		{"paid, sent again after an error", 2, func(s *script) *script {
-			return s.ask(1, "paid").node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(9, tape.Errored, "n", "p", 0, "paid", 1).
-				node(1, tape.SetUp, "m", "p", 1, "paid", 1)
+			return s.ask(1, "paid").node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(9, trace.Errored, "n", "p", 0, "paid", 1).
+				node(1, trace.SetUp, "m", "p", 1, "paid", 1)
 		}},
 		{"safe, sent again after an error", 0, func(s *script) *script {
-			return s.ask(1, "safe").node(1, tape.SetUp, "n", "p", 0, "safe", 1).node(9, tape.Errored, "n", "p", 0, "safe", 1).
-				node(1, tape.SetUp, "m", "p", 1, "safe", 1)
+			return s.ask(1, "safe").node(1, trace.SetUp, "n", "p", 0, "safe", 1).node(9, trace.Errored, "n", "p", 0, "safe", 1).
+				node(1, trace.SetUp, "m", "p", 1, "safe", 1)
 		}},
 		{"safe, two out at once", 2, func(s *script) *script {
-			return s.ask(1, "safe").node(1, tape.SetUp, "n", "p", 0, "safe", 1).node(200, tape.SetUp, "m", "p", 1, "safe", 1).
-				node(100, tape.Started, "m", "p", 1, "safe", 1).answer(1, 1, 200, "p")
+			return s.ask(1, "safe").node(1, trace.SetUp, "n", "p", 0, "safe", 1).node(200, trace.SetUp, "m", "p", 1, "safe", 1).
+				node(100, trace.Started, "m", "p", 1, "safe", 1).answer(1, 1, 200, "p")
 		}},
 		{"the same allocation twice", 2, func(s *script) *script {
-			return s.ask(1, "safe").node(1, tape.SetUp, "n", "p", 0, "safe", 1).node(9, tape.Refused, "n", "p", 0, "safe", 1).
-				node(1, tape.SetUp, "m", "p", 0, "safe", 1)
+			return s.ask(1, "safe").node(1, trace.SetUp, "n", "p", 0, "safe", 1).node(9, trace.Refused, "n", "p", 0, "safe", 1).
+				node(1, trace.SetUp, "m", "p", 0, "safe", 1)
 		}},
 		{"paid, declined though it may have run", 2, func(s *script) *script {
-			return s.ask(1, "paid").node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(9, tape.Dropped, "n", "p", 0, "paid", 1).answer(1, 1, 503, "p")
+			return s.ask(1, "paid").node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(9, trace.Dropped, "n", "p", 0, "paid", 1).answer(1, 1, 503, "p")
 		}},
 		{"paid, set up again after its node crashed", 2, func(s *script) *script {
-			return s.ask(1, "paid").node(1, tape.SetUp, "n", "p", 0, "paid", 1).add(5, tape.Line{What: tape.Crash, Node: "n"}).
-				node(9, tape.SetUp, "m", "p", 1, "paid", 1)
+			return s.ask(1, "paid").node(1, trace.SetUp, "n", "p", 0, "paid", 1).add(5, trace.Line{What: trace.Crash, Node: "n"}).
+				node(9, trace.SetUp, "m", "p", 1, "paid", 1)
 		}},
 		{"set up within the grace", 0, func(s *script) *script { return told(10, "draining")(s).whole(1, "safe", "p") }},
 		{"set up after the grace", 3, func(s *script) *script {
-			return told(10, "draining")(s).add(1200, tape.Line{What: tape.Fault}).whole(1, "safe", "p")
+			return told(10, "draining")(s).add(1200, trace.Line{What: trace.Fault}).whole(1, "safe", "p")
 		}},
 		{"set up at a node that is gone", 3, func(s *script) *script {
-			return told(10, "gone")(told(10, "draining")(s)).add(1200, tape.Line{What: tape.Fault}).whole(1, "safe", "p")
+			return told(10, "gone")(told(10, "draining")(s)).add(1200, trace.Line{What: trace.Fault}).whole(1, "safe", "p")
 		}},
 		{"set up at a node that is ready again", 0, func(s *script) *script {
 			return told(2000, "ready")(told(10, "draining")(s)).whole(1, "safe", "p")
 		}},
 		{"a cold node sent too much", 4, func(s *script) *script {
-			s.add(1, tape.Line{What: tape.Life, Node: "n", Note: "cold"})
+			s.add(1, trace.Line{What: trace.Life, Node: "n", Note: "cold"})
 			for i := range 9 {
-				s.node(20, tape.SetUp, "n", fmt.Sprint("p", i), 0, "safe", 0)
+				s.node(20, trace.SetUp, "n", fmt.Sprint("p", i), 0, "safe", 0)
 			}
 			return s
 		}},
 		{"a warm node sent as much", 0, func(s *script) *script {
-			s.add(1, tape.Line{What: tape.Life, Node: "n", Note: "warm"})
+			s.add(1, trace.Line{What: trace.Life, Node: "n", Note: "warm"})
 			for i := range 9 {
-				s.node(20, tape.SetUp, "n", fmt.Sprint("p", i), 0, "safe", 0)
+				s.node(20, trace.SetUp, "n", fmt.Sprint("p", i), 0, "safe", 0)
 			}
 			return s
 		}},
-		{"a node fell", 4, func(s *script) *script { return s.add(1, tape.Line{What: tape.Fell, Node: "n"}) }},
-		{"set up under the floor", 5, func(s *script) *script { return s.node(1, tape.SetUp, "n", "p", 0, "paid", 0) }},
+		{"a node fell", 4, func(s *script) *script { return s.add(1, trace.Line{What: trace.Fell, Node: "n"}) }},
+		{"set up under the floor", 5, func(s *script) *script { return s.node(1, trace.SetUp, "n", "p", 0, "paid", 0) }},
 		{"stepped under the floor", 5, func(s *script) *script {
-			return s.node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(1, tape.Rung, "n", "p", 0, "paid", 0)
+			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.Rung, "n", "p", 0, "paid", 0)
 		}},
 		{"three plays on two seats", 5, func(s *script) *script {
 			for i := range 3 {
-				s.node(100, tape.SetUp, "n", fmt.Sprint("p", i), 0, "paid", 1)
+				s.node(100, trace.SetUp, "n", fmt.Sprint("p", i), 0, "paid", 1)
 			}
 			return s.late()
 		}},
 		{"a third play once one has ended", 0, func(s *script) *script {
-			return s.node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "n", "q", 0, "paid", 1).
-				node(100, tape.Ended, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "n", "r", 0, "paid", 1)
+			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
+				node(100, trace.Ended, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "r", 0, "paid", 1)
 		}},
 		{"a third play as one ends on another socket", 0, func(s *script) *script {
-			return s.node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "n", "q", 0, "paid", 1).
-				node(100, tape.SetUp, "n", "r", 0, "paid", 1).node(5, tape.End, "n", "p", 0, "paid", 1).late()
+			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
+				node(100, trace.SetUp, "n", "r", 0, "paid", 1).node(5, trace.End, "n", "p", 0, "paid", 1).late()
 		}},
 		{"a third play once a viewer has left, its node slow to read so", 0, func(s *script) *script {
-			return s.node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "n", "q", 0, "paid", 1).
-				add(100, tape.Line{What: tape.Leave, Play: "p"}).node(1, tape.SetUp, "n", "r", 0, "paid", 1).
-				node(500, tape.End, "n", "p", 0, "paid", 1).late()
+			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
+				add(100, trace.Line{What: trace.Leave, Play: "p"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
+				node(500, trace.End, "n", "p", 0, "paid", 1).late()
 		}},
 		{"a third play before a viewer has left", 5, func(s *script) *script {
-			return s.node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "n", "q", 0, "paid", 1).
-				node(100, tape.SetUp, "n", "r", 0, "paid", 1).add(1, tape.Line{What: tape.Leave, Play: "p"}).
-				node(500, tape.End, "n", "p", 0, "paid", 1).late()
+			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
+				node(100, trace.SetUp, "n", "r", 0, "paid", 1).add(1, trace.Line{What: trace.Leave, Play: "p"}).
+				node(500, trace.End, "n", "p", 0, "paid", 1).late()
 		}},
 		{"a third play as another's viewer has left", 5, func(s *script) *script {
-			return s.node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "n", "q", 0, "paid", 1).
-				add(100, tape.Line{What: tape.Leave, Play: "o"}).node(1, tape.SetUp, "n", "r", 0, "paid", 1).
-				node(500, tape.End, "n", "p", 0, "paid", 1).late()
+			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
+				add(100, trace.Line{What: trace.Leave, Play: "o"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
+				node(500, trace.End, "n", "p", 0, "paid", 1).late()
 		}},
 		{"two more plays once one viewer has left", 5, func(s *script) *script {
-			return s.node(1, tape.SetUp, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "n", "q", 0, "paid", 1).
-				add(100, tape.Line{What: tape.Leave, Play: "p"}).node(1, tape.SetUp, "n", "r", 0, "paid", 1).
-				node(1, tape.SetUp, "n", "u", 0, "paid", 1).late()
+			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
+				add(100, trace.Line{What: trace.Leave, Play: "p"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
+				node(1, trace.SetUp, "n", "u", 0, "paid", 1).late()
 		}},
 		{"safe, a set-up read after its end and the next", 0, func(s *script) *script {
-			return s.ask(1, "safe").node(100, tape.End, "n", "p", 0, "safe", 1).node(1, tape.SetUp, "m", "p", 1, "safe", 1).
-				node(9, tape.Started, "m", "p", 1, "safe", 1).node(200, tape.SetUp, "n", "p", 0, "safe", 1).
-				node(1, tape.Dropped, "n", "p", 0, "safe", 1).answer(1, 1, 200, "p")
+			return s.ask(1, "safe").node(100, trace.End, "n", "p", 0, "safe", 1).node(1, trace.SetUp, "m", "p", 1, "safe", 1).
+				node(9, trace.Started, "m", "p", 1, "safe", 1).node(200, trace.SetUp, "n", "p", 0, "safe", 1).
+				node(1, trace.Dropped, "n", "p", 0, "safe", 1).answer(1, 1, 200, "p")
 		}},
 		{"paid, a set-up read after its end and the next", 2, func(s *script) *script {
-			return s.ask(1, "paid").node(100, tape.End, "n", "p", 0, "paid", 1).node(1, tape.SetUp, "m", "p", 1, "paid", 1).
-				node(9, tape.Started, "m", "p", 1, "paid", 1).node(200, tape.SetUp, "n", "p", 0, "paid", 1).
-				node(1, tape.Dropped, "n", "p", 0, "paid", 1).answer(1, 1, 200, "p")
+			return s.ask(1, "paid").node(100, trace.End, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "m", "p", 1, "paid", 1).
+				node(9, trace.Started, "m", "p", 1, "paid", 1).node(200, trace.SetUp, "n", "p", 0, "paid", 1).
+				node(1, trace.Dropped, "n", "p", 0, "paid", 1).answer(1, 1, 200, "p")
 		}},
 		{"a set-up read after its end, and once more", 2, func(s *script) *script {
-			return s.ask(1, "safe").node(100, tape.End, "n", "p", 0, "safe", 1).node(1, tape.SetUp, "n", "p", 0, "safe", 1).
-				node(1, tape.Dropped, "n", "p", 0, "safe", 1).node(1, tape.SetUp, "n", "p", 0, "safe", 1)
+			return s.ask(1, "safe").node(100, trace.End, "n", "p", 0, "safe", 1).node(1, trace.SetUp, "n", "p", 0, "safe", 1).
+				node(1, trace.Dropped, "n", "p", 0, "safe", 1).node(1, trace.SetUp, "n", "p", 0, "safe", 1)
 		}},
 		{"further allocations over the budget", 6, func(s *script) *script {
 			for i := range 3 {
-				s.node(100, tape.SetUp, "n", fmt.Sprint("p", i), 1, "safe", 1).node(1, tape.Refused, "n", fmt.Sprint("p", i), 1, "safe", 1)
+				s.node(100, trace.SetUp, "n", fmt.Sprint("p", i), 1, "safe", 1).node(1, trace.Refused, "n", fmt.Sprint("p", i), 1, "safe", 1)
 			}
 			return s
 		}},
 		{"further allocations of two lives", 0, func(s *script) *script {
 			for i := range 4 {
-				s.node(100, tape.SetUp, "n", fmt.Sprint("p", i), 1, "safe", 1).node(1, tape.Refused, "n", fmt.Sprint("p", i), 1, "safe", 1)
+				s.node(100, trace.SetUp, "n", fmt.Sprint("p", i), 1, "safe", 1).node(1, trace.Refused, "n", fmt.Sprint("p", i), 1, "safe", 1)
 				if i == 1 {
-					s.add(1, tape.Line{What: tape.Killed, Front: "f"}).add(1, tape.Line{What: tape.Up, Front: "f"})
+					s.add(1, trace.Line{What: trace.Killed, Front: "f"}).add(1, trace.Line{What: trace.Up, Front: "f"})
 				}
 			}
 			return s
 		}},
 		{"further allocations, spread", 0, func(s *script) *script {
 			for i := range 5 {
-				s.node(5000, tape.SetUp, "n", fmt.Sprint("p", i), 1, "safe", 1).node(1, tape.Refused, "n", fmt.Sprint("p", i), 1, "safe", 1)
+				s.node(5000, trace.SetUp, "n", fmt.Sprint("p", i), 1, "safe", 1).node(1, trace.Refused, "n", fmt.Sprint("p", i), 1, "safe", 1)
 			}
 			return s
 		}},
@@ -226,10 +226,10 @@
 }
 
 func TestServiceCountsRetriesAsTheFirstTry(t *testing.T) {
-	s := (&script{}).ask(1, "paid").answer(5, 1, 503, "")                                                  // 2 asked
-	s.add(100, tape.Line{What: tape.Ask, ID: 2, Front: "g", Viewer: "v1", Product: "paid", LimitMs: 5000}) // its retry
-	s.answer(50, 2, 200, "p")                                                                              // in time: 2 served
-	s.ask(3, "safe").answer(1100, 3, 200, "q")                                                             // too late: 0 of 1
+	s := (&script{}).ask(1, "paid").answer(5, 1, 503, "")                                                    // 2 asked
+	s.add(100, trace.Line{What: trace.Ask, ID: 2, Front: "g", Viewer: "v1", Product: "paid", LimitMs: 5000}) // its retry
+	s.answer(50, 2, 200, "p")                                                                                // in time: 2 served
+	s.ask(3, "safe").answer(1100, 3, 200, "q")                                                               // too late: 0 of 1
 	rep := Check(service(), s.lines)
 	if rep.Asked != 2 || rep.Requests != 3 || rep.Service != 2.0/3 {
 		t.Fatalf("%+v", rep)
--- a/testbed/fleet_test.go
+++ b/testbed/fleet_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // saved starts a front, lets it write its list down, and stops it and the list service.
@@ -32,7 +32,7 @@
 func TestStartWithoutTheListService(t *testing.T) {
 	r := saved(t, 4)
 	drained := r.nodes[1]
-	drained.crash(tape.Crash) // replaced since it was saved
+	drained.crash(trace.Crash) // replaced since it was saved
 	r.startFront()
 	began := time.Now()
 	for i := 0; ; i++ {
--- a/testbed/list.go
+++ b/testbed/list.go
@@ -9,12 +9,12 @@
 	"time"
 
 	"gullrail/nodes"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // Registry is the stand-in list service: it knows the fleet and tells each front late.
 type Registry struct {
-	tape   *tape.Tape
+	tape   *trace.Tape
 	mu     sync.Mutex
 	lines  map[string]nodes.Line
 	order  []string
@@ -29,7 +29,7 @@
 }
 
 // NewRegistry makes a list service that tells changes so late.
-func NewRegistry(t *tape.Tape, late time.Duration) *Registry {
+func NewRegistry(t *trace.Tape, late time.Duration) *Registry {
 	return &Registry{tape: t, lines: map[string]nodes.Line{}, woken: make(chan struct{}), late: late}
 }
 
@@ -129,7 +129,7 @@
 			}
 			sent = int(c.Version)
 			for _, l := range c.Nodes {
-				s.tape.Add(tape.Line{What: tape.Told, Front: front, Node: l.Name, Note: l.Phase})
+				s.tape.Add(trace.Line{What: trace.Told, Front: front, Node: l.Name, Note: l.Phase})
 			}
 		}
 		if flush.Flush() != nil {
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -17,7 +17,7 @@
 	"gullrail/config"
 	"gullrail/serve"
 	"gullrail/testbed/audit"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // freeUDP finds a port for messages that nobody uses.
@@ -88,7 +88,7 @@
 			line.Phase = "draining"
 			r.registry.Set(line)
 		case 15:
-			r.nodes[1].crash(tape.Crash)
+			r.nodes[1].crash(trace.Crash)
 			r.nodes[1].wg.Wait()
 			if err := r.nodes[1].start(true); err != nil {
 				t.Fatal(err)
@@ -122,10 +122,10 @@
 	kind := map[int64]string{}
 	for _, l := range r.tape.Lines() {
 		switch {
-		case l.What == tape.Ask:
+		case l.What == trace.Ask:
 			kind[l.ID] = l.Front[:3]
 			asked[l.Front[:3]]++
-		case l.What == tape.Answer && l.Status == 200:
+		case l.What == trace.Answer && l.Status == 200:
 			plays[kind[l.ID]]++
 		}
 	}
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -24,7 +24,7 @@
 	"gullrail/nodes"
 	"gullrail/session"
 	"gullrail/testbed/audit"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 	"gullrail/token"
 )
 
@@ -40,7 +40,7 @@
 type Fleet struct {
 	set     *config.Service
 	check   *token.Checker
-	tape    *tape.Tape
+	tape    *trace.Tape
 	setUpMs [2]float64 // a set-up takes from so long to so long
 	idle    time.Duration
 	tls     *tls.Config // nil speaks plainly
@@ -221,7 +221,7 @@
 	ctx := n.ctx
 	n.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
 	server := n.server
-	f.tape.Add(tape.Line{What: tape.Life, Node: n.line.Name, Note: note})
+	f.tape.Add(trace.Line{What: trace.Life, Node: n.line.Name, Note: note})
 	f.mu.Unlock()
 	n.wg.Add(2)
 	go func() { defer n.wg.Done(); server.Serve(listen) }()
@@ -249,7 +249,7 @@
 	}
 	n.up = false
 	n.plays = map[string]*running{}
-	n.fleet.tape.Add(tape.Line{What: what, Node: n.line.Name})
+	n.fleet.tape.Add(trace.Line{What: what, Node: n.line.Name})
 	n.fleet.mu.Unlock()
 	n.kill()
 	n.server.Close()
@@ -312,7 +312,7 @@
 	if n.cutOff(w, ask.Front) {
 		return
 	}
-	line := tape.Line{What: tape.SetUp, Node: n.line.Name, Front: ask.Front, Play: id, Try: ask.Try, Product: ask.Product,
+	line := trace.Line{What: trace.SetUp, Node: n.line.Name, Front: ask.Front, Play: id, Try: ask.Try, Product: ask.Product,
 		Title: ask.Title, Viewer: ask.Viewer, Rung: ask.Rung}
 	f.tape.Add(line)
 	ends := func(what, why string) { line.What, line.Note = what, why; f.tape.Add(line) }
@@ -330,15 +330,15 @@
 	fell := n.pushed()
 	f.mu.Unlock()
 	if fell {
-		n.crash(tape.Fell)
+		n.crash(trace.Fell)
 		return
 	}
 	if refusal != "" {
 		if !n.hushed(r.Context()) {
-			ends(tape.Dropped, "silent")
+			ends(trace.Dropped, "silent")
 			return
 		}
-		ends(tape.Refused, refusal)
+		ends(trace.Refused, refusal)
 		f.mu.Lock()
 		if f.set.Reports == "answers" {
 			n.report(w)
@@ -354,20 +354,20 @@
 	if r.Context().Err() != nil || !n.hushed(r.Context()) {
 		n.drop(id, p)
 		if n.ctx.Err() == nil {
-			ends(tape.Dropped, "the front let go")
+			ends(trace.Dropped, "the front let go")
 		}
 		return
 	}
 	if fails {
 		n.drop(id, p)
-		ends(tape.Errored, "")
+		ends(trace.Errored, "")
 		answer(w, http.StatusInternalServerError, nodes.Refusal{Why: "fault"})
 		return
 	}
 	f.mu.Lock()
 	if n.plays[id] != p { // ended while it was set up
 		f.mu.Unlock()
-		ends(tape.Errored, "ended")
+		ends(trace.Errored, "ended")
 		answer(w, http.StatusGone, nodes.Refusal{Why: "ended"})
 		return
 	}
@@ -383,10 +383,10 @@
 	f.mu.Unlock()
 	if vanishes { // it runs, and nobody is told
 		<-r.Context().Done()
-		ends(tape.Dropped, "its answer vanished")
+		ends(trace.Dropped, "its answer vanished")
 		return
 	}
-	ends(tape.Started, "")
+	ends(trace.Started, "")
 	answer(w, http.StatusCreated, out)
 }
 
@@ -464,7 +464,7 @@
 	}
 	if ask.Seq > p.Seq {
 		p.Rung, p.Seq = ask.Rung, ask.Seq
-		f.tape.Add(tape.Line{What: tape.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Try: p.Try, Product: p.Product, Rung: p.Rung})
+		f.tape.Add(trace.Line{What: trace.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Try: p.Try, Product: p.Product, Rung: p.Rung})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -479,7 +479,7 @@
 		answer(w, http.StatusBadRequest, nodes.Refusal{Why: "try is needed"})
 		return
 	}
-	f.tape.Add(tape.Line{What: tape.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Try: try, Note: q.Get("why")})
+	f.tape.Add(trace.Line{What: trace.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Try: try, Note: q.Get("why")})
 	if !n.hushed(r.Context()) {
 		return
 	}
@@ -544,7 +544,7 @@
 		http.Error(w, "rung not allowed", http.StatusForbidden)
 		return
 	}
-	f.tape.Add(tape.Line{What: tape.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
+	f.tape.Add(trace.Line{What: trace.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
 	w.Header().Set(ShareHeader, strconv.FormatFloat(share, 'f', 3, 64))
 	w.Header().Set("Content-Type", "video/mp4")
 	w.Write(segment[:512*(rung+1)])
@@ -588,7 +588,7 @@
 		f.mu.Lock()
 		s.goneAt = time.Now()
 		f.mu.Unlock()
-		f.tape.Add(tape.Line{What: tape.Unstream, Node: n.line.Name, Front: name})
+		f.tape.Add(trace.Line{What: trace.Unstream, Node: n.line.Name, Front: name})
 	}()
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	send := func(note nodes.Note) bool {
@@ -660,7 +660,7 @@
 				continue
 			}
 			delete(n.plays, id)
-			f.tape.Add(tape.Line{What: tape.Ended, Node: n.line.Name, Front: p.front, Play: id, Try: p.Try})
+			f.tape.Add(trace.Line{What: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Try: p.Try})
 			n.tell(p.front, nodes.Note{Kind: nodes.Ended, Play: id, Try: p.Try, How: nodes.Over})
 		}
 		if beat%4 == 0 {
@@ -675,7 +675,7 @@
 func (n *Node) tellShares(now time.Time, lag time.Duration, loads bool) {
 	link, uplink := n.loads()
 	n.shares = append(n.shares, shareAt{now, n.share(), link, uplink})
-	n.fleet.tape.Add(tape.Line{What: tape.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	n.fleet.tape.Add(trace.Line{What: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
 	if len(n.shares) > 64 {
 		n.shares = n.shares[1:]
 	}
--- a/testbed/page/page.go
+++ b/testbed/page/page.go
@@ -17,7 +17,7 @@
 
 	"gullrail/testbed"
 	"gullrail/testbed/audit"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 const bin = 2.0 // seconds that one point of a curve stands for
@@ -53,7 +53,7 @@
 }
 
 // charts works the curves out of a tape.
-func charts(day *testbed.Day, lines []tape.Line) []*chart {
+func charts(day *testbed.Day, lines []trace.Line) []*chart {
 	set := &day.Service
 	type ask struct {
 		t          int64
@@ -61,7 +61,7 @@
 		target     float64
 		answered   bool
 	}
-	first, byID := map[string]*ask{}, map[int64]tape.Line{}
+	first, byID := map[string]*ask{}, map[int64]trace.Line{}
 	asked, served := counts{}, counts{}
 	plays, declined, failed := counts{}, counts{}, counts{}
 	segments, short := counts{}, counts{}
@@ -75,14 +75,14 @@
 	for _, l := range lines {
 		b := binOf(l.T)
 		switch l.What {
-		case tape.Ask:
+		case trace.Ask:
 			byID[l.ID] = l
 			if n, ok := set.ProductNumber(l.Product); ok && l.First {
 				p := set.Products[n]
 				first[l.Viewer] = &ask{l.T, p.Importance, p.TargetMs * 1000, false}
 				asked[b] += p.Importance
 			}
-		case tape.Answer:
+		case trace.Answer:
 			from, ok := byID[l.ID]
 			switch {
 			case !ok:
@@ -105,9 +105,9 @@
 			case l.Status == 502 || l.Status == 504:
 				failed[b]++
 			}
-		case tape.Load:
+		case trace.Load:
 			links[b], uplinks[b] = append(links[b], l.Share), append(uplinks[b], l.Uplink)
-		case tape.Served:
+		case trace.Served:
 			segments[b]++
 			if l.Share > 0 && l.Share < 0.98 {
 				short[b]++
@@ -164,7 +164,7 @@
 	name     string
 }
 
-func bands(day *testbed.Day, lines []tape.Line) (out []band) {
+func bands(day *testbed.Day, lines []trace.Line) (out []band) {
 	lasts := map[string]float64{}
 	for _, f := range day.Faults {
 		lasts[f.String()] = max(1, f.For)
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, l := range lines {
-		if l.What == tape.Fault {
+		if l.What == trace.Fault {
 			t := float64(l.T) / 1e6
 			out = append(out, band{t, t + lasts[l.Note], l.Note})
 		}
@@ -263,7 +263,7 @@
 `))
 
 // Write writes the page of a day that was played.
-func Write(w io.Writer, title string, day *testbed.Day, lines []tape.Line, rep *audit.Report) error {
+func Write(w io.Writer, title string, day *testbed.Day, lines []trace.Line, rep *audit.Report) error {
 	faults := bands(day, lines)
 	all := charts(day, lines)
 	for _, c := range all {
--- a/testbed/page/page_test.go
+++ b/testbed/page/page_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"gullrail/testbed"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 func TestPageOfADay(t *testing.T) {
@@ -40,13 +40,13 @@
 		t.Fatal(err)
 	}
 	at := func(sec float64) int64 { return int64(sec * 1e6) }
-	lines := []tape.Line{
-		{T: at(0), What: tape.Ask, ID: 1, Viewer: "a", Product: "lesson", First: true}, // importance 2, target 1.5 s
-		{T: at(1), What: tape.Answer, ID: 1, Status: 200, Play: "p"},
-		{T: at(1), What: tape.Ask, ID: 2, Viewer: "b", Product: "help", First: true}, // importance 1, target 1 s
-		{T: at(2.5), What: tape.Answer, ID: 2, Status: 200, Play: "q"},               // too late
-		{T: at(3), What: tape.Served, Play: "p", Rung: 1, Share: 0.5},
-		{T: at(3), What: tape.Served, Play: "q", Rung: 1, Share: 1},
+	lines := []trace.Line{
+		{T: at(0), What: trace.Ask, ID: 1, Viewer: "a", Product: "lesson", First: true}, // importance 2, target 1.5 s
+		{T: at(1), What: trace.Answer, ID: 1, Status: 200, Play: "p"},
+		{T: at(1), What: trace.Ask, ID: 2, Viewer: "b", Product: "help", First: true}, // importance 1, target 1 s
+		{T: at(2.5), What: trace.Answer, ID: 2, Status: 200, Play: "q"},               // too late
+		{T: at(3), What: trace.Served, Play: "p", Rung: 1, Share: 0.5},
+		{T: at(3), What: trace.Served, Play: "q", Rung: 1, Share: 1},
 	}
 	for _, c := range charts(day, lines) {
 		switch c.Title {
@@ -74,7 +74,7 @@
 	}
 	f.Add(`{"t":1,"what":"ask","id":1,"first":true,"product":"help"}` + "\n" + `{"t":2,"what":"served","rung":99,"share":0.1}`)
 	f.Fuzz(func(t *testing.T, s string) {
-		if lines, err := tape.Read(strings.NewReader(s)); err == nil {
+		if lines, err := trace.Read(strings.NewReader(s)); err == nil {
 			charts(day, lines)
 		}
 	})
--- a/testbed/path_test.go
+++ b/testbed/path_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"gullrail/nodes"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 	"gullrail/token"
 )
 
@@ -38,7 +38,7 @@
 	if y := r.get(x.manifest.Location); y.status != http.StatusOK || y.play != x.play {
 		t.Fatalf("manifest again: %d %s", y.status, y.body)
 	}
-	if r.count(tape.SetUp, "") != 1 || r.count(tape.Served, x.play) != 1 {
+	if r.count(trace.SetUp, "") != 1 || r.count(trace.Served, x.play) != 1 {
 		t.Fatal("one set-up and one segment passed on the sockets")
 	}
 }
@@ -89,20 +89,20 @@
 	if s := r.get("/v1/titles/other/manifest.mpd?product=safe&viewer=v1", "Authorization", "Bearer "+good); s.status != 403 {
 		t.Errorf("used to ask for another title: %d", s.status)
 	}
-	setUps := r.count(tape.SetUp, "")
+	setUps := r.count(trace.SetUp, "")
 
 	req, _ := http.NewRequest(http.MethodDelete, "http://"+r.addr+"/v1/plays/"+good, nil)
 	if resp, err := r.client.Do(req); err != nil || resp.StatusCode != http.StatusNoContent {
 		t.Fatal("the viewer could not leave")
 	}
-	r.eventually("the node ends the play", func() bool { return r.count(tape.End, x.play) == 1 })
+	r.eventually("the node ends the play", func() bool { return r.count(trace.End, x.play) == 1 })
 	if s := r.segment(x.manifest.Base, 0); s.status != http.StatusGone {
 		t.Errorf("replayed after its play ended, at the node: %d", s.status)
 	}
 	if s := r.get(x.manifest.Location); s.status != http.StatusForbidden {
 		t.Errorf("replayed after its play ended, at the front: %d", s.status)
 	}
-	if n := r.count(tape.SetUp, ""); n != setUps {
+	if n := r.count(trace.SetUp, ""); n != setUps {
 		t.Errorf("a token that does not hold set up %d plays", n-setUps)
 	}
 }
@@ -141,9 +141,9 @@
 		}()
 	}
 	wg.Wait()
-	byPlay := map[string][]tape.Line{}
+	byPlay := map[string][]trace.Line{}
 	for _, l := range r.tape.Lines() {
-		if l.What == tape.SetUp {
+		if l.What == trace.SetUp {
 			byPlay[l.Play] = append(byPlay[l.Play], l)
 		}
 	}
@@ -274,11 +274,11 @@
 	r.change(func() { r.nodes[0].slow = 40 })
 	first := make(chan reply, 1)
 	go func() { first <- r.ask("clip", "safe", "v") }()
-	r.eventually("the first is being set up", func() bool { return r.count(tape.SetUp, "") == 1 })
+	r.eventually("the first is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
 	if x := r.ask("clip", "safe", "v"); x.status != http.StatusConflict {
 		t.Fatalf("the second: %d %s", x.status, x.body)
 	}
-	if x := <-first; x.status != http.StatusOK || r.count(tape.SetUp, "") != 1 {
+	if x := <-first; x.status != http.StatusOK || r.count(trace.SetUp, "") != 1 {
 		t.Fatalf("the first: %d %s", x.status, x.body)
 	}
 }
@@ -291,9 +291,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.addr+"/v1/titles/clip/manifest.mpd?product=paid&viewer=v", nil)
 	go r.client.Do(req)
-	r.eventually("it is being set up", func() bool { return r.count(tape.SetUp, "") == 1 })
+	r.eventually("it is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
 	cancel()
-	r.eventually("the front lets go of it", func() bool { return r.count(tape.Dropped, "") == 1 })
+	r.eventually("the front lets go of it", func() bool { return r.count(trace.Dropped, "") == 1 })
 	r.eventually("nothing is in hand", func() bool { return r.front.Counts(context.Background()).InHand == 0 })
 }
 
@@ -321,15 +321,15 @@
 	r.change(func() { r.nodes[0].slow = 100 })
 	got := make(chan reply, 1)
 	go func() { got <- r.ask("only-0", "paid", "v") }()
-	r.eventually("it is being set up", func() bool { return r.count(tape.SetUp, "") == 1 })
+	r.eventually("it is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
 	gone := r.nodes[0].line
 	gone.Phase = "gone"
 	r.registry.Set(gone)
 	x := <-got
-	if x.status != http.StatusOK || r.count(tape.SetUp, "") != 1 {
+	if x.status != http.StatusOK || r.count(trace.SetUp, "") != 1 {
 		t.Fatalf("what was on its way comes to its end: %d %s", x.status, x.body)
 	}
-	if y := r.ask("only-0", "safe", "w"); y.status != http.StatusServiceUnavailable || r.count(tape.SetUp, "") != 1 {
+	if y := r.ask("only-0", "safe", "w"); y.status != http.StatusServiceUnavailable || r.count(trace.SetUp, "") != 1 {
 		t.Fatalf("nothing new for a node that is gone: %d %s", y.status, y.body)
 	}
 	if s := r.segment(x.manifest.Base, 1); s.status != http.StatusOK {
@@ -343,10 +343,10 @@
 	line := r.nodes[0].line
 	line.Phase = "draining"
 	r.registry.Set(line)
-	r.eventually("the front was told", func() bool { return r.count(tape.Told, "") == 3 })
+	r.eventually("the front was told", func() bool { return r.count(trace.Told, "") == 3 })
 	r.eventually("nothing new is set up there", func() bool {
-		before := r.count(tape.SetUp, "")
-		return r.ask("only-0", "safe", "w").status == http.StatusServiceUnavailable && r.count(tape.SetUp, "") == before
+		before := r.count(trace.SetUp, "")
+		return r.ask("only-0", "safe", "w").status == http.StatusServiceUnavailable && r.count(trace.SetUp, "") == before
 	})
 	for i := range 10 {
 		r.playing("clip", "safe", fmt.Sprint("v", i+1))
@@ -402,7 +402,7 @@
 	r.change(func() { r.nodes[0].slow = 60 })
 	got := make(chan reply, 1)
 	go func() { got <- r.ask("clip", "safe", "v") }()
-	r.eventually("it is being set up", func() bool { return r.count(tape.SetUp, "") == 1 })
+	r.eventually("it is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
 	r.stop()
 	if x := <-got; x.status != http.StatusOK {
 		t.Fatalf("owed at the end: %d %s", x.status, x.body)
@@ -426,7 +426,7 @@
 	if x := r.get(first[0].manifest.Location); x.status != http.StatusOK || x.play != first[0].play {
 		t.Fatalf("its viewers keep it: %d %s", x.status, x.body)
 	}
-	if n := r.count(tape.SetUp, ""); n != 3 {
+	if n := r.count(trace.SetUp, ""); n != 3 {
 		t.Fatalf("%d set-ups for three plays", n)
 	}
 }
@@ -438,12 +438,12 @@
 	}
 	r.settings.Retire = true
 	r.stop()
-	if r.count(tape.End, "") != 0 {
+	if r.count(trace.End, "") != 0 {
 		t.Fatal("a front whose next life is expected leaves its plays alone")
 	}
 	r.startFront()
 	r.stop()
-	if n := r.count(tape.End, ""); n != 4 {
+	if n := r.count(trace.End, ""); n != 4 {
 		t.Fatalf("%d of 4 plays were let go", n)
 	}
 }
@@ -474,7 +474,7 @@
 	}
 	if t.Failed() {
 		if f, err := os.Create(filepath.Join(os.TempDir(), "failed-tape.jsonl")); err == nil {
-			tape.Write(f, out.Lines)
+			trace.Write(f, out.Lines)
 			f.Close()
 		}
 	}
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -16,7 +16,7 @@
 	"gullrail/client"
 	"gullrail/config"
 	"gullrail/dash"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // Viewer is one simulated viewer: what it wants and how it behaves.
@@ -38,7 +38,7 @@
 // Players are the simulated viewers' side of the sockets.
 type Players struct {
 	Set    *config.Service
-	Tape   *tape.Tape
+	Tape   *trace.Tape
 	Client *http.Client
 	ids    atomic.Int64
 	Seen   Seen
@@ -55,7 +55,7 @@
 func (s *Seen) add(f func(s *Seen)) { s.mu.Lock(); f(s); s.mu.Unlock() }
 
 // NewPlayers makes the players' side with connections of its own.
-func NewPlayers(set *config.Service, t *tape.Tape) *Players {
+func NewPlayers(set *config.Service, t *trace.Tape) *Players {
 	return &Players{Set: set, Tape: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 10 * time.Second}}}
 }
@@ -72,7 +72,7 @@
 // had, broken that its node does not deliver.
 func (p *Players) ask(ctx context.Context, v *Viewer, at int, target, before string, first, broken bool) (res result) {
 	id := p.ids.Add(1)
-	line := tape.Line{What: tape.Ask, ID: id, Front: v.Names[at], Viewer: v.Name, Product: v.Product.Name,
+	line := trace.Line{What: trace.Ask, ID: id, Front: v.Names[at], Viewer: v.Name, Product: v.Product.Name,
 		Title: v.Title, LimitMs: int64(v.Product.LimitMs), Play: before, First: first}
 	if broken {
 		line.Note = "broken"
@@ -85,7 +85,7 @@
 	defer cancel()
 	p.Tape.Add(line)
 	got, err := client.Manifest(ctx, p.Client, target)
-	ans := tape.Line{What: tape.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Why}
+	ans := trace.Line{What: trace.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Why}
 	if err != nil {
 		ans.Note = err.Error()
 	}
@@ -242,7 +242,7 @@
 	if err != nil {
 		return
 	}
-	p.Tape.Add(tape.Line{What: tape.Leave, Play: play})
+	p.Tape.Add(trace.Line{What: trace.Leave, Play: play})
 	if resp, err := p.Client.Do(req); err == nil {
 		resp.Body.Close()
 	}
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -24,7 +24,7 @@
 	"gullrail/nodes"
 	"gullrail/serve"
 	"gullrail/testbed/audit"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // Rehearsal runs a day: fronts as processes of their own, stand-in nodes, the list service and viewers in
@@ -36,7 +36,7 @@
 	Folder  string                            // for the fronts' settings and logs
 	Say     func(format string, args ...any)
 
-	tape     *tape.Tape
+	tape     *trace.Tape
 	fleet    *Fleet
 	registry *Registry // the list service, where it is in this process
 	list     Announcer
@@ -68,7 +68,7 @@
 // Outcome is what a rehearsal came to.
 type Outcome struct {
 	Report *audit.Report
-	Lines  []tape.Line
+	Lines  []trace.Line
 	Short  float64 // share of segments delivered short
 	Took   time.Duration
 }
@@ -127,7 +127,7 @@
 // Up starts the nodes, the list service and the fronts, and waits until the fronts are ready. Down is owed
 // after it, also when it fails.
 func (r *Rehearsal) Up(ctx context.Context) error {
-	key, err := r.prepare(tape.New())
+	key, err := r.prepare(trace.New())
 	if err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 }
 
 // prepare makes what every part of a rehearsal needs, the same for all of them.
-func (r *Rehearsal) prepare(t *tape.Tape) (config.Key, error) {
+func (r *Rehearsal) prepare(t *trace.Tape) (config.Key, error) {
 	d := r.Day
 	r.tape = t
 	r.rnd = rand.New(rand.NewPCG(d.Seed, 1))
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, n := range r.all {
-		n.crash(tape.Crash)
+		n.crash(trace.Crash)
 		n.wg.Wait()
 	}
 	if r.registry != nil && r.registry.server != nil {
@@ -265,7 +265,7 @@
 		if err := f.awaitReady(ctx, 20*time.Second); err != nil {
 			return err
 		}
-		r.tape.Add(tape.Line{What: tape.Up, Front: f.name})
+		r.tape.Add(trace.Line{What: trace.Up, Front: f.name})
 	}
 	return nil
 }
@@ -541,7 +541,7 @@
 		return
 	}
 	r.Say("%5.1f s  %s", time.Since(start).Seconds(), f)
-	r.tape.Add(tape.Line{What: tape.Fault, Note: f.String()})
+	r.tape.Add(trace.Line{What: trace.Fault, Note: f.String()})
 	var all sync.WaitGroup
 	defer all.Wait()
 	each := func(do func(n *Node)) {
@@ -568,7 +568,7 @@
 		each(func(n *Node) { r.drain(ctx, n, f) })
 	case "crash":
 		each(func(n *Node) {
-			n.crash(tape.Crash)
+			n.crash(trace.Crash)
 			if f.For > 0 && wait(ctx, f.For) {
 				r.back(n)
 			}
@@ -656,7 +656,7 @@
 					return
 				}
 			}
-			n.crash(tape.Crash)
+			n.crash(trace.Crash)
 			r.change(func() { n.slow, n.taken = 1, 0 })
 			if wait(ctx, agedBack) {
 				r.back(n)
@@ -668,7 +668,7 @@
 		}
 		p := r.fronts[f.Front]
 		p.kill()
-		r.tape.Add(tape.Line{What: tape.Killed, Front: p.name})
+		r.tape.Add(trace.Line{What: trace.Killed, Front: p.name})
 		if f.For > 0 && wait(ctx, f.For) {
 			if err := r.startFront(p); err != nil {
 				r.Say("%v", err)
@@ -678,18 +678,18 @@
 				r.Say("%v", err)
 				return
 			}
-			r.tape.Add(tape.Line{What: tape.Up, Front: p.name})
+			r.tape.Add(trace.Line{What: trace.Up, Front: p.name})
 		}
 	case "front-stall":
 		if len(r.fronts) == 0 {
 			return
 		}
 		p := r.fronts[f.Front]
-		r.tape.Add(tape.Line{What: tape.Stopped, Front: p.name})
+		r.tape.Add(trace.Line{What: trace.Stopped, Front: p.name})
 		p.signal(syscall.SIGSTOP)
 		wait(ctx, f.For)
 		p.signal(syscall.SIGCONT)
-		r.tape.Add(tape.Line{What: tape.Goes, Front: p.name})
+		r.tape.Add(trace.Line{What: trace.Goes, Front: p.name})
 	}
 }
 
@@ -720,7 +720,7 @@
 	if !wait(ctx, f.Amount) {
 		return
 	}
-	n.crash(tape.Crash)
+	n.crash(trace.Crash)
 	line.Phase = "gone"
 	r.list.Set(line)
 	if f.For <= 0 || !wait(ctx, f.For) {
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -21,7 +21,7 @@
 	"gullrail/dash"
 	"gullrail/nodes"
 	"gullrail/serve"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 	"gullrail/token"
 )
 
@@ -41,7 +41,7 @@
 type rig struct {
 	t        *testing.T
 	set      *config.Service
-	tape     *tape.Tape
+	tape     *trace.Tape
 	fleet    *Fleet
 	registry *Registry
 	minter   *token.Minter
@@ -63,7 +63,7 @@
 // newRigWith lets a test change the rig before its nodes start.
 func newRigWith(t *testing.T, n int, change func(r *rig), others ...nodes.Line) *rig {
 	t.Helper()
-	r := &rig{t: t, scheme: "http", tape: tape.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
+	r := &rig{t: t, scheme: "http", tape: trace.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
 	doc, v, err := config.Parse("service", []byte(testService))
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 			r.stop()
 		}
 		for _, n := range r.nodes {
-			n.crash(tape.Crash)
+			n.crash(trace.Crash)
 			n.wg.Wait()
 		}
 		r.registry.Stop()
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -18,7 +18,7 @@
 	"gullrail/playlog"
 	"gullrail/session"
 	"gullrail/testbed/audit"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // Sim plays a day in simulated time, without sockets: the same cores, gates and modules as the daemon's, over
@@ -38,7 +38,7 @@
 	byNumber []*simNode
 	racks    []rack
 	rackAsks []float64
-	lines    []tape.Line
+	lines    []trace.Line
 	ids      int64
 	crowd    map[string]float64
 	lean     lean
@@ -85,7 +85,7 @@
 
 func (s *Sim) seconds(sec float64, do func()) { s.after(int64(sec*float64(decision.Second)), do) }
 
-func (s *Sim) add(l tape.Line) {
+func (s *Sim) add(l trace.Line) {
 	l.T = (s.now - session.ClockStart) * 100
 	s.lines = append(s.lines, l)
 }
@@ -194,7 +194,7 @@
 	if cold {
 		n.coldAt, note = n.sim.now, "cold"
 	}
-	n.sim.add(tape.Line{What: tape.Life, Node: n.line.Name, Note: note})
+	n.sim.add(trace.Line{What: trace.Life, Node: n.line.Name, Note: note})
 }
 
 func (n *simNode) crash(what string) {
@@ -202,7 +202,7 @@
 		return
 	}
 	n.up = false
-	n.sim.add(tape.Line{What: what, Node: n.line.Name})
+	n.sim.add(trace.Line{What: what, Node: n.line.Name})
 	for _, p := range slices.Clone(n.held) {
 		n.drop(p)
 	}
@@ -275,7 +275,7 @@
 			continue
 		}
 		n.drop(p)
-		s.add(tape.Line{What: tape.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Try: p.Try})
+		s.add(trace.Line{What: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Try: p.Try})
 		f, ref := s.fronts[p.front], p.Ref
 		if n.hushed == 0 && f.reaches(n) {
 			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), decision.Served) })
@@ -286,7 +286,7 @@
 	}
 	link, uplink := n.loads()
 	n.shares = append(n.shares, shareAt{share: n.share(), link: link, uplink: uplink})
-	s.add(tape.Line{What: tape.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	s.add(trace.Line{What: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
 	if len(n.shares) > 64 {
 		n.shares = n.shares[1:]
 	}
@@ -477,18 +477,18 @@
 		return
 	}
 	p.sent = true
-	line := tape.Line{What: tape.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Try: a.Try,
+	line := trace.Line{What: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Try: a.Try,
 		Product: s.Day.Service.Products[a.Product].Name, Title: a.Title, Viewer: a.Viewer, Rung: a.Rung}
 	s.add(line)
 	ends := func(what, why string) { line.What, line.Note = what, why; s.add(line) }
 	refusal := n.refusal(&a)
 	if n.pushed() {
-		n.crash(tape.Fell)
+		n.crash(trace.Fell)
 		return
 	}
 	if refusal != "" {
 		if n.hushed == 0 {
-			ends(tape.Refused, refusal)
+			ends(trace.Refused, refusal)
 			f.settle(a.Ref, p, decision.TurnedAway, hop)
 		}
 		return
@@ -507,7 +507,7 @@
 		case n.hushed > 0: // it says nothing, and will have been given up
 		case fails:
 			n.drop(play)
-			ends(tape.Errored, "")
+			ends(trace.Errored, "")
 			f.settle(a.Ref, p, decision.Errored, hop)
 		default:
 			n.mark++
@@ -515,7 +515,7 @@
 			if vanishes {
 				return
 			}
-			ends(tape.Started, "")
+			ends(trace.Started, "")
 			f.settle(a.Ref, p, decision.Served, hop)
 		}
 	})
@@ -539,9 +539,9 @@
 	}
 	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.CalledOff) {
 		n.drop(p.play)
-		f.sim.add(tape.Line{What: tape.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
 	} else if p.sent && how == decision.NoAnswer { // refused by a node that says nothing
-		f.sim.add(tape.Line{What: tape.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
 	}
 	f.call(after, func(now int64, c *session.Core) { c.SetUpEnded(now, r, how, load) })
 }
@@ -578,7 +578,7 @@
 		if p := n.plays[r.Play]; p != nil && p.Try == r.Try && seq > p.Seq {
 			p.Seq = seq
 			n.rerate(p, rung)
-			f.sim.add(tape.Line{What: tape.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Product: p.product.Name, Rung: rung})
+			f.sim.add(trace.Line{What: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Product: p.product.Name, Rung: rung})
 		}
 	})
 }
@@ -587,7 +587,7 @@
 	n := f.sim.nodes[address]
 	f.sim.after(hop, func() {
 		if n.up && f.reaches(n) {
-			f.sim.add(tape.Line{What: tape.End, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Note: why})
+			f.sim.add(trace.Line{What: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Note: why})
 		}
 	})
 	f.later(address, func(n *simNode) {
@@ -679,7 +679,7 @@
 func (f *simFront) kill() {
 	f.up = false
 	f.life++
-	f.sim.add(tape.Line{What: tape.Killed, Front: f.name})
+	f.sim.add(trace.Line{What: trace.Killed, Front: f.name})
 	refs := make([]session.Ref, 0, len(f.pending))
 	for r := range f.pending {
 		refs = append(refs, r)
@@ -688,7 +688,7 @@
 	for _, r := range refs { // nodes see their connections closed
 		if p := f.pending[r]; p.play != nil && !p.play.playing {
 			p.node.drop(p.play)
-			f.sim.add(tape.Line{What: tape.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+			f.sim.add(trace.Line{What: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
 		}
 	}
 	replies := make([]*session.Reply, 0, len(f.asks))
@@ -758,7 +758,7 @@
 		if whole && l.Phase == "gone" {
 			continue
 		}
-		s.add(tape.Line{What: tape.Told, Front: f.name, Node: l.Name, Note: l.Phase})
+		s.add(trace.Line{What: trace.Told, Front: f.name, Node: l.Name, Note: l.Phase})
 		phase := map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[l.Phase]
 		e := session.Listed{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, Started: l.StartedMs}
 		for i, k := range s.Day.Service.Kinds {
@@ -801,7 +801,7 @@
 	f := s.fronts[v.front%len(s.fronts)]
 	s.ids++
 	id := s.ids
-	line := tape.Line{What: tape.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+	line := trace.Line{What: trace.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
 		LimitMs: int64(v.Product.LimitMs), Play: v.before, First: v.first}
 	if v.broken {
 		line.Note = "broken"
@@ -813,7 +813,7 @@
 	s.add(line)
 	limit := s.now + int64(v.Product.LimitMs)*decision.Ms
 	if !f.up {
-		s.after(clientHop, func() { s.add(tape.Line{What: tape.Answer, ID: id, Note: "connection refused"}); v.again(0) })
+		s.after(clientHop, func() { s.add(trace.Line{What: trace.Answer, ID: id, Note: "connection refused"}); v.again(0) })
 		return
 	}
 	var reply *session.Reply
@@ -853,7 +853,7 @@
 
 func (v *simViewer) answered(id int64, a session.Answer) {
 	s := v.sim
-	line := tape.Line{What: tape.Answer, ID: id, Play: a.Play, Note: a.Why}
+	line := trace.Line{What: trace.Answer, ID: id, Play: a.Play, Note: a.Why}
 	switch {
 	case a.Verdict == cut:
 	case a.Verdict == session.Plays:
@@ -928,7 +928,7 @@
 	if share < 0.98 {
 		s.short++
 	}
-	s.add(tape.Line{What: tape.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
+	s.add(trace.Line{What: trace.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
 	if p.Rung != v.rung { // told by the node: its manifest is asked for again
 		v.rung = p.Rung
 		v.ask()
@@ -971,7 +971,7 @@
 		f := &simFront{sim: s, number: i, name: fmt.Sprintf("f%d", i)}
 		s.fronts = append(s.fronts, f)
 		f.start()
-		s.add(tape.Line{What: tape.Up, Front: f.name})
+		s.add(trace.Line{What: trace.Up, Front: f.name})
 	}
 	beat := 0
 	var tick func()
@@ -1009,7 +1009,7 @@
 
 // inject is the script's faults, as on sockets.
 func (s *Sim) inject(f Fault) {
-	s.add(tape.Line{What: tape.Fault, Note: f.String()})
+	s.add(trace.Line{What: trace.Fault, Note: f.String()})
 	each := func(do func(n *simNode)) {
 		for _, i := range f.Nodes {
 			do(s.byNumber[i])
@@ -1040,7 +1040,7 @@
 			line.Phase = "draining"
 			s.announce(line)
 			s.seconds(f.Amount, func() {
-				n.crash(tape.Crash)
+				n.crash(trace.Crash)
 				line.Phase = "gone"
 				s.announce(line)
 				lasts(func() {
@@ -1051,7 +1051,7 @@
 		})
 	case "crash":
 		each(func(n *simNode) {
-			n.crash(tape.Crash)
+			n.crash(trace.Crash)
 			lasts(func() { back(n) })
 		})
 	case "list-wrong":
@@ -1102,7 +1102,7 @@
 				s.seconds(age, func() { n.slow, n.taken = aged(f, age) })
 			}
 			s.seconds(f.For, func() {
-				n.crash(tape.Crash)
+				n.crash(trace.Crash)
 				n.slow, n.taken = 1, 0
 				s.seconds(agedBack, func() { back(n) })
 			})
@@ -1112,15 +1112,15 @@
 		p.kill()
 		lasts(func() {
 			p.start()
-			s.add(tape.Line{What: tape.Up, Front: p.name})
+			s.add(trace.Line{What: trace.Up, Front: p.name})
 		})
 	case "front-stall":
 		p := s.fronts[f.Front]
 		p.stopped = true
-		s.add(tape.Line{What: tape.Stopped, Front: p.name})
+		s.add(trace.Line{What: trace.Stopped, Front: p.name})
 		s.seconds(f.For, func() {
 			p.stopped = false
-			s.add(tape.Line{What: tape.Goes, Front: p.name})
+			s.add(trace.Line{What: trace.Goes, Front: p.name})
 			held := p.held
 			p.held = nil
 			for _, do := range held {
--- a/testbed/sim_test.go
+++ b/testbed/sim_test.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"testing"
 
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 func readDayFile(t *testing.T, name string) *Day {
@@ -22,7 +22,7 @@
 func simTape(t *testing.T, d *Day) []byte {
 	t.Helper()
 	var out bytes.Buffer
-	if err := tape.Write(&out, (&Sim{Day: d}).Run().Lines); err != nil {
+	if err := trace.Write(&out, (&Sim{Day: d}).Run().Lines); err != nil {
 		t.Fatal(err)
 	}
 	return out.Bytes()
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"gullrail/client"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // statuses of a socket's verdicts on the tape, as DASH would tell them.
@@ -44,7 +44,7 @@
 		if t.Answer == nil && t.Lost == nil {
 			id := p.ids.Add(1)
 			ids[t.Ticket], asked[t.Ticket] = id, time.Now()
-			line := tape.Line{What: tape.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+			line := trace.Line{What: trace.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
 				LimitMs: int64(v.Product.LimitMs), Play: t.Before, First: first}
 			if t.Broken {
 				line.Note = "broken"
@@ -61,11 +61,11 @@
 			return
 		}
 		delete(ids, t.Ticket)
-		line := tape.Line{What: tape.Answer, ID: id}
+		line := trace.Line{What: trace.Answer, ID: id}
 		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.LimitMs)*time.Millisecond
 		delete(asked, t.Ticket)
 		if errors.Is(t.Lost, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
-			line.What = tape.Gone
+			line.What = trace.Gone
 		} else if t.Lost != nil {
 			line.Note = t.Lost.Error()
 		} else {
@@ -84,7 +84,7 @@
 			return // its tries are used up
 		}
 		if p.fetchAll(ctx, v, play, began) {
-			p.Tape.Add(tape.Line{What: tape.Leave, Play: play.Grant().Play})
+			p.Tape.Add(trace.Line{What: trace.Leave, Play: play.Grant().Play})
 			play.Leave()
 			return
 		}
--- a/testbed/stand.go
+++ b/testbed/stand.go
@@ -10,14 +10,14 @@
 
 	"gullrail/nodes"
 	"gullrail/testbed/audit"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // A rehearsal may be spread over processes: one for each rack of nodes, one for the list service, one for
 // the viewers. Each reads the whole day, and plays its part of the script by the common clock.
 
 // StartRack starts the nodes of one rack, to be announced at a list service in another process.
-func (r *Rehearsal) StartRack(rack int, t *tape.Tape) ([]nodes.Line, error) {
+func (r *Rehearsal) StartRack(rack int, t *trace.Tape) ([]nodes.Line, error) {
 	if _, err := r.prepare(t); err != nil {
 		return nil, err
 	}
@@ -27,7 +27,7 @@
 
 // StartList starts the list service with its nodes; other processes announce theirs to Announce at its
 // address.
-func (r *Rehearsal) StartList(t *tape.Tape, lines []nodes.Line) (addr string, err error) {
+func (r *Rehearsal) StartList(t *trace.Tape, lines []nodes.Line) (addr string, err error) {
 	if _, err := r.prepare(t); err != nil {
 		return "", err
 	}
@@ -84,7 +84,7 @@
 
 // WatchAll lets the day's viewers come from a start on, and returns when the last answer is in, with the
 // share of segments delivered short.
-func (r *Rehearsal) WatchAll(ctx context.Context, start time.Time, t *tape.Tape, fronts []Reached) (lines []tape.Line, short float64, err error) {
+func (r *Rehearsal) WatchAll(ctx context.Context, start time.Time, t *trace.Tape, fronts []Reached) (lines []trace.Line, short float64, err error) {
 	if _, err := r.prepare(t); err != nil {
 		return nil, 0, err
 	}
@@ -112,7 +112,7 @@
 }
 
 // StartFronts starts the day's fronts, told of a list service elsewhere, with the key that the day draws.
-func (r *Rehearsal) StartFronts(ctx context.Context, list string, t *tape.Tape) error {
+func (r *Rehearsal) StartFronts(ctx context.Context, list string, t *trace.Tape) error {
 	key, err := r.prepare(t)
 	if err != nil {
 		return err
@@ -121,7 +121,7 @@
 }
 
 // Audit checks the tapes of all processes.
-func (d *Day) Audit(tapes ...[]tape.Line) (*audit.Report, []tape.Line) {
-	all := tape.Merge(tapes...)
+func (d *Day) Audit(tapes ...[]trace.Line) (*audit.Report, []trace.Line) {
+	all := trace.Merge(tapes...)
 	return audit.Check(&d.Service, all), all
 }
--- a/testbed/store_test.go
+++ b/testbed/store_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 func TestRecordsLetAFrontStartAgainBesideASilentNode(t *testing.T) {
@@ -33,7 +33,7 @@
 	if x := r.ask("clip", "paid", "w"); x.status != http.StatusServiceUnavailable {
 		t.Fatalf("the silent node's seat was given twice: %d %s", x.status, x.body)
 	}
-	if n := r.count(tape.SetUp, ""); n != 3 {
+	if n := r.count(trace.SetUp, ""); n != 3 {
 		t.Fatalf("%d set-ups for three plays", n)
 	}
 }
@@ -51,11 +51,11 @@
 		t.Fatal(err)
 	}
 	defer syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was)
-	setUps := r.count(tape.SetUp, "")
+	setUps := r.count(trace.SetUp, "")
 	if x := r.ask("other", "paid", "w"); x.status != http.StatusServiceUnavailable {
 		t.Fatalf("paid: %d %s", x.status, x.body)
 	}
-	if n := r.count(tape.SetUp, ""); n != setUps {
+	if n := r.count(trace.SetUp, ""); n != setUps {
 		t.Fatal("it was sent without a record")
 	}
 	r.playing("other", "safe", "x") // what need not be recorded goes on
--- a/testbed/tls_test.go
+++ b/testbed/tls_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 // authority signs certificates for loopback.
@@ -131,7 +131,7 @@
 	if x := r.ask("clip", "paid", "v"); x.status != http.StatusServiceUnavailable {
 		t.Fatalf("got %d %s", x.status, x.body)
 	}
-	if n := r.count(tape.SetUp, ""); n != 0 {
+	if n := r.count(trace.SetUp, ""); n != 0 {
 		t.Fatalf("%d set-ups reached nodes that nobody vouches for", n)
 	}
 }
--- a/testbed/tape/tape.go
+++ b/testbed/trace/trace.go
@@ -1,6 +1,6 @@
-// Package tape records what passed on the sockets of stand-in nodes, the list service and simulated
+// Package trace records what passed on the sockets of stand-in nodes, the list service and simulated
 // players, by one monotonic clock.
-package tape
+package trace
 
 import (
 	"bufio"
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -10,7 +10,7 @@
 
 	"gullrail/client"
 	"gullrail/playapi"
-	"gullrail/testbed/tape"
+	"gullrail/testbed/trace"
 )
 
 func (r *rig) viewer(name string, fronts ...string) *client.Client {
@@ -64,7 +64,7 @@
 	}
 	// The same viewer by DASH with the socket's token: the same play, no second set-up.
 	x := r.get("/v1/plays/" + g.Token + "/manifest.mpd")
-	if x.status != 200 || x.play != g.Play || r.count(tape.SetUp, "") != 1 {
+	if x.status != 200 || x.play != g.Play || r.count(trace.SetUp, "") != 1 {
 		t.Fatalf("%d %s of %s", x.status, x.play, g.Play)
 	}
 	p.Leave()
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.fleet.nodes[cl.Node].crash(tape.Crash)
+	r.fleet.nodes[cl.Node].crash(trace.Crash)
 	r.event(p, client.Away)
 	e := r.event(p, client.Moved)
 	if e.Grant.Play == was.Play || r.fetches(e.Grant) != 200 {
@@ -101,8 +101,8 @@
 	r.stop()
 	r.startFront()
 	e := r.event(p, client.Rung) // resumed by its token: the same play, as the new life took it over
-	if e.Grant.Play != was.Play || r.fetches(e.Grant) != 200 || r.count(tape.SetUp, "") != 1 {
-		t.Fatalf("%+v, %d set-ups", e.Grant, r.count(tape.SetUp, ""))
+	if e.Grant.Play != was.Play || r.fetches(e.Grant) != 200 || r.count(trace.SetUp, "") != 1 {
+		t.Fatalf("%+v, %d set-ups", e.Grant, r.count(trace.SetUp, ""))
 	}
 }
 
