--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -22,7 +22,7 @@
 	"gullrail/serve"
 	"gullrail/testbed"
 	"gullrail/testbed/audit"
-	"gullrail/testbed/page"
+	"gullrail/testbed/htmlreport"
 	"gullrail/testbed/trace"
 )
 
@@ -214,7 +214,7 @@
 		return err
 	}
 	defer f.Close()
-	if err := page.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), day.Seed), day, out.Lines, out.Report); err != nil {
+	if err := htmlreport.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), day.Seed), day, out.Lines, out.Report); err != nil {
 		return err
 	}
 	return f.Close()
--- a/testbed/page/page.go
+++ b/testbed/htmlreport/htmlreport.go
@@ -1,6 +1,6 @@
-// Package page draws what a rehearsal came to as one self-contained HTML page: its figures, the six rules,
+// Package htmlreport draws what a rehearsal came to as one self-contained HTML page: its figures, the six rules,
 // and how service, rungs, deliveries, answers and first frames went over the day, with the faults as bands.
-package page
+package htmlreport
 
 import (
 	"bytes"
--- a/testbed/page/page_test.go
+++ b/testbed/htmlreport/htmlreport_test.go
@@ -1,4 +1,4 @@
-package page
+package htmlreport
 
 import (
 	"bytes"
