--- a/cmd/gullrail/fleet.go
+++ b/cmd/gullrail/fleet.go
@@ -10,7 +10,7 @@
 	"text/tabwriter"
 	"time"
 
-	"gullrail/serve"
+	"gullrail/frontend"
 )
 
 type fleetVerbs struct {
@@ -21,13 +21,13 @@
 
 const fleetFor = 5 * time.Second // a front that runs answers in milliseconds
 
-func askFleet(ctx context.Context, front string) ([]serve.FleetNode, error) {
+func askFleet(ctx context.Context, front string) ([]frontend.FleetNode, error) {
 	ctx, cancel := context.WithTimeout(ctx, fleetFor)
 	defer cancel()
 	if !strings.Contains(front, "://") {
 		front = "http://" + front
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, front+serve.FleetPath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, front+frontend.FleetPath, nil)
 	if err != nil {
 		return nil, wrong{err}
 	}
@@ -39,14 +39,14 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s: %s", front, resp.Status)
 	}
-	var out []serve.FleetNode
+	var out []frontend.FleetNode
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		return nil, fmt.Errorf("%s: %w", front, err)
 	}
 	return out, nil
 }
 
-func used(n serve.FleetNode) string {
+func used(n frontend.FleetNode) string {
 	if n.Use {
 		return "used"
 	}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	other := map[string]serve.FleetNode{}
+	other := map[string]frontend.FleetNode{}
 	for _, x := range b {
 		other[x.Name] = x
 	}
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -18,8 +18,8 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
+	"gullrail/frontend"
 	"gullrail/platform"
-	"gullrail/serve"
 	"gullrail/testbed"
 	"gullrail/testbed/audit"
 	"gullrail/testbed/htmlreport"
@@ -59,12 +59,12 @@
 		return wrong{err}
 	}
 	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", set.Name).Logger()
-	claim, err := serve.NewClaim(set.State)
+	claim, err := frontend.NewClaim(set.State)
 	if err != nil {
 		return err
 	}
 	defer claim.Release()
-	f, err := serve.Listen(set, claim.Epoch, log)
+	f, err := frontend.Listen(set, claim.Epoch, log)
 	if err != nil {
 		return err
 	}
--- a/cmd/gullrail/store.go
+++ b/cmd/gullrail/store.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
+	"gullrail/frontend"
 	"gullrail/playlog"
-	"gullrail/serve"
 	"gullrail/store"
 )
 
@@ -69,7 +69,7 @@
 type storeCompact struct{ storeFolder }
 
 func (v *storeCompact) Run() error {
-	c, err := serve.CompactStore(v.Folder)
+	c, err := frontend.CompactStore(v.Folder)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 }
 
 func (v *storeSalvage) Run() error {
-	s, err := serve.SalvageStore(v.Folder, v.Into)
+	s, err := frontend.SalvageStore(v.Folder, v.Into)
 	for _, g := range s.Gaps {
 		fmt.Printf("%s: bytes %d to %d: %d records missing: %s\n", g.File, g.From, g.To, g.Records, g.What)
 	}
--- a/serve/serve.go
+++ b/frontend/frontend.go
@@ -1,6 +1,6 @@
-// Package serve puts a front end together from its settings and runs it: the core, the client of the
+// Package frontend puts a front end together from its settings and runs it: the core, the client of the
 // playout nodes, the follower of the list, and the players' side.
-package serve
+package frontend
 
 import (
 	"context"
--- a/serve/tls.go
+++ b/frontend/tls.go
@@ -1,4 +1,4 @@
-package serve
+package frontend
 
 import (
 	"crypto/tls"
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
-	"gullrail/serve"
+	"gullrail/frontend"
 	"gullrail/testbed/audit"
 	"gullrail/testbed/trace"
 )
@@ -62,7 +62,7 @@
 			set.Name, set.Service = fmt.Sprint("new", i), moved
 			set.Peers = config.Peers{Listen: ports[i], Fronts: ports, Secret: bytes.Repeat([]byte{5}, 32)}
 		}
-		f, err := serve.Listen(set, time.Now().UnixNano(), zerolog.Nop())
+		f, err := frontend.Listen(set, time.Now().UnixNano(), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -21,8 +21,8 @@
 	"github.com/rs/zerolog"
 
 	"gullrail/config"
+	"gullrail/frontend"
 	"gullrail/nodes"
-	"gullrail/serve"
 	"gullrail/testbed/audit"
 	"gullrail/testbed/trace"
 )
@@ -162,7 +162,7 @@
 	for i := range key.Seed {
 		key.Seed[i] = byte(r.rnd.UintN(256))
 	}
-	minter, err := serve.Minter([]config.Key{key})
+	minter, err := frontend.Minter([]config.Key{key})
 	if err != nil {
 		return key, err
 	}
@@ -361,11 +361,11 @@
 	if err != nil {
 		return err
 	}
-	claim, err := serve.NewClaim(set.State)
+	claim, err := frontend.NewClaim(set.State)
 	if err != nil {
 		return err
 	}
-	front, err := serve.Listen(set, claim.Epoch, zerolog.Nop())
+	front, err := frontend.Listen(set, claim.Epoch, zerolog.Nop())
 	if err != nil {
 		claim.Release()
 		return err
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -19,8 +19,8 @@
 
 	"gullrail/config"
 	"gullrail/dash"
+	"gullrail/frontend"
 	"gullrail/nodes"
-	"gullrail/serve"
 	"gullrail/testbed/trace"
 	"gullrail/token"
 )
@@ -48,7 +48,7 @@
 	addr     string
 	scheme   string
 	settings config.Front
-	front    *serve.Front
+	front    *frontend.Front
 	client   *http.Client
 	nodes    []*Node
 	stop     func()
@@ -74,7 +74,7 @@
 	}
 	r.set = &set
 	keys := []config.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
-	if r.minter, err = serve.Minter(keys); err != nil {
+	if r.minter, err = frontend.Minter(keys); err != nil {
 		t.Fatal(err)
 	}
 	r.fleet = &Fleet{set: r.set, check: r.minter.Checker, tape: r.tape, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
@@ -128,7 +128,7 @@
 // begin starts a life of the front.
 func (r *rig) begin() {
 	r.t.Helper()
-	front, err := serve.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
+	front, err := frontend.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 
 // listens tries to begin a life of the front.
 func (r *rig) listens() error {
-	_, err := serve.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
+	_, err := frontend.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
 	return err
 }
 
