--- a/admission/admission.go
+++ b/admission/admission.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	perClient   = 20.0                 // requests a client may save up: a player zapping through a menu stays far under it
-	clientRate  = 4.0                  // requests a second that it earns: a retry each quarter second is already a fault
-	clientsKept = 8192                 // clients remembered at most; the longest silent is forgotten first
-	reserve     = 120 * decision.Ms    // of the time limit: kept for the answer's own way and a busy machine
-	leastLeft   = 250 * decision.Ms    // with less time than this no set-up can be hoped for
-	spreadLeast = 1 * decision.Second  // advice to come back: the least that HTTP's whole seconds can say
-	spreadMost  = 4 * decision.Second  // and the most: a viewer at a kiosk waits no longer
-	serviceOver = 16                   // a rate of service is the mean over so many plays taken
-	BeatEvery   = 100 * decision.Ms    // how often the gate is told that the front runs
-	stallOver   = 300 * decision.Ms    // a longer gap between beats is a stall: pauses of a busy machine are shorter
-	stallTail   = 500 * decision.Ms    // after one, requests read may have waited through it: it takes so long to read them
-	HeaderFor   = 5 * decision.Second  // a client takes no longer to send its request
-	AnswerFor   = 10 * decision.Second // nor to take its answer, however slowly it reads
-	IdleFor     = 30 * decision.Second // a kept connection without a request is closed
-	slowest     = 10 * decision.Second // time taken for one play when none was ever seen
+	perClient   = 20.0                       // requests a client may save up: a player zapping through a menu stays far under it
+	clientRate  = 4.0                        // requests a second that it earns: a retry each quarter second is already a fault
+	clientsKept = 8192                       // clients remembered at most; the longest silent is forgotten first
+	reserve     = 120 * decision.Millisecond // of the time limit: kept for the answer's own way and a busy machine
+	leastLeft   = 250 * decision.Millisecond // with less time than this no set-up can be hoped for
+	spreadLeast = 1 * decision.Second        // advice to come back: the least that HTTP's whole seconds can say
+	spreadMost  = 4 * decision.Second        // and the most: a viewer at a kiosk waits no longer
+	serviceOver = 16                         // a rate of service is the mean over so many plays taken
+	BeatEvery   = 100 * decision.Millisecond // how often the gate is told that the front runs
+	stallOver   = 300 * decision.Millisecond // a longer gap between beats is a stall: pauses of a busy machine are shorter
+	stallTail   = 500 * decision.Millisecond // after one, requests read may have waited through it: it takes so long to read them
+	HeaderFor   = 5 * decision.Second        // a client takes no longer to send its request
+	AnswerFor   = 10 * decision.Second       // nor to take its answer, however slowly it reads
+	IdleFor     = 30 * decision.Second       // a kept connection without a request is closed
+	slowest     = 10 * decision.Second       // time taken for one play when none was ever seen
 )
 
 // Verdict is what becomes of a request at the gate.
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -194,7 +194,7 @@
 		for _, b := range all {
 			l := nodes.FormatLine(b.Line, &f.set.Service)
 			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Use: b.Use, Why: b.Why, By: b.By.String(),
-				AgeMs: b.Age / decision.Ms, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
+				AgeMs: b.Age / decision.Millisecond, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -108,7 +108,7 @@
 		delete(j.waiting, a.Ref)
 		j.mu.Unlock()
 		if err != nil || !wanted {
-			j.runner.Tell(func(now int64, c *session.Core) { c.SetUpEnded(now, a.Ref, decision.NotSent, decision.Untold) })
+			j.runner.Tell(func(now int64, c *session.Core) { c.SetUpEnded(now, a.Ref, decision.NotSent, decision.UnknownLoad) })
 			return
 		}
 		j.Client.SetUp(a)
--- a/internal/benchproto/benchproto_test.go
+++ b/internal/benchproto/benchproto_test.go
@@ -125,6 +125,6 @@
 	}
 }
 
-type panicker struct{ decision.Chooser }
+type panicker struct{ decision.Policy }
 
 func (panicker) Wake(int64) *decision.Result { panic("broken") }
--- a/internal/benchproto/codec.go
+++ b/internal/benchproto/codec.go
@@ -112,16 +112,16 @@
 }
 
 func millis(t int64) string {
-	return strconv.FormatFloat(float64(t)/float64(decision.Ms), 'f', 1, 64)
+	return strconv.FormatFloat(float64(t)/float64(decision.Millisecond), 'f', 1, 64)
 }
 
-var endings = map[string]decision.Ending{
-	"served": decision.Served, "server_error": decision.Errored, "turned_away": decision.TurnedAway,
-	"no_answer": decision.NoAnswer, "no_connection": decision.NoConnect, "connection_lost": decision.Lost,
-	"called_off": decision.CalledOff, "not_sent": decision.NotSent,
+var endings = map[string]decision.Outcome{
+	"served": decision.Served, "server_error": decision.Errored, "turned_away": decision.Rejected,
+	"no_answer": decision.NoAnswer, "no_connection": decision.NoConnect, "connection_lost": decision.ConnectionLost,
+	"called_off": decision.Canceled, "not_sent": decision.NotSent,
 }
 
-func (ln *line) ending() decision.Ending {
+func (ln *line) ending() decision.Outcome {
 	e, ok := endings[ln.text("rc")]
 	if !ok {
 		panic(wrong("rc", "unknown outcome"))
@@ -133,7 +133,7 @@
 func (ln *line) load(t *convert.Terms) decision.Load {
 	row, ok := ln.find("report")
 	if !ok || row == "" || row == "-" {
-		return decision.Untold
+		return decision.UnknownLoad
 	}
 	vals := strings.Split(row, ",")
 	if len(vals) != len(t.Columns) {
--- a/internal/benchproto/host.go
+++ b/internal/benchproto/host.go
@@ -16,7 +16,7 @@
 
 // instance is one front end: its module and the numbers that stand for the wire's names.
 type instance struct {
-	mod     decision.Chooser
+	mod     decision.Policy
 	terms   *convert.Terms
 	nodes   map[string]int
 	addr    []string
@@ -190,7 +190,7 @@
 }
 
 // want reads what INCOMING and EXISTING say of a viewer.
-func (in *instance) want(ln *line, now int64) decision.Want {
+func (in *instance) want(ln *line, now int64) decision.Request {
 	bits := ln.wholeOr("bits", 0)
 	product := known(in.terms.Products, "service", ln.text("service"))
 	asset := ln.text("asset")
@@ -222,12 +222,12 @@
 	switch ln.name {
 	case "INCOMING":
 		job := ln.whole("job")
-		hd, res := in.mod.Take(now, in.want(ln, now))
+		hd, res := in.mod.AddPlay(now, in.want(ln, now))
 		in.bind(job, hd)
 		h.encode(in, res)
 	case "EXISTING":
 		job := ln.whole("job")
-		hd, res := in.mod.Adopt(now, in.want(ln, now), in.node(ln.text("node")))
+		hd, res := in.mod.AdoptPlay(now, in.want(ln, now), in.node(ln.text("node")))
 		in.bind(job, hd)
 		h.encode(in, res)
 	case "ANNOUNCE":
@@ -242,10 +242,10 @@
 		if err != nil {
 			return fmt.Errorf("FROM_PEER: %w", wrong("bytes", "not base64"))
 		}
-		h.encode(in, in.mod.Heard(now, int(ln.whole("by")), b))
+		h.encode(in, in.mod.MessageReceived(now, int(ln.whole("by")), b))
 	case "PING_RESULT":
 		how, load := ln.ending(), ln.load(in.terms)
-		h.encode(in, in.mod.Probed(now, in.node(ln.text("node")), how, load))
+		h.encode(in, in.mod.ProbeEnded(now, in.node(ln.text("node")), how, load))
 	case "ACK_FIRST", "UPDATE_OF", "RESPONSE", "CLIENT_LEFT":
 		job := ln.whole("job")
 		hd, ok := in.plays[job]
@@ -254,15 +254,15 @@
 		}
 		switch ln.name {
 		case "ACK_FIRST":
-			h.encode(in, in.mod.Started(now, hd, int(ln.whole("send-no"))))
+			h.encode(in, in.mod.AttemptStarted(now, hd, int(ln.whole("send-no"))))
 		case "UPDATE_OF":
 			h.encode(in, in.update(ln, now, hd))
 		case "CLIENT_LEFT":
-			h.encode(in, in.mod.Left(now, hd))
+			h.encode(in, in.mod.ViewerLeft(now, hd))
 		case "RESPONSE":
 			how, over := ln.ending(), ln.wholeOr("no-more", 0) == 1
 			load := ln.load(in.terms)
-			h.encode(in, in.mod.Ended(now, hd, int(ln.whole("send-no")), how, over, load))
+			h.encode(in, in.mod.AttemptEnded(now, hd, int(ln.whole("send-no")), how, over, load))
 			if over {
 				delete(in.plays, job)
 			}
@@ -277,10 +277,10 @@
 
 func (in *instance) bind(job int64, hd decision.Handle) {
 	in.plays[job] = hd
-	for int(hd.Place) >= len(in.jobs) {
+	for int(hd.Index) >= len(in.jobs) {
 		in.jobs = append(in.jobs, 0)
 	}
-	in.jobs[hd.Place] = job
+	in.jobs[hd.Index] = job
 }
 
 func (h *host) announce(in *instance) error {
@@ -297,7 +297,7 @@
 		in.list = append(in.list, convert.Row{Phase: r.phase, Name: r.addr, Kind: known(in.terms.Kinds, "generation-hw", r.kind),
 			Zone: known(in.terms.Zones, "campus", r.zone), Cell: r.cell, Started: r.started, Weight: r.weight}.Node(in.node(r.addr)))
 	}
-	h.encode(in, in.mod.Nodes(h.now, in.list, how != "update"))
+	h.encode(in, in.mod.UpdateNodes(h.now, in.list, how != "update"))
 	return nil
 }
 
@@ -316,14 +316,14 @@
 	for i := range res.Orders {
 		o := &res.Orders[i]
 		h.context()
-		job := in.jobs[o.Play.Place]
-		switch o.Do {
+		job := in.jobs[o.Play.Index]
+		switch o.Action {
 		case decision.Place:
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
 			fmt.Fprintf(h.out, "FORWARD job=%d not-past-ms=%s node=%s\n", job, millis(o.Until), in.addr[o.Node])
 		case decision.Decline:
-			if o.ComeBack > 0 {
-				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, millis(o.ComeBack))
+			if o.RetryAfter > 0 {
+				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, millis(o.RetryAfter))
 			} else {
 				fmt.Fprintf(h.out, "NOT_NOW job=%d\n", job)
 			}
@@ -335,21 +335,21 @@
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
 		case decision.Move:
 			fmt.Fprintf(h.out, "MIGRATE job=%d\n", job)
-		case decision.Recall:
-			fmt.Fprintf(h.out, "RECALL job=%d send-no=%d\n", job, o.Try)
+		case decision.Cancel:
+			fmt.Fprintf(h.out, "RECALL job=%d send-no=%d\n", job, o.Attempt)
 		}
 	}
 	for _, n := range res.Probes {
 		h.context()
 		fmt.Fprintf(h.out, "SAMPLE node=%s\n", in.addr[n])
 	}
-	for _, t := range res.Tells {
+	for _, t := range res.Messages {
 		h.context()
 		fmt.Fprintf(h.out, "NOTIFY dst=%d bytes=%s\n", t.To, base64.StdEncoding.EncodeToString(t.Bytes))
 	}
-	if res.Wake > 0 && (in.armed == 0 || res.Wake < in.armed) {
+	if res.WakeAt > 0 && (in.armed == 0 || res.WakeAt < in.armed) {
 		h.context()
-		in.armed = max(res.Wake, h.now+1)
+		in.armed = max(res.WakeAt, h.now+1)
 		fmt.Fprintf(h.out, "ARM ref=1 in-ms=%s\n", millis(in.armed-h.now))
 	}
 }
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -55,7 +55,7 @@
 func (e FieldError) Error() string { return "field " + e.Field + ": " + e.What }
 
 // Ticks turns milliseconds into tenths of them.
-func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(decision.Ms))) }
+func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(decision.Millisecond))) }
 
 func numbers(v any, scale float64) ([]float64, bool) {
 	switch v := v.(type) {
@@ -229,9 +229,9 @@
 }
 
 // Want is a request in the module's words.
-func (r Request) Want(now int64) decision.Want {
-	return decision.Want{Product: r.Product, Title: r.Title, Key: decision.Key(r.TitleName), Viewer: r.Viewer, Limit: now + Ticks(r.LeftMs),
-		Length: Ticks(r.HintMs), Home: r.Home, Copies: r.Copies, Top: r.Top, Moved: r.Moved, Again: r.Again}
+func (r Request) Want(now int64) decision.Request {
+	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.Key(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
+		Length: Ticks(r.HintMs), FirstCell: r.Home, CellCount: r.Copies, MaxRung: r.Top, Moved: r.Moved, Retry: r.Again}
 }
 
 // Row is a line of the list; Started is on the front's clock.
@@ -251,7 +251,7 @@
 // Load is a report of which a field is told by its column and that column's place; fields that no call uses are
 // passed over.
 func (t *Terms) Load(value func(i int, column string) (float64, bool)) decision.Load {
-	l := decision.Untold
+	l := decision.UnknownLoad
 	for i, col := range t.Columns {
 		v, ok := value(i, col)
 		if !ok {
@@ -274,16 +274,16 @@
 }
 
 // Note is a note of one of the kinds that nodes send while a play plays, by its number.
-func Note(mod decision.Chooser, now int64, h decision.Handle, kind int, level float64) *decision.Result {
+func Note(mod decision.Policy, now int64, h decision.Handle, kind int, level float64) *decision.Result {
 	switch kind {
 	case 1:
-		return mod.Delivered(now, h, level)
+		return mod.DeliveryReported(now, h, level)
 	case 2:
-		return mod.Told(now, h, int(level))
+		return mod.RungReported(now, h, int(level))
 	case 3:
-		return mod.Asked(now, h, decision.Load{Streams: -1, Link: level, Uplink: -1})
+		return mod.LoadReported(now, h, decision.Load{Streams: -1, Link: level, Uplink: -1})
 	case 4:
-		return mod.Asked(now, h, decision.Load{Streams: -1, Link: -1, Uplink: level})
+		return mod.LoadReported(now, h, decision.Load{Streams: -1, Link: -1, Uplink: level})
 	}
 	return nil
 }
--- a/internal/slab/slab.go
+++ b/internal/slab/slab.go
@@ -28,16 +28,16 @@
 	var zero T
 	p.rec, p.live = zero, true
 	p.gen++
-	return decision.Handle{Place: at, Gen: p.gen}, &p.rec
+	return decision.Handle{Index: at, Generation: p.gen}, &p.rec
 }
 
 // Get returns the record of a handle, or nil if the handle is stale.
 // The pointer holds until the next Add.
 func (s *Slab[T]) Get(h decision.Handle) *T {
-	if h.Place < 0 || int(h.Place) >= len(s.places) {
+	if h.Index < 0 || int(h.Index) >= len(s.places) {
 		return nil
 	}
-	if p := &s.places[h.Place]; p.live && p.gen == h.Gen {
+	if p := &s.places[h.Index]; p.live && p.gen == h.Generation {
 		return &p.rec
 	}
 	return nil
@@ -46,8 +46,8 @@
 // Drop gives a place back; a stale handle does nothing.
 func (s *Slab[T]) Drop(h decision.Handle) {
 	if s.Get(h) != nil {
-		s.places[h.Place].live = false
-		s.free = append(s.free, h.Place)
+		s.places[h.Index].live = false
+		s.free = append(s.free, h.Index)
 	}
 }
 
@@ -57,7 +57,7 @@
 // At returns the handle and record in a place, or nil if nothing lives there.
 func (s *Slab[T]) At(i int) (decision.Handle, *T) {
 	if p := &s.places[i]; p.live {
-		return decision.Handle{Place: int32(i), Gen: p.gen}, &p.rec
+		return decision.Handle{Index: int32(i), Generation: p.gen}, &p.rec
 	}
 	return decision.Handle{}, nil
 }
--- a/internal/slab/slab_test.go
+++ b/internal/slab/slab_test.go
@@ -9,7 +9,7 @@
 	s.Drop(old)
 	fresh, rec := s.Add()
 	*rec = 7
-	if fresh.Place != old.Place || s.Get(old) != nil || *s.Get(fresh) != 7 || s.Len() != 1 {
+	if fresh.Index != old.Index || s.Get(old) != nil || *s.Get(fresh) != 7 || s.Len() != 1 {
 		t.Fatalf("old %+v, fresh %+v", old, fresh)
 	}
 }
--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	Beat       = 1 * decision.Second // a node says something at least this often
-	Lease      = 6 * decision.Second // a node keeps the plays of a front that it doesn't hear from so long
-	SilentFor  = 3 * Beat            // two lost beats are chance, three are a broken stream
-	margin     = 2 * decision.Second // over the lease: a beat on its way and a busy machine
-	retryLeast = 100 * decision.Ms   // pause before the first dial after a break
-	retryMost  = 2 * decision.Second // and at most: well under the lease, so that a short cut ends no play
-	ConnectFor = 250 * decision.Ms   // a dial that takes longer failed: a machine on the same site answers in a few
-	ProbeFor   = 250 * decision.Ms   // a probe's answer is old after that
-	CallFor    = 1 * decision.Second // rungs and ends: a node that takes longer is asked again
-	CallTries  = 3                   // then the next word of its stream tells what it runs
-	callPause  = 100 * decision.Ms   // before the second try, doubled for the third
-	firstEach  = 2 * decision.Ms     // first dials are spread over this for each node listed
-	firstMost  = 1 * decision.Second // and over no more: a front waits for them before it takes plays
-	startLeast = 100 * decision.Ms   // a fresh front hears the list at least so long before it takes plays
-	startMost  = Lease + margin      // then what it held before has ended wherever it could not ask
+	Beat       = 1 * decision.Second        // a node says something at least this often
+	Lease      = 6 * decision.Second        // a node keeps the plays of a front that it doesn't hear from so long
+	SilentFor  = 3 * Beat                   // two lost beats are chance, three are a broken stream
+	margin     = 2 * decision.Second        // over the lease: a beat on its way and a busy machine
+	retryLeast = 100 * decision.Millisecond // pause before the first dial after a break
+	retryMost  = 2 * decision.Second        // and at most: well under the lease, so that a short cut ends no play
+	ConnectFor = 250 * decision.Millisecond // a dial that takes longer failed: a machine on the same site answers in a few
+	ProbeFor   = 250 * decision.Millisecond // a probe's answer is old after that
+	CallFor    = 1 * decision.Second        // rungs and ends: a node that takes longer is asked again
+	CallTries  = 3                          // then the next word of its stream tells what it runs
+	callPause  = 100 * decision.Millisecond // before the second try, doubled for the third
+	firstEach  = 2 * decision.Millisecond   // first dials are spread over this for each node listed
+	firstMost  = 1 * decision.Second        // and over no more: a front waits for them before it takes plays
+	startLeast = 100 * decision.Millisecond // a fresh front hears the list at least so long before it takes plays
+	startMost  = Lease + margin             // then what it held before has ended wherever it could not ask
 )
 
 // Stream is what is known of the stream from one node. The zero Stream was never alive.
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -32,10 +32,10 @@
 	SavedAfter = 1 * decision.Second
 	savedFresh = 60 * decision.Second // fewer nodes change in a minute than drain within their grace
 	savedOld   = 24 * 3600 * decision.Second
-	admitShare = 1.0 / 8               // of the fleet in use: so many more are given to the module in one step
-	admitLeast = 4                     // and at least
-	goneFor    = 600 * decision.Second // a node that is gone is remembered so long, so that no older word brings it back
-	admitEvery = 250 * decision.Ms     // a step: the module's pace for cold nodes counts plays, not nodes that come at once
+	admitShare = 1.0 / 8                    // of the fleet in use: so many more are given to the module in one step
+	admitLeast = 4                          // and at least
+	goneFor    = 600 * decision.Second      // a node that is gone is remembered so long, so that no older word brings it back
+	admitEvery = 250 * decision.Millisecond // a step: the module's pace for cold nodes counts plays, not nodes that come at once
 )
 
 // Source is who says something of the fleet; the higher has more authority.
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -181,11 +181,11 @@
 
 // exchange is one request and its answer on a connection of its own, written by one Write. Until a
 // byte of it is out, nothing can have run; from then on only the node's own word says so.
-func (c *Client) exchange(ctx context.Context, a session.Allocation, ordered, until time.Time) (Started, decision.Ending, decision.Load) {
+func (c *Client) exchange(ctx context.Context, a session.Allocation, ordered, until time.Time) (Started, decision.Outcome, decision.Load) {
 	request, err := c.request(a, until)
 	if err != nil {
 		c.log.Error().Err(err).Str("play", a.Play).Msg("set-up not sent")
-		return Started{}, decision.NotSent, decision.Untold
+		return Started{}, decision.NotSent, decision.UnknownLoad
 	}
 	last := ordered.Add(c.sendFor)
 	if until.Before(last) {
@@ -196,36 +196,36 @@
 	cancel()
 	if err != nil {
 		if ctx.Err() != nil {
-			return Started{}, decision.NotSent, decision.Untold
+			return Started{}, decision.NotSent, decision.UnknownLoad
 		}
-		return Started{}, decision.NoConnect, decision.Untold
+		return Started{}, decision.NoConnect, decision.UnknownLoad
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	conn.SetDeadline(until)
 	if ctx.Err() != nil {
-		return Started{}, decision.NotSent, decision.Untold
+		return Started{}, decision.NotSent, decision.UnknownLoad
 	}
 	if time.Now().After(last) {
-		return Started{}, decision.NoConnect, decision.Untold
+		return Started{}, decision.NoConnect, decision.UnknownLoad
 	}
 	if n, err := conn.Write(request); err != nil && n == 0 {
-		return Started{}, decision.NoConnect, decision.Untold
+		return Started{}, decision.NoConnect, decision.UnknownLoad
 	} else if err != nil {
-		return Started{}, broken(ctx, err), decision.Untold
+		return Started{}, broken(ctx, err), decision.UnknownLoad
 	}
 	in := bufio.NewReader(io.LimitReader(conn, 2*bodyMost))
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return Started{}, broken(ctx, err), decision.Untold
+		return Started{}, broken(ctx, err), decision.UnknownLoad
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost))
 	if err != nil {
-		return Started{}, broken(ctx, err), decision.Untold
+		return Started{}, broken(ctx, err), decision.UnknownLoad
 	}
-	load := decision.Untold
+	load := decision.UnknownLoad
 	if c.report {
 		load = ParseLoad(resp.Header.Get(LoadHeader))
 	}
@@ -238,26 +238,26 @@
 	}
 	var refusal Refusal
 	if json.Unmarshal(body, &refusal) == nil && refusal.NeverRan && resp.StatusCode >= 400 {
-		return Started{}, decision.TurnedAway, load
+		return Started{}, decision.Rejected, load
 	}
 	return Started{}, decision.Errored, load
 }
 
 // broken is how a set-up ended whose request was, at least in part, written.
-func broken(ctx context.Context, err error) decision.Ending {
+func broken(ctx context.Context, err error) decision.Outcome {
 	switch {
 	case ctx.Err() != nil:
-		return decision.CalledOff
+		return decision.Canceled
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return decision.NoAnswer
 	}
-	return decision.Lost
+	return decision.ConnectionLost
 }
 
 func (c *Client) request(a session.Allocation, until time.Time) ([]byte, error) {
 	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Try: a.Try, Product: c.names.Product(a.Product),
 		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, Top: a.Top, Seq: a.Seq,
-		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / decision.Ms})
+		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / decision.Millisecond})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a set-up: %w", err)
 	}
@@ -341,22 +341,22 @@
 	})
 }
 
-func (c *Client) probe(ctx context.Context, address string) (decision.Ending, decision.Load) {
+func (c *Client) probe(ctx context.Context, address string) (decision.Outcome, decision.Load) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/load?front="+url.QueryEscape(c.name), nil)
 	if err != nil {
-		return decision.NotSent, decision.Untold
+		return decision.NotSent, decision.UnknownLoad
 	}
 	resp, err := c.calls.Do(req)
 	switch {
 	case ctx.Err() != nil:
-		return decision.NoAnswer, decision.Untold
+		return decision.NoAnswer, decision.UnknownLoad
 	case err != nil:
-		return decision.NoConnect, decision.Untold
+		return decision.NoConnect, decision.UnknownLoad
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, bodyMost))
 	if resp.StatusCode != http.StatusOK {
-		return decision.Errored, decision.Untold
+		return decision.Errored, decision.UnknownLoad
 	}
 	return decision.Served, ParseLoad(resp.Header.Get(LoadHeader))
 }
@@ -462,7 +462,7 @@
 				product = -1
 			}
 			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Try: p.Try, Product: product, Title: p.Title,
-				Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top, Left: p.LeftMs * decision.Ms}
+				Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top, Left: p.LeftMs * decision.Millisecond}
 		}
 		c.runner.Tell(func(now int64, core *session.Core) { core.Hello(now, node, n.Node, n.Life, n.Mark, runs) })
 	case Beat:
@@ -470,7 +470,7 @@
 	case Ended:
 		how := decision.Served
 		if n.How == Lost {
-			how = decision.Lost
+			how = decision.ConnectionLost
 		}
 		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.PlayEnded(now, ref, how) })
 	case Share:
--- a/nodes/client_test.go
+++ b/nodes/client_test.go
@@ -27,7 +27,7 @@
 	defer node.Close()
 	for _, c := range []struct {
 		grace, wait time.Duration
-		how         decision.Ending
+		how         decision.Outcome
 		sent        int32
 	}{
 		{250 * time.Millisecond, 0, decision.Served, 1},
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -153,7 +153,7 @@
 
 // ParseLoad reads the value of LoadHeader.
 func ParseLoad(s string) decision.Load {
-	l := decision.Untold
+	l := decision.UnknownLoad
 	set := func(name string, v float64) {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestLoadReportsRoundAndInBothForms(t *testing.T) {
-	for _, l := range []decision.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, decision.Untold} {
+	for _, l := range []decision.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, decision.UnknownLoad} {
 		if got := ParseLoad(FormatLoad(l)); got != l {
 			t.Errorf("%+v came back as %+v", l, got)
 		}
@@ -18,7 +18,7 @@
 		t.Errorf("JSON: %+v", got)
 	}
 	for _, s := range []string{"", "TEXT", "TEXT application_utilization=NaN", "TEXT application_utilization=-3", "JSON {", "BIN abc"} {
-		if got := ParseLoad(s); got != decision.Untold {
+		if got := ParseLoad(s); got != decision.UnknownLoad {
 			t.Errorf("%q says %+v", s, got)
 		}
 	}
--- a/placement/book.go
+++ b/placement/book.go
@@ -10,23 +10,23 @@
 // Bookkeeping: looking up settings, entering plays at nodes, walking lists, writing messages. Nothing here decides.
 
 // val is a setting's single value, 0 if it is not given.
-func (f *Front) val(name string) float64 { return f.of(name, 0, 0) }
+func (f *Policy) val(name string) float64 { return f.of(name, 0, 0) }
 
 // of is a setting's value for one product, kind or rung, or else what stands in for it.
-func (f *Front) of(name string, i int, or float64) float64 {
+func (f *Policy) of(name string, i int, or float64) float64 {
 	if v := f.set[name]; i >= 0 && i < len(v) {
 		return v[i]
 	}
 	return or
 }
 
-func (f *Front) begin() {
+func (f *Policy) begin() {
 	f.changes++
 	f.res.Orders, f.res.Probes = f.res.Orders[:0], f.res.Probes[:0]
-	f.res.Tells, f.words = f.res.Tells[:0], f.words[:0]
+	f.res.Messages, f.words = f.res.Messages[:0], f.words[:0]
 }
 
-func (f *Front) order(o decision.Order) { f.res.Orders = append(f.res.Orders, o) }
+func (f *Policy) order(o decision.Order) { f.res.Orders = append(f.res.Orders, o) }
 
 // unmet and unheard are the records of a viewer and a node of whom nothing is known.
 var (
@@ -36,7 +36,7 @@
 )
 
 // known makes sure that a node has a record.
-func (f *Front) known(at int) *node {
+func (f *Policy) known(at int) *node {
 	for at >= len(f.nodes) {
 		f.nodes = append(f.nodes, unheard)
 	}
@@ -44,7 +44,7 @@
 }
 
 // relist enters the listed nodes by rack and by cell, so that no play walks them all.
-func (f *Front) relist() {
+func (f *Policy) relist() {
 	f.listed = 0
 	for i := range f.racks {
 		f.racks[i].nodes = f.racks[i].nodes[:0]
@@ -62,18 +62,18 @@
 }
 
 // holders are the listed nodes that hold a play's title.
-func (f *Front) holders(p *ply) []int {
+func (f *Policy) holders(p *ply) []int {
 	f.held = f.held[:0]
 	cells := len(f.cells)
-	home := (p.want.Home%cells + cells) % cells
-	for off := range min(p.want.Copies, cells) {
+	home := (p.want.FirstCell%cells + cells) % cells
+	for off := range min(p.want.CellCount, cells) {
 		f.held = append(f.held, f.cells[(home+off)%cells]...)
 	}
 	return f.held
 }
 
 // viewersOf counts own plays of a play's title and product, itself included.
-func (f *Front) viewersOf(p *ply) int {
+func (f *Policy) viewersOf(p *ply) int {
 	n := 1
 	for i := range f.plays.Len() {
 		_, o := f.plays.At(i)
@@ -85,7 +85,7 @@
 }
 
 // playsElsewhere tells that another own play of a play's title plays.
-func (f *Front) playsElsewhere(p *ply) bool {
+func (f *Policy) playsElsewhere(p *ply) bool {
 	for i := range f.plays.Len() {
 		if _, o := f.plays.At(i); o != nil && o != p && o.stage == playing && o.want.Title == p.want.Title {
 			return true
@@ -95,7 +95,7 @@
 }
 
 // prefer keeps the candidates that pass, or all if none does.
-func (f *Front) prefer(pass func(c *cand) bool) {
+func (f *Policy) prefer(pass func(c *cand) bool) {
 	k := 0
 	for i := range f.cands {
 		if pass(&f.cands[i]) {
@@ -108,13 +108,13 @@
 	}
 }
 
-func (f *Front) rerate(p *ply, rung int) {
+func (f *Policy) rerate(p *ply, rung int) {
 	f.carry(p.node, f.rate(p, rung)-f.rate(p, p.rung))
 	p.rung = rung
 }
 
 // carry adds to the rates of own plays at a node and in its rack.
-func (f *Front) carry(at int, more float64) {
+func (f *Policy) carry(at int, more float64) {
 	f.changes++
 	n := &f.nodes[at]
 	n.own += more
@@ -122,7 +122,7 @@
 }
 
 // best is the play of a node that plays and has most merit above 0.
-func (f *Front) best(at int, merit func(p *ply) float64) (pick decision.Handle, best *ply) {
+func (f *Policy) best(at int, merit func(p *ply) float64) (pick decision.Handle, best *ply) {
 	most := 0.0
 	for _, h := range f.nodes[at].plays {
 		p := f.plays.Get(h)
@@ -137,7 +137,7 @@
 }
 
 // seat is the count of plays held of a play's title and product.
-func (f *Front) seat(p *ply) *int32 {
+func (f *Policy) seat(p *ply) *int32 {
 	i := p.want.Title*len(f.set["product.paid"]) + p.want.Product
 	for i >= len(f.seats) {
 		f.seats = append(f.seats, 0)
@@ -146,7 +146,7 @@
 }
 
 // bind and unbind enter a play at a node and take it out: its seat, its rate, its place in the list.
-func (f *Front) bind(h decision.Handle, p *ply, at int) {
+func (f *Policy) bind(h decision.Handle, p *ply, at int) {
 	p.node = at
 	n := &f.nodes[at]
 	n.plays = append(n.plays, h)
@@ -154,7 +154,7 @@
 	*f.seat(p)++
 }
 
-func (f *Front) unbind(h decision.Handle, p *ply) {
+func (f *Policy) unbind(h decision.Handle, p *ply) {
 	n := &f.nodes[p.node]
 	for i, o := range n.plays {
 		if o == h {
@@ -176,10 +176,10 @@
 }
 
 // send enters a message to another front.
-func (f *Front) send(to int, kind byte, key uint32, more ...byte) {
+func (f *Policy) send(to int, kind byte, key uint32, more ...byte) {
 	from := len(f.words)
 	f.words = append(binary.BigEndian.AppendUint32(append(f.words, kind), key), more...)
-	f.res.Tells = append(f.res.Tells, decision.Tell{To: to, Bytes: f.words[from:len(f.words):len(f.words)]})
+	f.res.Messages = append(f.res.Messages, decision.Message{To: to, Bytes: f.words[from:len(f.words):len(f.words)]})
 }
 
 // pack and unpack put a figure of what is asked into a byte.
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -25,7 +25,7 @@
 }
 
 // fleet makes a front with n warm nodes, one to a cell, that knows its plays' level as the top.
-func fleet(n int, change ...func(map[string][]float64)) *Front {
+func fleet(n int, change ...func(map[string][]float64)) *Policy {
 	set := settings()
 	for _, c := range change {
 		c(set)
@@ -35,7 +35,7 @@
 	for i := range n {
 		list = append(list, decision.Node{Index: i, Cell: i, Kind: i % 2, Weight: 1})
 	}
-	f.Nodes(0, list, true)
+	f.UpdateNodes(0, list, true)
 	f.level = 2
 	f.viewers = []viewer{{movedAt: never}}
 	return f
@@ -43,12 +43,12 @@
 
 func alone(set map[string][]float64) { set["fronts"] = []float64{1} }
 
-func want(product int) decision.Want {
-	return decision.Want{Product: product, Limit: now + 4*sec, Home: 0, Copies: 4, Top: 2}
+func want(product int) decision.Request {
+	return decision.Request{Product: product, Deadline: now + 4*sec, FirstCell: 0, CellCount: 4, MaxRung: 2}
 }
 
 // playingAt adds a play that has played on a node since a time.
-func playingAt(f *Front, at, product, rung int, since int64) (decision.Handle, *ply) {
+func playingAt(f *Policy, at, product, rung int, since int64) (decision.Handle, *ply) {
 	w := want(product)
 	w.Viewer = len(f.viewers)
 	h, p := f.accept(since, w)
@@ -66,9 +66,9 @@
 	return r.Orders[0]
 }
 
-func count(r *decision.Result, do decision.Do) (n int) {
+func count(r *decision.Result, do decision.Action) (n int) {
 	for _, o := range r.Orders {
-		if o.Do == do {
+		if o.Action == do {
 			n++
 		}
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,6 +1,6 @@
 // Package placement decides where plays go, at which rung, and when to let go of them.
 //
-// The front end makes one Front with New and tells it all it learns through the calls of decision.Chooser:
+// The front end makes one Policy with New and tells it all it learns through the calls of decision.Policy:
 // package decision holds that interface and its words. Each call returns the orders to carry out, the nodes to
 // probe, messages to other fronts and when to call Wake at the latest. Nothing else is read: no clock, no
 // wire. Messages may all be lost: no rule rests on one. state.go holds the records, book.go enters plays
@@ -17,7 +17,7 @@
 )
 
 const (
-	ms    = decision.Ms
+	ms    = decision.Millisecond
 	sec   = decision.Second
 	never = -1 << 50 // a time long past
 
@@ -88,8 +88,8 @@
 )
 
 // New makes a front from its settings, a map of names to numbers, and a seed.
-func New(set map[string][]float64, seed uint64) *Front {
-	f := &Front{set: set, rnd: pcg.New(seed), probes: probeStore, born: math.MaxInt64, keys: map[uint32]int{}}
+func New(set map[string][]float64, seed uint64) *Policy {
+	f := &Policy{set: set, rnd: pcg.New(seed), probes: probeStore, born: math.MaxInt64, keys: map[uint32]int{}}
 	f.racks = make([]rack, max(1, int(f.val("racks"))))
 	f.cells = make([][]int, max(1, int(f.val("cells"))))
 	f.kinds = make([]kind, len(set["kind.streams"]))
@@ -99,16 +99,16 @@
 
 // ---- Calls ----
 
-func (f *Front) end(now int64) *decision.Result {
-	f.res.Wake = now + wakeEvery
+func (f *Policy) end(now int64) *decision.Result {
+	f.res.WakeAt = now + wakeEvery
 	if len(f.waiting) > 0 { // for looks, mostly: not longer than they take
-		f.res.Wake = now + lookFor
+		f.res.WakeAt = now + lookFor
 	}
 	return &f.res
 }
 
-// Nodes follows the list. What a full list lacks is gone.
-func (f *Front) Nodes(now int64, list []decision.Node, whole bool) *decision.Result {
+// UpdateNodes follows the list. What a full list lacks is gone.
+func (f *Policy) UpdateNodes(now int64, list []decision.Node, whole bool) *decision.Result {
 	f.begin()
 	f.born = min(f.born, now)
 	for i := range f.nodes {
@@ -133,8 +133,8 @@
 	return f.end(now)
 }
 
-// Take accepts a play and places it, lets it wait or answers it.
-func (f *Front) Take(now int64, w decision.Want) (decision.Handle, *decision.Result) {
+// AddPlay accepts a play and places it, lets it wait or answers it.
+func (f *Policy) AddPlay(now int64, w decision.Request) (decision.Handle, *decision.Result) {
 	f.begin()
 	h, p := f.accept(now, w)
 	f.taken = append(since(f.taken, now-int64(f.val("budget.over"))+budgetEdge), now)
@@ -143,7 +143,7 @@
 	return h, f.end(now)
 }
 
-func (f *Front) accept(now int64, w decision.Want) (decision.Handle, *ply) {
+func (f *Policy) accept(now int64, w decision.Request) (decision.Handle, *ply) {
 	for w.Viewer >= len(f.viewers) {
 		f.viewers = append(f.viewers, unmet)
 	}
@@ -153,8 +153,8 @@
 	return h, p
 }
 
-// Adopt takes over a play that plays already.
-func (f *Front) Adopt(now int64, w decision.Want, at int) (decision.Handle, *decision.Result) {
+// AdoptPlay takes over a play that plays already.
+func (f *Policy) AdoptPlay(now int64, w decision.Request, at int) (decision.Handle, *decision.Result) {
 	f.begin()
 	h, p := f.accept(now, w)
 	f.known(at)
@@ -163,8 +163,8 @@
 	return h, f.end(now)
 }
 
-// Started moves a play from set-up to playing; the node has proved itself.
-func (f *Front) Started(now int64, h decision.Handle, try int) *decision.Result {
+// AttemptStarted moves a play from set-up to playing; the node has proved itself.
+func (f *Policy) AttemptStarted(now int64, h decision.Handle, try int) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == settingUp && p.try == try {
 		p.stage, p.started = playing, now
@@ -177,8 +177,8 @@
 	return f.end(now)
 }
 
-// Ended takes in how an allocation ended, and places the play again where that is owed and safe.
-func (f *Front) Ended(now int64, h decision.Handle, try int, how decision.Ending, over bool,
+// AttemptEnded takes in how an allocation ended, and places the play again where that is owed and safe.
+func (f *Policy) AttemptEnded(now int64, h decision.Handle, try int, how decision.Outcome, over bool,
 	load decision.Load) *decision.Result {
 	f.begin()
 	p := f.plays.Get(h)
@@ -195,7 +195,7 @@
 	}
 	// An error in a title that plays nowhere may be the title's: guards against nodes blamed for what viewers
 	// ask wrongly. It could harm where a node is sick for rare titles only.
-	if (was != playing || how == decision.Lost) && (how != decision.Errored || f.playsElsewhere(p)) {
+	if (was != playing || how == decision.ConnectionLost) && (how != decision.Errored || f.playsElsewhere(p)) {
 		f.judge(now, at, how)
 	}
 	if was == settingUp && how != decision.Served && how != decision.NotSent {
@@ -211,22 +211,22 @@
 	return f.end(now)
 }
 
-// Left drops a play whose viewer went away, once its allocation is in.
-func (f *Front) Left(now int64, h decision.Handle) *decision.Result {
+// ViewerLeft drops a play whose viewer went away, once its allocation is in.
+func (f *Policy) ViewerLeft(now int64, h decision.Handle) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == held {
 		f.plays.Drop(h)
 	} else if p != nil && p.stage == settingUp {
 		p.stage = deserted
 		if f.val("recall") > 0 {
-			f.order(decision.Order{Play: h, Do: decision.Recall, Try: p.try})
+			f.order(decision.Order{Play: h, Action: decision.Cancel, Attempt: p.try})
 		}
 	}
 	return f.end(now)
 }
 
-// Told sets the rung of an adopted play.
-func (f *Front) Told(now int64, h decision.Handle, rung int) *decision.Result {
+// RungReported sets the rung of an adopted play.
+func (f *Policy) RungReported(now int64, h decision.Handle, rung int) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == playing {
 		f.rerate(p, rung)
@@ -240,8 +240,8 @@
 	return f.end(now)
 }
 
-// Delivered takes a share note: below shortUnder the link or its uplink is short.
-func (f *Front) Delivered(now int64, h decision.Handle, share float64) *decision.Result {
+// DeliveryReported takes a share note: below shortUnder the link or its uplink is short.
+func (f *Policy) DeliveryReported(now int64, h decision.Handle, share float64) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && p.stage == playing {
 		f.short(now, p.node, share)
@@ -249,8 +249,8 @@
 	return f.end(now)
 }
 
-// Asked takes a note of what is asked of a link or an uplink.
-func (f *Front) Asked(now int64, h decision.Handle, load decision.Load) *decision.Result {
+// LoadReported takes a note of what is asked of a link or an uplink.
+func (f *Policy) LoadReported(now int64, h decision.Handle, load decision.Load) *decision.Result {
 	f.begin()
 	if p := f.plays.Get(h); p != nil && (p.stage == playing || p.stage == settingUp) {
 		lag := reportLag
@@ -272,9 +272,9 @@
 	return f.end(now)
 }
 
-// Heard takes in a message of another front: a node's figures, or a question for them. A message says
+// MessageReceived takes in a message of another front: a node's figures, or a question for them. A message says
 // nothing of a node that this front's own list lacks, and its figures count by their age.
-func (f *Front) Heard(now int64, from int, b []byte) *decision.Result {
+func (f *Policy) MessageReceived(now int64, from int, b []byte) *decision.Result {
 	f.begin()
 	if !f.tells() || from < 0 || from >= int(f.val("fronts")) || len(b) < 5 {
 		return f.end(now)
@@ -311,8 +311,8 @@
 	return f.end(now)
 }
 
-// Probed takes a probe's report, and sets the rungs that are still free to set by it.
-func (f *Front) Probed(now int64, at int, how decision.Ending, load decision.Load) *decision.Result {
+// ProbeEnded takes a probe's report, and sets the rungs that are still free to set by it.
+func (f *Policy) ProbeEnded(now int64, at int, how decision.Outcome, load decision.Load) *decision.Result {
 	f.begin()
 	n := f.known(at)
 	n.probing = false
@@ -325,7 +325,7 @@
 }
 
 // Wake does what is due: plays that wait, payoffs, steps up, plays to move off short links.
-func (f *Front) Wake(now int64) *decision.Result {
+func (f *Policy) Wake(now int64) *decision.Result {
 	f.begin()
 	f.placeWaiting(now, true)
 	below, sum, all := 0, 0.0, 0
@@ -377,7 +377,7 @@
 // ForgetViewer and ForgetNode give a small number back: they blank its record and tell that the number may
 // name another, or refuse while it can still decide something. Guards against records that grow for ever
 // in a front that runs for months; refusing too long would cost memory only.
-func (f *Front) ForgetViewer(now int64, viewer int) bool {
+func (f *Policy) ForgetViewer(now int64, viewer int) bool {
 	if viewer >= len(f.viewers) {
 		return true
 	}
@@ -389,7 +389,7 @@
 	return true
 }
 
-func (f *Front) ForgetNode(now int64, at int) bool {
+func (f *Policy) ForgetNode(now int64, at int) bool {
 	if at >= len(f.nodes) {
 		return true
 	}
@@ -407,14 +407,14 @@
 // ---- Placing: the feature-greedy choice ----
 
 // sample adds a payoff to W.
-func (f *Front) sample(kind int, payoff float64) {
+func (f *Policy) sample(kind int, payoff float64) {
 	f.samples++
 	f.kinds[kind].count++
 	f.kinds[kind].sum += payoff
 }
 
 // mean is a kind's payoff; a kind without samples counts as the mean of all.
-func (f *Front) mean(kind int) float64 {
+func (f *Policy) mean(kind int) float64 {
 	if k := f.kinds[kind]; k.count > 0 {
 		return k.sum / float64(k.count)
 	}
@@ -426,9 +426,9 @@
 }
 
 // place allocates a play in hand, lets it wait for a node's turn, or gives it up at once.
-func (f *Front) place(now int64, h decision.Handle, p *ply) {
+func (f *Policy) place(now int64, h decision.Handle, p *ply) {
 	at, wait := -1, false
-	if p.try+1 < int(f.val("tries")) && now < p.want.Limit && f.seatFree(p) && f.mayAgain(now, p) {
+	if p.try+1 < int(f.val("tries")) && now < p.want.Deadline && f.seatFree(p) && f.mayAgain(now, p) {
 		at, wait = f.choose(now, p)
 		if !p.looked && (at >= 0 || f.cold >= 0 && f.tells()) {
 			p.looked = true
@@ -439,7 +439,7 @@
 		}
 	}
 	if at < 0 {
-		if wait && p.want.Limit-now > 2*wakeEvery { // as in look
+		if wait && p.want.Deadline-now > 2*wakeEvery { // as in look
 			f.waiting = append(f.waiting, h)
 		} else {
 			f.giveUp(h, p)
@@ -454,7 +454,7 @@
 	n.slot, _ = f.turnOf(now, at)
 	n.leave = 0
 	f.bind(h, p, at)
-	f.order(decision.Order{Play: h, Do: decision.Place, Node: at, Rung: p.rung, Until: f.until(now, p)})
+	f.order(decision.Order{Play: h, Action: decision.Place, Node: at, Rung: p.rung, Until: f.until(now, p)})
 	if now-n.link.at > freshFor {
 		f.probe(now, at, 1)
 	}
@@ -464,8 +464,8 @@
 // probe, or several of their keepers and one of these for the leave to use a cold holder. It tells that
 // an answer is to come: the play is placed by it. Guards against blind set-ups and against nodes that died
 // unlisted; it costs a probe or messages, and harms where reports are very late.
-func (f *Front) look(now int64, p *ply, at int) bool {
-	if !f.asks() && !f.tells() || p.want.Limit-now <= 2*wakeEvery { // the next check may be too late
+func (f *Policy) look(now int64, p *ply, at int) bool {
+	if !f.asks() && !f.tells() || p.want.Deadline-now <= 2*wakeEvery { // the next check may be too late
 		return false
 	}
 	for i := range p.look {
@@ -484,7 +484,7 @@
 }
 
 // looking tells that a play still waits for what it looked at.
-func (f *Front) looking(now int64, p *ply) bool {
+func (f *Policy) looking(now int64, p *ply) bool {
 	for _, at := range p.look {
 		if n := &f.nodes[at]; n.probing && now-n.probedAt < lookFor {
 			return p.looked
@@ -494,7 +494,7 @@
 }
 
 // placeWaiting places the plays that wait for nothing more, or for long enough.
-func (f *Front) placeWaiting(now int64, due bool) {
+func (f *Policy) placeWaiting(now int64, due bool) {
 	waiting := f.waiting
 	f.waiting = f.waiting[:0]
 	for _, h := range waiting {
@@ -511,18 +511,18 @@
 
 // until is when an allocation is given up: a paid play waits to its limit, another leaves time
 // for one more to meet the first-frame target while one may still be made.
-func (f *Front) until(now int64, p *ply) int64 {
+func (f *Policy) until(now int64, p *ply) int64 {
 	target := p.taken + int64(f.of("product.target", p.want.Product, 0))
 	if f.paid(p) || p.try+2 >= int(f.val("tries")) || now >= target {
-		return p.want.Limit
+		return p.want.Deadline
 	}
-	return min(p.want.Limit, now+int64(firstShare*float64(target-now)))
+	return min(p.want.Deadline, now+int64(firstShare*float64(target-now)))
 }
 
 // choose is the feature-greedy choice among the holders. It returns -1 if none can take the play now, and
 // whether to wait as one soon may. Where all are skipped, one that told its load since it failed is tried:
 // guards against plays declined for connections that broke. Harm: one that errs is tried too.
-func (f *Front) choose(now int64, p *ply) (at int, wait bool) {
+func (f *Policy) choose(now int64, p *ply) (at int, wait bool) {
 	holdUntil := p.taken + int64(holdShare*f.of("product.target", p.want.Product, 0))
 	held := f.holders(p)
 	gathers := f.gathers(p, len(held))
@@ -606,7 +606,7 @@
 // gathers is the part of its holders on which the viewers of a live title are gathered, and enters what one
 // more adds. Viewers are taken to be as many at each front; so many nodes are used that they ask gatherPart
 // of each. Guards against streams of one viewer each. It could harm where few fronts want a title.
-func (f *Front) gathers(p *ply, held int) float64 {
+func (f *Policy) gathers(p *ply, held int) float64 {
 	if !f.shares(p) || held == 0 {
 		return 1
 	}
@@ -623,32 +623,32 @@
 }
 
 // shares tells that viewers of a play's title may share a stream.
-func (f *Front) shares(p *ply) bool {
+func (f *Policy) shares(p *ply) bool {
 	return f.of("join", 0, 1) < 1 && f.of("product.live", p.want.Product, 0) > 0
 }
 
 // joining enters that a play is one of so many on a stream, as far as can be expected. It then adds less to
 // the link, and keeps its best rung: one alone on another rung would ask more than its step down frees.
-func (f *Front) joining(p *ply, on float64) {
+func (f *Policy) joining(p *ply, on float64) {
 	if on >= joinFrom {
 		p.saves, p.joins = (1-f.val("join"))*(1-1/on), true
 	}
 }
 
 // scattered is a number from 0 to 1 for a node and a title, the same at every front.
-func (f *Front) scattered(at int, p *ply) float64 {
+func (f *Policy) scattered(at int, p *ply) float64 {
 	x := uint64(f.nodes[at].key)<<32 | uint64(p.want.Key)
 	x = (x ^ x>>31) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return float64((x^x>>32)>>11) / (1 << 53)
 }
 
-func (f *Front) ownZone(at int) bool { return f.nodes[at].zone == int(f.of("zone", 0, -1)) }
+func (f *Policy) ownZone(at int) bool { return f.nodes[at].zone == int(f.of("zone", 0, -1)) }
 
 // full tells that one play more would cost all plays there more than it earns: the link is lately
 // known to be all asked for, and own plays there cannot step down to make the room. Guards against
 // a crowd piling onto links where all stand on their floors; an old figure turns nobody away.
-func (f *Front) full(now int64, at int, used, need float64) bool {
+func (f *Policy) full(now int64, at int, used, need float64) bool {
 	n := &f.nodes[at]
 	if now-max(n.link.at, f.racks[n.rack].link.at, n.shareAt) > fullFor ||
 		used+need/f.capacity(now, at) <= fullMark {
@@ -664,19 +664,19 @@
 
 // ---- The account ----
 
-func (f *Front) rate(p *ply, rung int) float64 {
+func (f *Policy) rate(p *ply, rung int) float64 {
 	if p.joins {
 		rung = f.top(p)
 	}
 	return f.of("rung.rate", rung, 0) * f.of("product.rate", p.want.Product, 1) * (1 - p.saves)
 }
 
-func (f *Front) capacity(now int64, at int) float64 {
+func (f *Policy) capacity(now int64, at int) float64 {
 	return f.val("weight.rate") * f.nodes[at].weight * f.warmth(now, at)
 }
 
 // uplink is what a rack's uplink gives: the mean told, or less once the rack was seen short.
-func (f *Front) uplink(now int64, rk int) float64 {
+func (f *Policy) uplink(now int64, rk int) float64 {
 	told := f.val("uplink.rate")
 	if told <= 0 {
 		told = math.Inf(1)
@@ -699,20 +699,20 @@
 // others are taken to have added a part. A figure fades with its age into what is asked on average.
 // Guards against herds on stale figures, and against steps up on links of which nothing was told.
 // It could harm where links differ lastingly and are seldom told.
-func (f *Front) asked(now int64, a account, own, capacity, usual float64) float64 {
+func (f *Policy) asked(now int64, a account, own, capacity, usual float64) float64 {
 	others := 1 - 1/max(1, f.val("fronts"))
 	since, old := own-a.own, float64(now-a.at)/float64(fades)
 	told := max(own/capacity, a.asked+(since+max(0, since)*others*crowd)/capacity)
 	return max(own/capacity, told+(usual-told)*min(1, old*old))
 }
 
-func (f *Front) linkAsked(now int64, at int) float64 {
+func (f *Policy) linkAsked(now int64, at int) float64 {
 	n := &f.nodes[at]
 	return f.asked(now, n.link, n.own, f.capacity(now, at), f.usual)
 }
 
 // uplinkAsked is a rack's account: told, or else added up over its links.
-func (f *Front) uplinkAsked(now int64, rk int) float64 {
+func (f *Policy) uplinkAsked(now int64, rk int) float64 {
 	r := &f.racks[rk]
 	if f.val("reports.uplink") > 0 {
 		return f.asked(now, r.link, r.own, f.uplink(now, rk), f.usualUp)
@@ -721,7 +721,7 @@
 }
 
 // rackSum adds up what is asked of a rack's links, kB a second.
-func (f *Front) rackSum(now int64, rk int) float64 {
+func (f *Policy) rackSum(now int64, rk int) float64 {
 	r := &f.racks[rk]
 	if r.sumAt != now || r.sumOf != f.changes { // else nothing it rests on has changed
 		r.sum, r.sumAt, r.sumOf = 0, now, f.changes
@@ -733,19 +733,19 @@
 }
 
 // used is how much is asked of a node's link or uplink, or was told short, whichever is most.
-func (f *Front) used(now int64, at int) float64 {
+func (f *Policy) used(now int64, at int) float64 {
 	return max(f.linkAsked(now, at), f.uplinkAsked(now, f.nodes[at].rack), 1/f.shareNow(now, at))
 }
 
 // room is what a set-up may still ask at a node, kB a second.
-func (f *Front) room(now int64, at int) float64 {
+func (f *Policy) room(now int64, at int) float64 {
 	n, full := &f.nodes[at], f.capacity(now, at)
 	link := roomMark*regained(now, n.seen, full) - f.linkAsked(now, at)*full
 	return min(link, (roomMark-f.uplinkAsked(now, n.rack))*f.uplink(now, n.rack))
 }
 
 // fit is the highest rung that a room takes, within reach.
-func (f *Front) fit(now int64, at int, p *ply, room float64) int {
+func (f *Policy) fit(now int64, at int, p *ply, room float64) int {
 	r := f.top(p)
 	if p.joins {
 		if f.crammed && f.used(now, at) > fullMark {
@@ -762,7 +762,7 @@
 // inReach tells that a play may take a rung that asks so much more of a link: one within reach, or
 // any on a link that stays far behind the average. Guards against nodes of little wanted titles that
 // stand empty while full ones keep the reach low; it could harm where a crowd comes to just these.
-func (f *Front) inReach(now int64, at int, p *ply, rung int, more float64) bool {
+func (f *Policy) inReach(now int64, at int, p *ply, rung int, more float64) bool {
 	return float64(rung) <= f.reach(now, at)+f.lift(p) ||
 		f.linkAsked(now, at)+more/f.capacity(now, at) <= behind*f.usual
 }
@@ -772,7 +772,7 @@
 // fill the links. On a node of which this front knows nothing the reach is the mean itself, rounded:
 // a start too high costs all there and a change of rung, one too low a step up. It could harm where
 // nodes are hardly used and seldom heard of.
-func (f *Front) reach(now int64, at int) float64 {
+func (f *Policy) reach(now int64, at int) float64 {
 	if n := &f.nodes[at]; now-n.link.at > fades && len(n.plays) == 0 {
 		return f.level + blindRungs + (closeRungs-blindRungs)*f.trust()
 	}
@@ -780,15 +780,15 @@
 }
 
 // trust is how far the level is known to be the fleet's, from 0, where it is that of own plays alone, to 1.
-func (f *Front) trust() float64 { return min(1, f.levels/trustOf) }
+func (f *Policy) trust() float64 { return min(1, f.levels/trustOf) }
 
 // lift is how many rungs a play may stand over others for what a step of it earns for its rate. It counts
 // as far as the level is the fleet's: over the mean of a few own plays it would only add to the chance.
-func (f *Front) lift(p *ply) float64 { return f.trust() * f.lifts[p.want.Product] }
+func (f *Policy) lift(p *ply) float64 { return f.trust() * f.lifts[p.want.Product] }
 
 // earnings are the lifts of the products around their mean, in rungs: each rung of the ladder divides what
 // a step earns for its rate by about the same, and an importance multiplies it.
-func (f *Front) earnings() []float64 {
+func (f *Policy) earnings() []float64 {
 	out, mean, top := make([]float64, len(f.set["product.rate"])), 0.0, len(f.set["rung.rate"])-1
 	step := func(name string, r int) float64 { return f.of(name, r, 0) - f.of(name, r-1, 0) }
 	earns := func(r int) float64 { return step("rung.worth", r) / step("rung.rate", r) }
@@ -807,7 +807,7 @@
 }
 
 // report takes in what a node told of its link and uplink so long ago, and tells whether it is news.
-func (f *Front) report(now int64, at int, l decision.Load, lag, age int64) bool {
+func (f *Policy) report(now int64, at int, l decision.Load, lag, age int64) bool {
 	n := &f.nodes[at]
 	if l.Link < 0 && l.Uplink < 0 || age > 0 && now-age <= n.link.at {
 		return false
@@ -834,7 +834,7 @@
 }
 
 // resetSetUps sets the rungs that are still free to set by a fresh figure.
-func (f *Front) resetSetUps(now int64, at int) {
+func (f *Policy) resetSetUps(now int64, at int) {
 	for _, h := range f.nodes[at].plays {
 		if p := f.plays.Get(h); p.stage == settingUp {
 			f.setRung(now, h, p, f.fit(now, at, p, f.room(now, at)+f.rate(p, p.rung)))
@@ -843,13 +843,13 @@
 }
 
 // tells tells that fronts may send each other messages.
-func (f *Front) tells() bool { return f.val("peers") > 0 }
+func (f *Policy) tells() bool { return f.val("peers") > 0 }
 
 // keeper is the front that keeps a node's figures for all, the same for every front.
-func (f *Front) keeper(at int) int { return int(f.nodes[at].key) % max(1, int(f.val("fronts"))) }
+func (f *Policy) keeper(at int) int { return int(f.nodes[at].key) % max(1, int(f.val("fronts"))) }
 
 // tell sends what is known of a node to a front.
-func (f *Front) tell(now int64, to, at int, kind byte) {
+func (f *Policy) tell(now int64, to, at int, kind byte) {
 	n := &f.nodes[at]
 	if !f.tells() || to == int(f.val("front")) {
 		return
@@ -870,11 +870,11 @@
 
 // asks tells that probes are worth their price: allowed, and load comes in no other way. Where answers
 // and notes tell it, each front hears of the nodes that it uses by itself.
-func (f *Front) asks() bool { return f.val("probing") > 0 && f.val("reports.answers") == 0 }
+func (f *Policy) asks() bool { return f.val("probing") > 0 && f.val("reports.answers") == 0 }
 
 // probe asks for a node's load: its keeper, where fronts may tell each other, or else the node itself
 // as far as probes are earned. An answer of the keeper may be lost.
-func (f *Front) probe(now int64, at int, cost float64) {
+func (f *Policy) probe(now int64, at int, cost float64) {
 	n, to := &f.nodes[at], f.keeper(at)
 	if now-n.probedAt < settle {
 		return
@@ -893,24 +893,24 @@
 
 // ---- Rungs in play ----
 
-func (f *Front) floor(p *ply) int { return int(f.of("product.floor", p.want.Product, 0)) }
+func (f *Policy) floor(p *ply) int { return int(f.of("product.floor", p.want.Product, 0)) }
 
-func (f *Front) top(p *ply) int {
+func (f *Policy) top(p *ply) int {
 	rungs := len(f.set["rung.rate"]) - 1
-	return max(f.floor(p), min(p.want.Top, rungs, int(f.of("product.top", p.want.Product, float64(rungs)))))
+	return max(f.floor(p), min(p.want.MaxRung, rungs, int(f.of("product.top", p.want.Product, float64(rungs)))))
 }
 
-func (f *Front) importance(p *ply) float64 { return f.of("product.importance", p.want.Product, 1) }
+func (f *Policy) importance(p *ply) float64 { return f.of("product.importance", p.want.Product, 1) }
 
 // gain is what a rung earns a second over the one below it, and more what it asks.
-func (f *Front) gain(p *ply, rung int) float64 {
+func (f *Policy) gain(p *ply, rung int) float64 {
 	return f.importance(p) * (f.of("rung.worth", rung, 0) - f.of("rung.worth", rung-1, 0))
 }
 
-func (f *Front) more(p *ply, rung int) float64 { return f.rate(p, rung) - f.rate(p, rung-1) }
+func (f *Policy) more(p *ply, rung int) float64 { return f.rate(p, rung) - f.rate(p, rung-1) }
 
 // setRung changes a play's rung and orders it.
-func (f *Front) setRung(now int64, h decision.Handle, p *ply, rung int) {
+func (f *Policy) setRung(now int64, h decision.Handle, p *ply, rung int) {
 	if rung == p.rung {
 		return
 	}
@@ -918,11 +918,11 @@
 		p.raised = now
 	}
 	f.rerate(p, rung)
-	f.order(decision.Order{Play: h, Do: decision.SetRung, Rung: rung})
+	f.order(decision.Order{Play: h, Action: decision.SetRung, Rung: rung})
 }
 
 // shareNow is the share delivered at a node as far as it is told; silence is a full share.
-func (f *Front) shareNow(now int64, at int) float64 {
+func (f *Policy) shareNow(now int64, at int) float64 {
 	if n := &f.nodes[at]; n.share < shortUnder && now-n.shareAt < shortHolds {
 		return n.share
 	}
@@ -930,10 +930,10 @@
 }
 
 // settled tells that what was done at a time has had the time to show in the notes.
-func (f *Front) settled(now, at int64) bool { return now-at >= int64(f.val("note.lag"))+settle }
+func (f *Policy) settled(now, at int64) bool { return now-at >= int64(f.val("note.lag"))+settle }
 
 // short takes in a share: the link, or its uplink, is asked 1/share of what it gives.
-func (f *Front) short(now int64, at int, share float64) {
+func (f *Policy) short(now int64, at int, share float64) {
 	n := &f.nodes[at]
 	n.share, n.shareAt = share, now
 	if share >= shortUnder {
@@ -955,7 +955,7 @@
 // rackShort tells that the uplink is what is short: as told, or inferred where nobody reports it
 // from most links of the rack delivering short alike. Guards against weak or sagging uplinks.
 // It could harm where sick links of one rack are short alike: the rack then takes less for a while.
-func (f *Front) rackShort(now int64, at int, share float64) bool {
+func (f *Policy) rackShort(now int64, at int, share float64) bool {
 	rk := f.nodes[at].rack
 	r := &f.racks[rk]
 	if f.val("reports.uplink") > 0 {
@@ -978,7 +978,7 @@
 }
 
 // remember notes what a link or uplink gave when short, once for what notes tell over and over.
-func (f *Front) remember(now int64, seen *memory, given float64) {
+func (f *Policy) remember(now int64, seen *memory, given float64) {
 	if seen.at == 0 || f.settled(now, seen.at) {
 		*seen = memory{given, now}
 	}
@@ -988,7 +988,7 @@
 // excess, those first that lose least for the rate they free. Before a cut shows, only what is asked beyond
 // what it was for counts: guards against links that sink on while the first, mild figures of it are acted
 // on. Harm: of figures that jump about the worst is cut for.
-func (f *Front) cut(now int64, at int, asks, mark float64) {
+func (f *Policy) cut(now int64, at int, asks, mark float64) {
 	n, goal := &f.nodes[at], cutTo/asks
 	if !f.settled(now, n.cutAt) {
 		goal = n.cutFor / asks
@@ -1023,13 +1023,13 @@
 }
 
 // part is the part of what is asked of a link that own plays ask.
-func (f *Front) part(now int64, at int) float64 {
+func (f *Policy) part(now int64, at int) float64 {
 	return f.nodes[at].own / max(1, f.nodes[at].own, f.linkAsked(now, at)*f.capacity(now, at))
 }
 
 // raise steps plays of a node up while the next rate fits, each front by its part of the room as
 // all see the same, those first that gain most for the rate.
-func (f *Front) raise(now int64, at int) {
+func (f *Policy) raise(now int64, at int) {
 	n := &f.nodes[at]
 	if f.shareNow(now, at) < 1 || !f.settled(now, n.cutAt) ||
 		!f.settled(now, n.raisedAt) && n.link.at <= n.raisedAt {
@@ -1079,7 +1079,7 @@
 }
 
 // shed moves one play in shedEvery off a link that stays short with its plays stepped down.
-func (f *Front) shed(now int64, at int) {
+func (f *Policy) shed(now int64, at int) {
 	n := &f.nodes[at]
 	if now-n.shareAt > shortHolds {
 		n.shortFrom = 0
@@ -1100,7 +1100,7 @@
 	over := float64(len(n.plays)) * (1 - f.shareNow(now, at))   // own plays that the link can't carry
 	if p != nil && f.rnd.Float() < max(over, f.part(now, at)) { // the link loses one, whichever front's it is
 		f.viewers[p.want.Viewer] = viewer{at + 1, now, now}
-		f.order(decision.Order{Play: h, Do: decision.Move})
+		f.order(decision.Order{Play: h, Action: decision.Move})
 	}
 }
 
@@ -1109,13 +1109,13 @@
 // judge takes an allocation's end as a symptom. Guards against a node that fails, hangs or breaks
 // while its kind does well: it is skipped, longer when it fails again. One that refused as full is
 // left alone for a little, whatever late reports say of it.
-func (f *Front) judge(now int64, at int, how decision.Ending) {
+func (f *Policy) judge(now int64, at int, how decision.Outcome) {
 	n := &f.nodes[at]
 	switch how {
-	case decision.TurnedAway:
+	case decision.Rejected:
 		n.skipUntil = max(n.skipUntil, now+refusedFor<<min(n.strikes, doublings))
 		n.failedAt, n.strikes = n.skipUntil, n.strikes+1
-	case decision.NoConnect, decision.Lost: // it may come back cold before the list says so
+	case decision.NoConnect, decision.ConnectionLost: // it may come back cold before the list says so
 		n.lostAt = now
 		fallthrough
 	case decision.Errored, decision.NoAnswer:
@@ -1127,20 +1127,20 @@
 // ---- The six rules: each by one piece of code ----
 
 // giveUp answers a play, once as it drops it. A paid one that may have run fails; others are declined.
-func (f *Front) giveUp(h decision.Handle, p *ply) {
+func (f *Policy) giveUp(h decision.Handle, p *ply) {
 	if f.paid(p) && p.mayHave {
-		f.order(decision.Order{Play: h, Do: decision.Fail})
+		f.order(decision.Order{Play: h, Action: decision.Fail})
 	} else {
-		f.order(decision.Order{Play: h, Do: decision.Decline,
-			ComeBack: int64(min(1, f.val("comeback")) * f.val("comeback.most"))})
+		f.order(decision.Order{Play: h, Action: decision.Decline,
+			RetryAfter: int64(min(1, f.val("comeback")) * f.val("comeback.most"))})
 	}
 	f.plays.Drop(h)
 }
 
-func (f *Front) paid(p *ply) bool { return f.of("product.paid", p.want.Product, 1) > 0 }
+func (f *Policy) paid(p *ply) bool { return f.of("product.paid", p.want.Product, 1) > 0 }
 
 // mayAgain keeps a paid play from running twice and further allocations within the budget.
-func (f *Front) mayAgain(now int64, p *ply) bool {
+func (f *Policy) mayAgain(now int64, p *ply) bool {
 	if p.try < 0 {
 		return true
 	}
@@ -1158,10 +1158,10 @@
 }
 
 // warmsFrom is when a node began to warm: at its start, or at a return that this front saw.
-func (f *Front) warmsFrom(at int) int64 { return max(f.nodes[at].started, f.nodes[at].backAt) }
+func (f *Policy) warmsFrom(at int) int64 { return max(f.nodes[at].started, f.nodes[at].backAt) }
 
 // warmth is the least share of its power that a node has.
-func (f *Front) warmth(now int64, at int) float64 {
+func (f *Policy) warmth(now int64, at int) float64 {
 	start := f.warmsFrom(at)
 	age := float64(now-start) / f.val("cold.lasts")
 	if start == 0 || age >= 1 {
@@ -1172,7 +1172,7 @@
 
 // turnOf numbers the turns of a cold node since its start: one set-up each, the fronts in rotation.
 // Together they stay under the allowance of any window, one early set-up included.
-func (f *Front) turnOf(now int64, at int) (turn int64, cold bool) {
+func (f *Policy) turnOf(now int64, at int) (turn int64, cold bool) {
 	warmth := f.warmth(now, at)
 	if warmth >= 1 {
 		return 0, false
@@ -1185,7 +1185,7 @@
 
 // pace tells that this front may set up at a node: always on a warm one, else once in its turn, or,
 // where fronts tell each other, with the leave of the node's keeper.
-func (f *Front) pace(now int64, at int) bool {
+func (f *Policy) pace(now int64, at int) bool {
 	n := &f.nodes[at]
 	turn, cold := f.turnOf(now, at)
 	if !cold || f.tells() {
@@ -1198,13 +1198,13 @@
 // mayGive tells that this front, as a cold node's keeper, may give leave for one set-up: one in giveEvery
 // turns, so that fronts that go by turns may have theirs beside it within coldMargin. A lost leave is a
 // turn not used. A keeper just started gives none: what it gave before is not known.
-func (f *Front) mayGive(now int64, at int) bool {
+func (f *Policy) mayGive(now int64, at int) bool {
 	turn, cold := f.turnOf(now, at)
 	return cold && f.nodes[at].phase == decision.Ready && turn/giveEvery > f.nodes[at].slot/giveEvery &&
 		now-f.born > int64(f.val("fall.over"))
 }
 
-func (f *Front) seatFree(p *ply) bool {
+func (f *Policy) seatFree(p *ply) bool {
 	most := f.of("product.seats", p.want.Product, 0)
 	return most == 0 || float64(*f.seat(p)) < most
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -10,9 +10,9 @@
 func TestDeclinedAtOnceWhenNobodyHoldsTheTitle(t *testing.T) {
 	f := fleet(2)
 	w := want(0)
-	w.Home, w.Copies = 2, 2
-	h, r := f.Take(now, w)
-	if o := sole(t, r); o.Do != decision.Decline || o.ComeBack != 5000 {
+	w.FirstCell, w.CellCount = 2, 2
+	h, r := f.AddPlay(now, w)
+	if o := sole(t, r); o.Action != decision.Decline || o.RetryAfter != 5000 {
 		t.Fatalf("got %+v", o)
 	}
 	if f.plays.Get(h) != nil {
@@ -22,9 +22,9 @@
 
 func TestStaleHandleDoesNothing(t *testing.T) {
 	f := fleet(1)
-	h, _ := f.Take(now, want(0))
-	f.Ended(now, h, 0, decision.Served, true, decision.Untold)
-	if r := f.Ended(now, h, 0, decision.Errored, false, decision.Untold); len(r.Orders) != 0 {
+	h, _ := f.AddPlay(now, want(0))
+	f.AttemptEnded(now, h, 0, decision.Served, true, decision.UnknownLoad)
+	if r := f.AttemptEnded(now, h, 0, decision.Errored, false, decision.UnknownLoad); len(r.Orders) != 0 {
 		t.Fatalf("got %+v", r.Orders)
 	}
 }
@@ -112,8 +112,8 @@
 		t.Fatalf("got %+v", k)
 	}
 	f.nodes[0].share = 1
-	h, _ := f.Take(now, want(0))
-	f.Ended(now, h, 0, decision.Errored, false, decision.Untold)
+	h, _ := f.AddPlay(now, want(0))
+	f.AttemptEnded(now, h, 0, decision.Errored, false, decision.UnknownLoad)
 	if k := f.kinds[0]; k.count != 2 || math.Abs(k.sum+0.4) > 1e-9 {
 		t.Fatalf("after a failure: %+v", k)
 	}
@@ -159,17 +159,17 @@
 	for asked, rung := range map[float64]int{0.5: 2, overMark: 2, 1.5: 0} {
 		f := fleet(1)
 		f.nodes[0].cutAt = now // a step down for another play does not show yet
-		h, r := f.Take(now, want(0))
+		h, r := f.AddPlay(now, want(0))
 		if o := sole(t, r); o.Rung != 2 {
 			t.Fatalf("blind at rung %d", o.Rung)
 		}
 		f.nodes[0].cutFor = 2
-		f.Asked(now+50*ms, h, decision.Load{Streams: -1, Link: asked, Uplink: -1})
+		f.LoadReported(now+50*ms, h, decision.Load{Streams: -1, Link: asked, Uplink: -1})
 		if p := f.plays.Get(h); p.rung != rung {
 			t.Errorf("asked %v: rung %d, not %d", asked, p.rung, rung)
 		}
-		f.Started(now+60*ms, h, 0)
-		f.Asked(now+2*sec, h, decision.Load{Streams: -1, Link: 1.9, Uplink: -1}) // a later one is for all there, by their parts
+		f.AttemptStarted(now+60*ms, h, 0)
+		f.LoadReported(now+2*sec, h, decision.Load{Streams: -1, Link: 1.9, Uplink: -1}) // a later one is for all there, by their parts
 		if p := f.plays.Get(h); p.rung != rung {
 			t.Errorf("asked %v, then 1.9: rung %d, not %d", asked, p.rung, rung)
 		}
@@ -181,11 +181,11 @@
 	for age, rung := range map[int64]int{sec: 2, freshFor + 1: 0} {
 		f := fleet(1)
 		f.nodes[0].link, f.nodes[0].cutAt, f.nodes[0].cutFor = account{now, 0.1, 0}, now, 2
-		h, r := f.Take(now+age, want(0))
+		h, r := f.AddPlay(now+age, want(0))
 		if o := sole(t, r); o.Rung != 2 {
 			t.Fatalf("at rung %d", o.Rung)
 		}
-		f.Asked(now+age, h, decision.Load{Streams: -1, Link: 1.5, Uplink: -1})
+		f.LoadReported(now+age, h, decision.Load{Streams: -1, Link: 1.5, Uplink: -1})
 		if p := f.plays.Get(h); p.rung != rung {
 			t.Errorf("by a figure of %v s: rung %d, not %d", float64(age)/float64(sec), p.rung, rung)
 		}
@@ -201,7 +201,7 @@
 	n, was := &f.nodes[0], f.nodes[0].own
 	tell := func(at int64, share, left float64) {
 		t.Helper()
-		f.Delivered(at, f.nodes[0].plays[0], share)
+		f.DeliveryReported(at, f.nodes[0].plays[0], share)
 		if got := n.own / was; math.Abs(got-left) > 0.01 {
 			t.Fatalf("share %v: %.3f of the rates are left, not %.3f", share, got, left)
 		}
@@ -317,9 +317,9 @@
 		at += skip
 	}
 	w := want(0)
-	w.Limit = at + 4*sec
-	h, _ := f.Take(at, w)
-	f.Started(at, h, 0)
+	w.Deadline = at + 4*sec
+	h, _ := f.AddPlay(at, w)
+	f.AttemptStarted(at, h, 0)
 	if f.nodes[0].strikes != 0 {
 		t.Fatal("still counted as sick after a success")
 	}
@@ -327,7 +327,7 @@
 
 func TestRefusingNodeIsLeftAlone(t *testing.T) {
 	f := fleet(1)
-	f.judge(now, 0, decision.TurnedAway)
+	f.judge(now, 0, decision.Rejected)
 	if f.nodes[0].skipUntil != now+refusedFor {
 		t.Fatalf("skipped for %d", f.nodes[0].skipUntil-now)
 	}
@@ -352,26 +352,26 @@
 
 func TestPaidPlayThatMayHaveRunFails(t *testing.T) {
 	f := fleet(2)
-	h, r := f.Take(now, want(1))
+	h, r := f.AddPlay(now, want(1))
 	if o := sole(t, r); o.Until != now+4*sec {
 		t.Fatalf("a paid play waits to its limit, got %+v", o)
 	}
-	if o := sole(t, f.Ended(now, h, 0, decision.Errored, false, decision.Untold)); o.Do != decision.Fail {
+	if o := sole(t, f.AttemptEnded(now, h, 0, decision.Errored, false, decision.UnknownLoad)); o.Action != decision.Fail {
 		t.Fatalf("got %+v", o)
 	}
 }
 
 func TestPaidPlayIsSentAgainOnProof(t *testing.T) {
 	f := fleet(2)
-	h, _ := f.Take(now, want(1))
-	if o := sole(t, f.Ended(now, h, 0, decision.NoConnect, false, decision.Untold)); o.Do != decision.Place {
+	h, _ := f.AddPlay(now, want(1))
+	if o := sole(t, f.AttemptEnded(now, h, 0, decision.NoConnect, false, decision.UnknownLoad)); o.Action != decision.Place {
 		t.Fatalf("got %+v", o)
 	}
 }
 
 func TestSafePlayLeavesTimeForAnother(t *testing.T) {
 	f := fleet(2)
-	_, r := f.Take(now, want(0))
+	_, r := f.AddPlay(now, want(0))
 	if o := sole(t, r); o.Until != now+sec/2 {
 		t.Fatalf("until %d after", o.Until-now)
 	}
@@ -396,8 +396,8 @@
 
 func TestDrainingNodeGetsNothing(t *testing.T) {
 	f := fleet(1)
-	f.Nodes(now, []decision.Node{{Index: 0, Phase: decision.Draining, Weight: 1}}, false)
-	if _, r := f.Take(now, want(0)); sole(t, r).Do != decision.Decline {
+	f.UpdateNodes(now, []decision.Node{{Index: 0, Phase: decision.Draining, Weight: 1}}, false)
+	if _, r := f.AddPlay(now, want(0)); sole(t, r).Action != decision.Decline {
 		t.Fatal("a draining node was given a play")
 	}
 }
@@ -405,12 +405,12 @@
 func TestColdNodeIsPacedByTurns(t *testing.T) {
 	one, two := fleet(1), fleet(1, func(s map[string][]float64) { s["front"] = []float64{1} })
 	sent := 0
-	for _, f := range []*Front{one, two} {
+	for _, f := range []*Policy{one, two} {
 		f.nodes[0].started, f.nodes[0].slot = now, -1
 	}
 	most, window := 0, []int64{}
 	for at := int64(now); at < now+12*sec; at += 100 {
-		for _, f := range []*Front{one, two} {
+		for _, f := range []*Policy{one, two} {
 			if f.pace(at, 0) {
 				f.nodes[0].slot, _ = f.turnOf(at, 0)
 				window = append(window, at)
@@ -431,7 +431,7 @@
 // have used, and a third learn of the start late.
 func TestColdNodesAreRampedByAllFronts(t *testing.T) {
 	for _, fronts := range []int{2, 30, 300} {
-		var all []*Front
+		var all []*Policy
 		for i := range fronts {
 			f := fleet(1, func(s map[string][]float64) {
 				s["fronts"], s["front"] = []float64{float64(fronts)}, []float64{float64(i)}
@@ -471,12 +471,12 @@
 
 func TestBrokenNodeComesBackCold(t *testing.T) {
 	f := fleet(1)
-	f.judge(now, 0, decision.Lost)
+	f.judge(now, 0, decision.ConnectionLost)
 	back := int64(now + 30*sec)
 	w := want(0)
-	w.Limit = back + 4*sec
-	h, _ := f.Take(back, w)
-	f.Started(back, h, 0)
+	w.Deadline = back + 4*sec
+	h, _ := f.AddPlay(back, w)
+	f.AttemptStarted(back, h, 0)
 	if w := f.warmth(back, 0); w != 0.4 {
 		t.Fatalf("warmth %v right after its return", w)
 	}
@@ -484,17 +484,17 @@
 
 func TestSeatsCountSetUpsAndAdoptedPlays(t *testing.T) {
 	f := fleet(2)
-	f.Adopt(now, want(1), 0)
-	f.Take(now, want(1))
-	if _, r := f.Take(now, want(1)); sole(t, r).Do != decision.Decline {
+	f.AdoptPlay(now, want(1), 0)
+	f.AddPlay(now, want(1))
+	if _, r := f.AddPlay(now, want(1)); sole(t, r).Action != decision.Decline {
 		t.Fatal("a third play on two seats")
 	}
 }
 
 func TestFloorIsKept(t *testing.T) {
 	f := fleet(1)
-	h, _ := f.Adopt(now, want(1), 0)
-	if o := sole(t, f.Told(now, h, 0)); o.Do != decision.SetRung || o.Rung != 1 {
+	h, _ := f.AdoptPlay(now, want(1), 0)
+	if o := sole(t, f.RungReported(now, h, 0)); o.Action != decision.SetRung || o.Rung != 1 {
 		t.Fatalf("got %+v", o)
 	}
 	f.begin()
@@ -510,11 +510,11 @@
 	at := int64(now)
 	if n := testing.AllocsPerRun(2000, func() {
 		at += sec
-		w.Limit = at + 4*sec
-		h, _ := f.Take(at, w)
-		f.Started(at, h, 0)
+		w.Deadline = at + 4*sec
+		h, _ := f.AddPlay(at, w)
+		f.AttemptStarted(at, h, 0)
 		f.Wake(at)
-		f.Ended(at, h, 0, decision.Served, true, decision.Untold)
+		f.AttemptEnded(at, h, 0, decision.Served, true, decision.UnknownLoad)
 	}); n != 0 {
 		t.Fatalf("%v allocations a play", n)
 	}
@@ -535,11 +535,11 @@
 	f := fleet(1)
 	f.nodes[0].skipUntil = now + 100*ms
 	w := want(0)
-	if _, r := f.Take(now, w); len(r.Orders) != 0 {
+	if _, r := f.AddPlay(now, w); len(r.Orders) != 0 {
 		t.Fatalf("want a short wait, got %+v", r.Orders)
 	}
-	w.Limit = now + 100*ms
-	if _, r := f.Take(now, w); sole(t, r).Do != decision.Decline {
+	w.Deadline = now + 100*ms
+	if _, r := f.AddPlay(now, w); sole(t, r).Action != decision.Decline {
 		t.Fatal("held past its limit")
 	}
 }
@@ -598,12 +598,12 @@
 
 func TestLooksAtHoldersBeforePlacing(t *testing.T) {
 	f := fleet(2, probing)
-	h, r := f.Take(now, want(0))
+	h, r := f.AddPlay(now, want(0))
 	if len(r.Orders) != 0 || len(r.Probes) == 0 {
 		t.Fatalf("want probes before an order, got %+v", r)
 	}
 	for _, at := range []int{0, 1} { // node 1 is nearly full
-		r = f.Probed(now+10*ms, at, decision.Served, decision.Load{Streams: -1, Link: 0.1 + 0.7*float64(at), Uplink: -1})
+		r = f.ProbeEnded(now+10*ms, at, decision.Served, decision.Load{Streams: -1, Link: 0.1 + 0.7*float64(at), Uplink: -1})
 	}
 	if p := f.plays.Get(h); p.stage != settingUp || p.node != 0 {
 		t.Fatalf("placed on node %d", p.node)
@@ -613,15 +613,15 @@
 func TestPlayWithLittleTimeIsPlacedWithoutALook(t *testing.T) {
 	f := fleet(2, probing)
 	w := want(0)
-	w.Limit = now + 300*ms
-	if _, r := f.Take(now, w); len(r.Orders) != 1 || r.Orders[0].Do != decision.Place {
+	w.Deadline = now + 300*ms
+	if _, r := f.AddPlay(now, w); len(r.Orders) != 1 || r.Orders[0].Action != decision.Place {
 		t.Fatalf("got %+v", r.Orders)
 	}
 }
 
 func TestLookEndsWithoutAnAnswer(t *testing.T) {
 	f := fleet(2, probing)
-	h, _ := f.Take(now, want(0))
+	h, _ := f.AddPlay(now, want(0))
 	f.Wake(now + lookFor)
 	if p := f.plays.Get(h); p.stage != settingUp {
 		t.Fatal("still waits for a probe that is not answered")
@@ -661,14 +661,14 @@
 	at := int64(now)
 	for range 50 { // a front that stands still for two seconds between all it hears
 		w := want(1)
-		w.Limit = at + 4*sec
-		h, _ := f.Take(at, w)
+		w.Deadline = at + 4*sec
+		h, _ := f.AddPlay(at, w)
 		f.Wake(at)
 		at += 2 * sec
 		if p := f.plays.Get(h); p != nil && p.stage == held {
 			t.Fatal("held over a stall")
 		}
-		f.Ended(at, h, 0, decision.NoAnswer, false, decision.Untold)
+		f.AttemptEnded(at, h, 0, decision.NoAnswer, false, decision.UnknownLoad)
 	}
 	if len(f.waiting) != 0 || f.plays.Get(decision.Handle{}) != nil {
 		t.Fatal("something is left over")
@@ -714,11 +714,11 @@
 		t.Fatal("a moved viewer is to be known for moveEvery, then blank")
 	}
 	h, _ := playingAt(f, 1, 0, 0, now)
-	f.Nodes(now, []decision.Node{{Index: 1, Cell: 1, Phase: decision.Gone}}, false)
+	f.UpdateNodes(now, []decision.Node{{Index: 1, Cell: 1, Phase: decision.Gone}}, false)
 	if f.ForgetNode(now+skipFor, 1) {
 		t.Fatal("a node with a play was forgotten")
 	}
-	f.Ended(now, h, 0, decision.Served, true, decision.Untold)
+	f.AttemptEnded(now, h, 0, decision.Served, true, decision.UnknownLoad)
 	if f.ForgetNode(now+skipFor-1, 1) || f.ForgetNode(now+skipFor, 0) || !f.ForgetNode(now+skipFor, 1) {
 		t.Fatal("only a node gone for skipFor without plays is to be forgotten")
 	}
@@ -726,7 +726,7 @@
 
 func TestNoProbesWhereLoadComesWithAnswers(t *testing.T) {
 	f := fleet(2, probing, func(s map[string][]float64) { s["reports.answers"] = []float64{1} })
-	if _, r := f.Take(now, want(0)); len(r.Probes) != 0 || sole(t, r).Do != decision.Place {
+	if _, r := f.AddPlay(now, want(0)); len(r.Probes) != 0 || sole(t, r).Action != decision.Place {
 		t.Fatalf("got %+v", r)
 	}
 }
@@ -734,7 +734,7 @@
 // telling lets fronts message each other; node i has key i+10, so that front (i+10)%2 of two keeps it.
 func telling(set map[string][]float64) { set["peers"] = []float64{1} }
 
-func keyed(f *Front) *Front {
+func keyed(f *Policy) *Policy {
 	for i := range f.nodes {
 		f.nodes[i].key = uint32(i + 10)
 		f.keys[uint32(i+10)] = i
@@ -750,11 +750,11 @@
 
 func TestAsksKeepersBeforeASetUpAndGoesByTheirWord(t *testing.T) {
 	f := keyed(fleet(4, telling))
-	h, r := f.Take(now, want(0))
-	if len(r.Orders) != 0 || len(r.Probes) != 0 || len(r.Tells) == 0 {
+	h, r := f.AddPlay(now, want(0))
+	if len(r.Orders) != 0 || len(r.Probes) != 0 || len(r.Messages) == 0 {
 		t.Fatalf("want questions before an order, got %+v", r)
 	}
-	for _, m := range r.Tells {
+	for _, m := range r.Messages {
 		if m.To != 1 || m.Bytes[0] != asksFor || m.Bytes[4]%2 != 1 {
 			t.Fatalf("asked %d: %v", m.To, m.Bytes)
 		}
@@ -764,7 +764,7 @@
 		if at == 1 {
 			asked = 13
 		}
-		f.Heard(now+10*ms, 1, says(figures, uint32(at+10), asked, 0, untold))
+		f.MessageReceived(now+10*ms, 1, says(figures, uint32(at+10), asked, 0, untold))
 	}
 	if p := f.plays.Get(h); p.stage != settingUp || p.node != 1 {
 		t.Fatalf("stage %d, node %d", p.stage, p.node)
@@ -773,9 +773,9 @@
 
 func TestLostAnswersLeaveThePlayPlaced(t *testing.T) {
 	f := keyed(fleet(2, telling))
-	h, r := f.Take(now, want(0))
-	if r.Wake > now+lookFor {
-		t.Fatalf("asks to be woken %d after", r.Wake-now)
+	h, r := f.AddPlay(now, want(0))
+	if r.WakeAt > now+lookFor {
+		t.Fatalf("asks to be woken %d after", r.WakeAt-now)
 	}
 	f.Wake(now + lookFor)
 	if p := f.plays.Get(h); p.stage != settingUp {
@@ -783,7 +783,7 @@
 	}
 	f = keyed(fleet(2, telling))
 	f.heardAt = now - heardFor
-	if _, r = f.Take(now, want(0)); count(r, decision.Place) != 1 {
+	if _, r = f.AddPlay(now, want(0)); count(r, decision.Place) != 1 {
 		t.Fatal("waits for answers though no message came for long")
 	}
 }
@@ -791,22 +791,22 @@
 func TestMessagesSayNothingOfUnlistedNodesNorOlderThings(t *testing.T) {
 	f := keyed(fleet(2, telling))
 	f.nodes[0].link = account{now - 2*sec, 0.5, 0}
-	f.Heard(now, 1, says(figures, 10, 64, 30, untold)) // 3 s old, ours is younger
+	f.MessageReceived(now, 1, says(figures, 10, 64, 30, untold)) // 3 s old, ours is younger
 	if f.nodes[0].link.asked != 0.5 {
 		t.Fatal("an older figure took the place of a younger one")
 	}
-	f.Heard(now, 1, says(figures, 10, 64, 10, untold))
+	f.MessageReceived(now, 1, says(figures, 10, 64, 10, untold))
 	if n := f.nodes[0]; n.link.asked != 1 || n.link.at != now-sec {
 		t.Fatalf("got %+v", n.link)
 	}
-	if r := f.Heard(now, 1, []byte{asksFor, 0, 0, 0, 99}); len(r.Tells) != 0 {
+	if r := f.MessageReceived(now, 1, []byte{asksFor, 0, 0, 0, 99}); len(r.Messages) != 0 {
 		t.Fatal("answered for a node that is not on the list")
 	}
-	if r := f.Heard(now, 2, []byte{asksFor, 0, 0, 0, 10}); len(r.Tells) != 0 {
+	if r := f.MessageReceived(now, 2, []byte{asksFor, 0, 0, 0, 10}); len(r.Messages) != 0 {
 		t.Fatal("answered a front that there is not")
 	}
-	f.Nodes(now, []decision.Node{{Index: 0, Phase: decision.Gone, Weight: 1, Key: 10}}, false)
-	if r := f.Heard(now, 1, []byte{asksFor, 0, 0, 0, 10}); len(r.Tells) != 0 {
+	f.UpdateNodes(now, []decision.Node{{Index: 0, Phase: decision.Gone, Weight: 1, Key: 10}}, false)
+	if r := f.MessageReceived(now, 1, []byte{asksFor, 0, 0, 0, 10}); len(r.Messages) != 0 {
 		t.Fatal("answered for a node that is gone")
 	}
 }
@@ -816,9 +816,9 @@
 	f.Add(1, says(leave, 11, 70, 3, 90))
 	f.Fuzz(func(t *testing.T, from int, b []byte) {
 		g := keyed(fleet(3, telling))
-		h, _ := g.Take(now, want(0))
+		h, _ := g.AddPlay(now, want(0))
 		for i := range int64(3) {
-			if r := g.Heard(now+i*ms, from, b); len(r.Orders) > 1 {
+			if r := g.MessageReceived(now+i*ms, from, b); len(r.Orders) > 1 {
 				t.Fatalf("%v ordered %+v", b, r.Orders)
 			}
 		}
@@ -838,7 +838,7 @@
 	f.nodes[0].started, f.nodes[0].slot = now, -1
 	over, given, most := int64(f.val("fall.over")), []int64{}, 0
 	for at := int64(now); at < now+12*sec; at += 100 { // all fronts ask all the time
-		if r := f.Heard(at, 1+int(at/100)%299, []byte{asksFor, 0, 0, 0, 10}); r.Tells[0].Bytes[0] == leave {
+		if r := f.MessageReceived(at, 1+int(at/100)%299, []byte{asksFor, 0, 0, 0, 10}); r.Messages[0].Bytes[0] == leave {
 			given = append(given, at)
 		}
 		given = since(given, at-over)
@@ -850,7 +850,7 @@
 	}
 	g := keyed(fleet(1, telling))
 	g.nodes[0].started, g.nodes[0].slot, g.born = now-6*sec, -1, now
-	if r := g.Heard(now+over, 1, []byte{asksFor, 0, 0, 0, 10}); r.Tells[0].Bytes[0] == leave {
+	if r := g.MessageReceived(now+over, 1, []byte{asksFor, 0, 0, 0, 10}); r.Messages[0].Bytes[0] == leave {
 		t.Fatal("a keeper just started gave leave")
 	}
 }
@@ -864,15 +864,15 @@
 	}
 	g := keyed(fleet(2, telling))
 	g.nodes[0].started, g.nodes[0].probedAt = now-5*sec, now
-	if g.Heard(now+10*ms, 1, says(leave, 10, 0, 0, untold)); g.nodes[0].leave != 0 {
+	if g.MessageReceived(now+10*ms, 1, says(leave, 10, 0, 0, untold)); g.nodes[0].leave != 0 {
 		t.Fatal("took leave from a front that does not keep the node")
 	}
-	f.Heard(now+10*ms, 1, says(leave, 11, 0, 0, untold))
+	f.MessageReceived(now+10*ms, 1, says(leave, 11, 0, 0, untold))
 	if !f.pace(now+lookFor-1, 1) || f.pace(now+lookFor, 1) {
 		t.Fatal("a leave holds for lookFor since it was asked for")
 	}
 	f.nodes[0].phase = decision.Draining
-	if _, r := f.Take(now+20*ms, want(0)); count(r, decision.Place) != 1 {
+	if _, r := f.AddPlay(now+20*ms, want(0)); count(r, decision.Place) != 1 {
 		t.Fatalf("got %+v", r.Orders)
 	}
 	if f.pace(now+30*ms, 1) {
@@ -887,7 +887,7 @@
 		t.Fatal("lifted over the mean of own plays alone")
 	}
 	for range int(trustOf) {
-		f.Heard(now, 1, says(figures, 10, 0, 0, byte((1.5+levelBase)*levelUnit)))
+		f.MessageReceived(now, 1, says(figures, 10, 0, 0, byte((1.5+levelBase)*levelUnit)))
 	}
 	f.Wake(now)
 	if math.Abs(f.level-1.5) > 1e-9 || math.Abs(f.lift(dear)-f.lift(plain)-1) > 1e-9 {
@@ -913,8 +913,8 @@
 			f.rnd.Float()
 		}
 		w := want(0)
-		w.Copies, w.Key = 200, 77
-		h, _ := f.Take(now, w)
+		w.CellCount, w.Key = 200, 77
+		h, _ := f.AddPlay(now, w)
 		p := f.plays.Get(h)
 		// 100 viewers that add 120 each on links of 1000: gathered at half a link, 24 of 200 nodes.
 		if !p.joins || p.rung != 2 || f.rate(p, 2) > 200 {
@@ -927,8 +927,8 @@
 	}
 	f := keyed(fleet(200, live))
 	w := want(1) // of a product that is not live
-	w.Copies, w.Key = 200, 77
-	h, _ := f.Take(now, w)
+	w.CellCount, w.Key = 200, 77
+	h, _ := f.AddPlay(now, w)
 	if p := f.plays.Get(h); p.joins || f.rate(p, 2) != 400 {
 		t.Fatal("gathered a play that is not live")
 	}
@@ -961,13 +961,13 @@
 func TestAdoptedViewersOfALiveTitleJoin(t *testing.T) {
 	f := keyed(fleet(10, live))
 	w := want(0)
-	w.Copies, w.Key = 200, 77
-	h, _ := f.Adopt(now, w, 3) // 100 viewers on ten nodes
-	f.Told(now, h, 2)
+	w.CellCount, w.Key = 200, 77
+	h, _ := f.AdoptPlay(now, w, 3) // 100 viewers on ten nodes
+	f.RungReported(now, h, 2)
 	if p := f.plays.Get(h); !p.joins || math.Abs(f.nodes[3].own-148) > 1e-6 { // 400 x (0.3 + 0.7 / 10)
 		t.Fatalf("joins %v, the node counts as asked %v", p.joins, f.nodes[3].own)
 	}
-	f.Ended(now, h, 0, decision.Served, true, decision.Untold)
+	f.AttemptEnded(now, h, 0, decision.Served, true, decision.UnknownLoad)
 	if math.Abs(f.nodes[3].own) > 1e-6 {
 		t.Fatalf("%v is left at its node", f.nodes[3].own)
 	}
@@ -1006,9 +1006,9 @@
 			playingAt(f, 1, 0, 1, now-sec)
 		}
 		w := want(0)
-		w.Copies = 1
-		h, r := f.Take(now, w)
-		f.Ended(now, h, sole(t, r).Try, decision.Errored, false, decision.Untold)
+		w.CellCount = 1
+		h, r := f.AddPlay(now, w)
+		f.AttemptEnded(now, h, sole(t, r).Attempt, decision.Errored, false, decision.UnknownLoad)
 		if skipped := f.nodes[0].skipUntil > now; skipped != elsewhere {
 			t.Errorf("title plays elsewhere %v: node skipped %v", elsewhere, skipped)
 		}
@@ -1017,19 +1017,19 @@
 
 func TestASkippedNodeThatSpeaksIsTriedBeforeAPlayIsDeclined(t *testing.T) {
 	for _, c := range []struct {
-		how   decision.Ending
+		how   decision.Outcome
 		spoke bool
-		want  decision.Do
-	}{{decision.Lost, true, decision.Place}, {decision.Lost, false, decision.Decline}, {decision.TurnedAway, true, decision.Decline}} {
+		want  decision.Action
+	}{{decision.ConnectionLost, true, decision.Place}, {decision.ConnectionLost, false, decision.Decline}, {decision.Rejected, true, decision.Decline}} {
 		f := fleet(1)
-		f.judge(now, 0, decision.Lost)
+		f.judge(now, 0, decision.ConnectionLost)
 		f.judge(now, 0, c.how)
 		if c.spoke {
 			f.report(now+sec, 0, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, 0, 0)
 		}
-		_, r := f.Take(now+2*sec, want(0))
-		if o := sole(t, r); o.Do != c.want {
-			t.Errorf("%+v: got %v", c, o.Do)
+		_, r := f.AddPlay(now+2*sec, want(0))
+		if o := sole(t, r); o.Action != c.want {
+			t.Errorf("%+v: got %v", c, o.Action)
 		}
 	}
 }
--- a/placement/state.go
+++ b/placement/state.go
@@ -6,8 +6,8 @@
 	"gullrail/internal/slab"
 )
 
-// Front is what one front end knows. Settings stay as they were given.
-type Front struct {
+// Policy is what one front end knows. Settings stay as they were given.
+type Policy struct {
 	set     map[string][]float64
 	rnd     pcg.Source
 	nodes   []node
@@ -128,7 +128,7 @@
 
 // ply is a play in hand.
 type ply struct {
-	want    decision.Want
+	want    decision.Request
 	stage   stage
 	node    int
 	rung    int
--- a/session/core.go
+++ b/session/core.go
@@ -148,7 +148,7 @@
 	mayHave bool // an allocation that ended may have run
 	left    bool // nobody waits for its answer any more
 	adopted bool
-	early   *decision.Ending // its end, where that was told before its start
+	early   *decision.Outcome // its end, where that was told before its start
 }
 
 // follow lets another hear of the play, in place of who did.
@@ -214,7 +214,7 @@
 type Core struct {
 	name     string
 	epoch    int64
-	mod      decision.Chooser
+	mod      decision.Policy
 	out      Carrier
 	watch    *liveness.Watch
 	fleet    *membership.Fleet
@@ -247,7 +247,7 @@
 
 // NewCore makes a core for a front's life. Epoch tells its lives apart and only grows; seed draws
 // the pauses between dials. Products may be nil: all then count as paid.
-func NewCore(now int64, name string, epoch int64, mod decision.Chooser, out Carrier, products Products, seed uint64) *Core {
+func NewCore(now int64, name string, epoch int64, mod decision.Policy, out Carrier, products Products, seed uint64) *Core {
 	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: liveness.New(now, seed), fleet: membership.New(), wakeAt: now,
 		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: intern.New(), viewers: intern.New(),
 		nodeAt: map[string]int{}, ended: map[string]finished{}}
@@ -405,8 +405,8 @@
 		viewer: c.viewers.Hold(a.Viewer)}
 	c.plays[p.id], c.asking[key] = p, p
 	c.counts.Taken++
-	h, res := c.mod.Take(now, decision.Want{Product: a.Product, Title: p.title, Viewer: p.viewer, Limit: a.Limit,
-		Length: a.Length, Home: a.Home, Copies: a.Copies, Top: a.Top, Key: decision.Key(a.Title), Moved: isMoved, Again: a.Back != nil})
+	h, res := c.mod.AddPlay(now, decision.Request{Product: a.Product, Title: p.title, Viewer: p.viewer, Deadline: a.Limit,
+		Length: a.Length, FirstCell: a.Home, CellCount: a.Copies, MaxRung: a.Top, Key: decision.Key(a.Title), Moved: isMoved, Retry: a.Back != nil})
 	c.enter(p, h)
 	c.carry(now, res)
 }
@@ -453,7 +453,7 @@
 		return
 	}
 	p.left = true
-	res := c.mod.Left(now, p.h)
+	res := c.mod.ViewerLeft(now, p.h)
 	if p.stage == waiting {
 		c.finish(now, p, playlog.Served)
 	}
@@ -467,16 +467,16 @@
 		return
 	}
 	if p.stage == playing {
-		c.endAt(now, p, "viewer left", decision.CalledOff, playlog.Served)
+		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
 	c.leave(now, p)
 }
 
 // endAt ends a playing play at its node and for the module.
-func (c *Core) endAt(now int64, p *play, why string, how decision.Ending, as playlog.How) {
+func (c *Core) endAt(now int64, p *play, why string, how decision.Outcome, as playlog.How) {
 	c.out.End(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, why)
-	res := c.mod.Ended(now, p.h, p.number(), how, true, decision.Untold)
+	res := c.mod.AttemptEnded(now, p.h, p.number(), how, true, decision.UnknownLoad)
 	c.finish(now, p, as)
 	c.carry(now, res)
 }
@@ -491,7 +491,7 @@
 // nodeGaveUp takes a viewer's word that the node does not deliver.
 func (c *Core) nodeGaveUp(now int64, p *play) {
 	c.counts.Lost++
-	c.endAt(now, p, "viewer says it broke", decision.Lost, playlog.Broken)
+	c.endAt(now, p, "viewer says it broke", decision.ConnectionLost, playlog.Broken)
 }
 
 // Started says that a node set an allocation up, in which life of its process, with which mark of
@@ -505,22 +505,22 @@
 	p.stage, p.life, p.mark = playing, life, mark
 	c.free(p)
 	if p.left { // the module still counts a set-up: its end is called off
-		c.endAt(now, p, "viewer left", decision.CalledOff, playlog.Served)
+		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
-	c.carry(now, c.mod.Started(now, p.h, r.Try))
+	c.carry(now, c.mod.AttemptStarted(now, p.h, r.Try))
 	if c.plays[p.id] == nil {
 		return
 	}
-	if load != decision.Untold {
-		c.carry(now, c.mod.Asked(now, p.h, load))
+	if load != decision.UnknownLoad {
+		c.carry(now, c.mod.LoadReported(now, p.h, load))
 	}
 	if rung != p.rung { // an order to change it overtook the set-up
 		p.seq++
 		c.out.SetRung(r, c.nodes[p.node].address, p.rung, p.seq)
 	}
 	if !p.ask.Reply.Give(c.answer(p, "")) { // withdrawn in the same moment: nobody will watch it
-		c.endAt(now, p, "viewer left", decision.CalledOff, playlog.Served)
+		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
 	c.counts.Plays++
@@ -542,7 +542,7 @@
 }
 
 // SetUpEnded says how a set-up ended that did not start.
-func (c *Core) SetUpEnded(now int64, r Ref, how decision.Ending, load decision.Load) {
+func (c *Core) SetUpEnded(now int64, r Ref, how decision.Outcome, load decision.Load) {
 	p := c.at(r, settingUp)
 	if p == nil {
 		return
@@ -550,7 +550,7 @@
 	p.stage = waiting
 	p.mayHave = p.mayHave || how.MayHaveRun()
 	c.nodes[p.node].plays--
-	res := c.mod.Ended(now, p.h, r.Try, how, p.left, load)
+	res := c.mod.AttemptEnded(now, p.h, r.Try, how, p.left, load)
 	if p.left {
 		c.finish(now, p, playlog.Served)
 	}
@@ -558,7 +558,7 @@
 }
 
 // PlayEnded says that a node ended a play: Served when its time was over or its viewer stopped.
-func (c *Core) PlayEnded(now int64, r Ref, how decision.Ending) {
+func (c *Core) PlayEnded(now int64, r Ref, how decision.Outcome) {
 	if p := c.at(r, settingUp); p != nil { // the stream overtook the answer to the set-up
 		p.early = &how
 		return
@@ -569,7 +569,7 @@
 			as = playlog.Broken
 			c.counts.Lost++
 		}
-		res := c.mod.Ended(now, p.h, p.number(), how, true, decision.Untold)
+		res := c.mod.AttemptEnded(now, p.h, p.number(), how, true, decision.UnknownLoad)
 		c.finish(now, p, as)
 		c.carry(now, res)
 	}
@@ -578,22 +578,22 @@
 // Share brings the share of its rate that a play is delivered.
 func (c *Core) Share(now int64, r Ref, share float64) {
 	if p := c.at(r, playing); p != nil {
-		c.carry(now, c.mod.Delivered(now, p.h, share))
+		c.carry(now, c.mod.DeliveryReported(now, p.h, share))
 	}
 }
 
 // Load brings a note of what is asked of the link or uplink of a play's node.
 func (c *Core) Load(now int64, r Ref, load decision.Load) {
 	if p := c.at(r, playing); p != nil {
-		c.carry(now, c.mod.Asked(now, p.h, load))
+		c.carry(now, c.mod.LoadReported(now, p.h, load))
 	}
 }
 
 // Probed brings the end of a probe.
-func (c *Core) Probed(now int64, at int, how decision.Ending, load decision.Load) {
+func (c *Core) Probed(now int64, at int, how decision.Outcome, load decision.Load) {
 	if at < len(c.nodes) && c.nodes[at].probing {
 		c.nodes[at].probing = false
-		c.carry(now, c.mod.Probed(now, at, how, load))
+		c.carry(now, c.mod.ProbeEnded(now, at, how, load))
 	}
 }
 
@@ -618,7 +618,7 @@
 		case recovery.Confirm:
 			p := c.plays[r.Play]
 			p.life, p.mark, p.seq, p.rung = life, mark, r.Seq, r.Rung
-			c.carry(now, c.mod.Told(now, p.h, r.Rung))
+			c.carry(now, c.mod.RungReported(now, p.h, r.Rung))
 		case recovery.Adopt:
 			c.adopt(now, at, life, mark, r)
 		case recovery.End:
@@ -627,7 +627,7 @@
 	}
 	for _, p := range c.runningAt(at) {
 		if !still[p.id] && recovery.Missing(p.life == life, p.mark <= mark) {
-			c.PlayEnded(now, Ref{p.id, p.try, at}, decision.Lost)
+			c.PlayEnded(now, Ref{p.id, p.try, at}, decision.ConnectionLost)
 		}
 	}
 }
@@ -640,11 +640,11 @@
 			Length: r.Left}}
 	c.plays[p.id] = p
 	c.nodes[at].plays++
-	h, res := c.mod.Adopt(now, decision.Want{Product: r.Product, Title: p.title, Viewer: p.viewer, Limit: now,
-		Length: r.Left, Home: r.Home, Copies: r.Copies, Top: r.Top, Key: decision.Key(r.Title)}, at)
+	h, res := c.mod.AdoptPlay(now, decision.Request{Product: r.Product, Title: p.title, Viewer: p.viewer, Deadline: now,
+		Length: r.Left, FirstCell: r.Home, CellCount: r.Copies, MaxRung: r.Top, Key: decision.Key(r.Title)}, at)
 	c.enter(p, h)
 	c.carry(now, res)
-	c.carry(now, c.mod.Told(now, p.h, r.Rung))
+	c.carry(now, c.mod.RungReported(now, p.h, r.Rung))
 	return p
 }
 
@@ -653,7 +653,7 @@
 
 // Message brings a message of another front.
 func (c *Core) Message(now int64, from int, bytes []byte) {
-	c.carry(now, c.mod.Heard(now, from, bytes))
+	c.carry(now, c.mod.MessageReceived(now, from, bytes))
 }
 
 // Heard says that something came on a node's stream.
@@ -677,7 +677,7 @@
 // loseAll ends the plays of a node that can't run them any more.
 func (c *Core) loseAll(now int64, at int) {
 	for _, p := range c.runningAt(at) {
-		c.PlayEnded(now, Ref{p.id, p.try, at}, decision.Lost)
+		c.PlayEnded(now, Ref{p.id, p.try, at}, decision.ConnectionLost)
 	}
 }
 
@@ -765,7 +765,7 @@
 			c.listed = append(c.listed, i)
 		}
 	}
-	c.carry(now, c.mod.Nodes(now, c.list, false))
+	c.carry(now, c.mod.UpdateNodes(now, c.list, false))
 	if len(c.expected) > 0 && len(c.listed) > 0 {
 		c.takeOver(now)
 	} else if len(c.listed) > 0 {
@@ -861,7 +861,7 @@
 func (c *Core) letGo(now int64) {
 	for len(c.releases) > 0 && c.releases[0].at <= now {
 		if p := c.plays[c.releases[0].id]; p != nil && p.stage == playing {
-			c.endAt(now, p, "the front retires", decision.CalledOff, playlog.Broken)
+			c.endAt(now, p, "the front retires", decision.Canceled, playlog.Broken)
 		}
 		c.releases = c.releases[1:]
 	}
@@ -898,14 +898,14 @@
 
 // carry hands on what a call decided, and then does what follows from it.
 func (c *Core) carry(now int64, res *decision.Result) {
-	if res.Wake > 0 && (c.wakeAt == 0 || res.Wake < c.wakeAt) { // a later call must not put off what an earlier one needs
-		c.wakeAt = res.Wake
+	if res.WakeAt > 0 && (c.wakeAt == 0 || res.WakeAt < c.wakeAt) { // a later call must not put off what an earlier one needs
+		c.wakeAt = res.WakeAt
 	}
 	var moves []*play
 	for i := range res.Orders {
 		o := &res.Orders[i]
-		p := c.places[o.Play.Place]
-		switch o.Do {
+		p := c.places[o.Play.Index]
+		switch o.Action {
 		case decision.Place:
 			p.stage, p.node, p.rung, p.early = settingUp, o.Node, o.Rung, nil
 			p.try++
@@ -916,7 +916,7 @@
 				Length: p.ask.Length})
 		case decision.Decline:
 			c.counts.Declined++
-			p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, ComeBack: o.ComeBack, Why: "no node can take it"})
+			p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, ComeBack: o.RetryAfter, Why: "no node can take it"})
 			c.finish(now, p, playlog.Served)
 		case decision.Fail:
 			c.counts.Failed++
@@ -931,8 +931,8 @@
 			c.out.SetRung(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, o.Rung, p.seq)
 		case decision.Move:
 			moves = append(moves, p)
-		case decision.Recall:
-			c.out.Recall(Ref{p.id, o.Try, p.node})
+		case decision.Cancel:
+			c.out.Recall(Ref{p.id, o.Attempt, p.node})
 		}
 	}
 	for _, at := range res.Probes {
@@ -940,13 +940,13 @@
 		c.out.Probe(at, c.nodes[at].address)
 	}
 	if c.tell != nil {
-		for _, t := range res.Tells {
+		for _, t := range res.Messages {
 			c.tell(t.To, t.Bytes)
 		}
 	}
 	for _, p := range moves { // the result is not read any more: the module may be called again
 		c.counts.Moved++
-		c.endAt(now, p, "moved", decision.CalledOff, playlog.Moved)
+		c.endAt(now, p, "moved", decision.Canceled, playlog.Moved)
 	}
 }
 
@@ -957,10 +957,10 @@
 		p.try = -1
 	}
 	p.h = h
-	for int(h.Place) >= len(c.places) {
+	for int(h.Index) >= len(c.places) {
 		c.places = append(c.places, nil)
 	}
-	c.places[h.Place] = p
+	c.places[h.Index] = p
 }
 
 // at is the play of an allocation if that is its last and it is in this stage.
@@ -997,7 +997,7 @@
 		delete(c.unheard, k)
 	}
 	delete(c.plays, p.id)
-	c.places[p.h.Place] = nil
+	c.places[p.h.Index] = nil
 	c.titles.Release(p.title)
 	c.viewers.Release(p.viewer)
 	if p.stage == playing { // nobody holds a token of another
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -108,7 +108,7 @@
 	t.Helper()
 	c.Ask(ready, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, int64(len(out.setUps)), s.Rung, decision.Untold)
+	c.Started(ready, s.Ref, 7, int64(len(out.setUps)), s.Rung, decision.UnknownLoad)
 	x := got(t, a)
 	if x.Verdict != Plays {
 		t.Fatalf("got %+v", x)
@@ -122,11 +122,11 @@
 	c.Ask(ready, a)
 	silent(t, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold)
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.UnknownLoad)
 	if x := got(t, a); x.Verdict != Plays || x.Node != fmt.Sprint("n", s.Node) {
 		t.Fatalf("got %+v", x)
 	}
-	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold) // stale: what runs under no play is ended
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.UnknownLoad) // stale: what runs under no play is ended
 	if len(out.ends) != 1 || c.Counts().Orphans != 1 {
 		t.Fatalf("ends %v", out.ends)
 	}
@@ -140,7 +140,7 @@
 	if !a.Reply.Withdraw() {
 		t.Fatal("the first to use a reply has it")
 	}
-	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold) // comes second: nobody will watch it
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.UnknownLoad) // comes second: nobody will watch it
 	if len(out.ends) != 1 || c.Counts().InHand != 0 {
 		t.Fatalf("ends %v, in hand %d", out.ends, c.Counts().InHand)
 	}
@@ -158,12 +158,12 @@
 }
 
 func TestPaidPlayThatMayHaveRunIsNeverSentAgain(t *testing.T) {
-	for how, again := range map[decision.Ending]bool{decision.TurnedAway: true, decision.NoConnect: true, decision.NotSent: true,
-		decision.Errored: false, decision.Lost: false, decision.NoAnswer: false} {
+	for how, again := range map[decision.Outcome]bool{decision.Rejected: true, decision.NoConnect: true, decision.NotSent: true,
+		decision.Errored: false, decision.ConnectionLost: false, decision.NoAnswer: false} {
 		c, out := core(3)
 		a := want(1, "v")
 		c.Ask(ready, a)
-		c.SetUpEnded(ready, out.last(t).Ref, how, decision.Untold)
+		c.SetUpEnded(ready, out.last(t).Ref, how, decision.UnknownLoad)
 		if again != (len(out.setUps) == 2) {
 			t.Fatalf("ending %d: %d set-ups", how, len(out.setUps))
 		}
@@ -188,7 +188,7 @@
 	if got(t, x).Verdict != Declined {
 		t.Fatal("a third play got one of two seats")
 	}
-	c.SetUpEnded(ready, out.setUps[0].Ref, decision.CalledOff, decision.Untold)
+	c.SetUpEnded(ready, out.setUps[0].Ref, decision.Canceled, decision.UnknownLoad)
 	y := want(1, "y")
 	c.Ask(ready, y)
 	silent(t, y)
@@ -225,7 +225,7 @@
 		t.Fatal("the node does not deliver: ended there, set up anew")
 	}
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.Untold)
+	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.UnknownLoad)
 	y := got(t, a)
 	a = back(false, x.Play)
 	c.Ask(ready, a)
@@ -251,7 +251,7 @@
 func TestDeclinedViewerMayTryAgainWithItsToken(t *testing.T) {
 	c, out := core(2)
 	x := plays(t, c, out, want(0, "v"))
-	c.PlayEnded(ready, Ref{x.Play, 0, out.last(t).Node}, decision.Lost)
+	c.PlayEnded(ready, Ref{x.Play, 0, out.last(t).Node}, decision.ConnectionLost)
 	for range 2 {
 		a := want(0, "v")
 		a.Copies = 0 // nobody holds it: declined
@@ -269,7 +269,7 @@
 	c.Ask(ready, a)
 	s := out.last(t)
 	c.PlayEnded(ready, s.Ref, decision.Served)
-	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.Untold)
+	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.UnknownLoad)
 	if got(t, a).Verdict != Plays || c.Counts().InHand != 0 {
 		t.Fatal("the play is answered and over")
 	}
@@ -280,7 +280,7 @@
 	a := want(0, "v")
 	c.Ask(ready, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 1, s.Rung+1, decision.Untold)
+	c.Started(ready, s.Ref, 7, 1, s.Rung+1, decision.UnknownLoad)
 	if len(out.rungs) != 1 || out.rungs[0] != s.Rung {
 		t.Fatalf("rungs told %v", out.rungs)
 	}
@@ -377,7 +377,7 @@
 		if len(out.setUps) > 0 {
 			s := out.setUps[0]
 			out.setUps = out.setUps[:0]
-			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.Untold)
+			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.UnknownLoad)
 			c.PlayEnded(now+10, s.Ref, decision.Served)
 		}
 		if now >= c.WakeAt() {
@@ -432,7 +432,7 @@
 	if got(t, paid).Verdict != Failed || got(t, safe).Verdict != Declined || len(out.recall) != 2 {
 		t.Fatalf("at the end: recalled %v", out.recall)
 	}
-	c.Started(ready+2*decision.Second, out.setUps[1].Ref, 7, 9, 1, decision.Untold) // and then it starts after all
+	c.Started(ready+2*decision.Second, out.setUps[1].Ref, 7, 9, 1, decision.UnknownLoad) // and then it starts after all
 	if len(out.ends) != 1 {
 		t.Fatalf("it is ended at its node: %v", out.ends)
 	}
@@ -445,7 +445,7 @@
 func TestTokenOfAMovedPlayBringsItsViewerBackOnce(t *testing.T) {
 	c, out := core(2)
 	x := plays(t, c, out, want(0, "v"))
-	c.carry(ready, &decision.Result{Orders: []decision.Order{{Play: c.plays[x.Play].h, Do: decision.Move}}})
+	c.carry(ready, &decision.Result{Orders: []decision.Order{{Play: c.plays[x.Play].h, Action: decision.Move}}})
 	if len(out.ends) != 1 || c.Counts().InHand != 0 {
 		t.Fatalf("a move ends it at its node: %v", out.ends)
 	}
@@ -457,7 +457,7 @@
 	a := back()
 	c.Ask(ready, a)
 	s := out.last(t)
-	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.Untold)
+	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.UnknownLoad)
 	if y := got(t, a); y.Verdict != Plays || y.Play == x.Play {
 		t.Fatalf("placed anew: %+v", y)
 	}
--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -26,7 +26,7 @@
 		a := Ask{Title: "clip", Copies: 4, Viewer: names[i%len(names)], Limit: now + 4*decision.Second, Top: 2, Reply: NewReply()}
 		c.Ask(now, a)
 		for _, s := range out.setUps {
-			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.Untold)
+			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.UnknownLoad)
 			c.PlayEnded(now+10, s.Ref, decision.Served)
 		}
 		out.setUps, out.ends, out.rungs, out.recall, out.hung = out.setUps[:0], out.ends[:0], out.rungs[:0], out.recall[:0], out.hung[:0]
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	atOnce   = 200 * decision.Ms // with less time than this to the end nothing is waited for
-	lastWord = 100 * decision.Ms // kept before the end, for answers to reach their clients
-	pace     = 50 * decision.Ms  // between two plays let go: twenty a second come back to the other fronts
+	atOnce   = 200 * decision.Millisecond // with less time than this to the end nothing is waited for
+	lastWord = 100 * decision.Millisecond // kept before the end, for answers to reach their clients
+	pace     = 50 * decision.Millisecond  // between two plays let go: twenty a second come back to the other fronts
 )
 
 // Verdict is what becomes of a request that is not yet answered.
--- a/testbed/baseline.go
+++ b/testbed/baseline.go
@@ -5,15 +5,15 @@
 	"gullrail/internal/pcg"
 )
 
-// Baseline is a chooser to compare the project's module with, by its name: random takes a random holder at
+// Baseline is a policy to compare the project's module with, by its name: random takes a random holder at
 // the lowest rung, least the holder whose link was told to be asked least, at the highest rung that fits by
 // that word. Both keep seats, floors, drains and the paid rule, so that service can be compared; neither
 // changes a rung in play, moves a play, paces cold nodes or learns. Nil is the project's own.
-func Baseline(name string) func(terms map[string][]float64, seed uint64) decision.Chooser {
+func Baseline(name string) func(terms map[string][]float64, seed uint64) decision.Policy {
 	if name != "random" && name != "least" {
 		return nil
 	}
-	return func(terms map[string][]float64, seed uint64) decision.Chooser {
+	return func(terms map[string][]float64, seed uint64) decision.Policy {
 		return &baseline{terms: terms, least: name == "least", rnd: pcg.New(seed)}
 	}
 }
@@ -37,7 +37,7 @@
 }
 
 type basePlay struct {
-	want      decision.Want
+	want      decision.Request
 	gen       uint32
 	live      bool
 	out       bool
@@ -56,8 +56,8 @@
 }
 
 func (b *baseline) get(h decision.Handle) *basePlay {
-	if int(h.Place) < len(b.plays) && b.plays[h.Place].live && b.plays[h.Place].gen == h.Gen {
-		return &b.plays[h.Place]
+	if int(h.Index) < len(b.plays) && b.plays[h.Index].live && b.plays[h.Index].gen == h.Generation {
+		return &b.plays[h.Index]
 	}
 	return nil
 }
@@ -65,11 +65,11 @@
 func (b *baseline) begin() { b.res.Orders, b.res.Probes = b.res.Orders[:0], b.res.Probes[:0] }
 
 func (b *baseline) end(now int64) *decision.Result {
-	b.res.Wake = now + decision.Second
+	b.res.WakeAt = now + decision.Second
 	return &b.res
 }
 
-func (b *baseline) Nodes(now int64, list []decision.Node, whole bool) *decision.Result {
+func (b *baseline) UpdateNodes(now int64, list []decision.Node, whole bool) *decision.Result {
 	b.begin()
 	for i := range b.nodes {
 		b.nodes[i].listed = b.nodes[i].listed && !whole
@@ -83,7 +83,7 @@
 	return b.end(now)
 }
 
-func (b *baseline) add(w decision.Want) (decision.Handle, *basePlay) {
+func (b *baseline) add(w decision.Request) (decision.Handle, *basePlay) {
 	at := -1
 	for i := range b.plays {
 		if !b.plays[i].live {
@@ -97,10 +97,10 @@
 	}
 	p := &b.plays[at]
 	*p = basePlay{want: w, gen: p.gen + 1, live: true, try: -1, tried: p.tried[:0]}
-	return decision.Handle{Place: int32(at), Gen: p.gen}, p
+	return decision.Handle{Index: int32(at), Generation: p.gen}, p
 }
 
-func (b *baseline) Take(now int64, w decision.Want) (decision.Handle, *decision.Result) {
+func (b *baseline) AddPlay(now int64, w decision.Request) (decision.Handle, *decision.Result) {
 	b.begin()
 	h, p := b.add(w)
 	b.taken = append(b.taken, now)
@@ -116,12 +116,12 @@
 	if b.seats == nil {
 		b.seats = map[[2]int]int{}
 	}
-	if p.try+1 < int(b.of("tries", 0)) && now < p.want.Limit && !(paid && p.mayHave) &&
+	if p.try+1 < int(b.of("tries", 0)) && now < p.want.Deadline && !(paid && p.mayHave) &&
 		(seats == 0 || float64(b.seats[seat]) < seats) && (p.try < 0 || b.budget(now)) {
 		cells := int(b.of("cells", 0))
 		for i := range b.nodes {
 			n := &b.nodes[i]
-			if !n.listed || n.Phase != decision.Ready || ((n.Cell-p.want.Home)%cells+cells)%cells >= p.want.Copies || p.has(i) {
+			if !n.listed || n.Phase != decision.Ready || ((n.Cell-p.want.FirstCell)%cells+cells)%cells >= p.want.CellCount || p.has(i) {
 				continue
 			}
 			score := b.rnd.Float()
@@ -138,14 +138,14 @@
 		if paid && p.mayHave {
 			do = decision.Fail
 		}
-		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Do: do, ComeBack: int64(b.of("comeback.most", 0))})
+		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Action: do, RetryAfter: int64(b.of("comeback.most", 0))})
 		p.live = false
 		return
 	}
 	rung := int(b.of("product.floor", product))
 	if b.least {
 		rates := b.terms["rung.rate"]
-		for r := rung + 1; r < len(rates) && r <= p.want.Top; r++ {
+		for r := rung + 1; r < len(rates) && r <= p.want.MaxRung; r++ {
 			if b.nodes[pick].asked+rates[r]*b.of("product.rate", product)/b.of("weight.rate", 0) < 0.85 {
 				rung = r
 			}
@@ -162,11 +162,11 @@
 	p.tried = append(p.tried, pick)
 	b.seats[seat]++
 	target := now + int64(b.of("product.target", product))/2
-	until := p.want.Limit
+	until := p.want.Deadline
 	if !paid && target < until {
 		until = target
 	}
-	b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Do: decision.Place, Node: pick, Rung: rung, Until: until})
+	b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Action: decision.Place, Node: pick, Rung: rung, Until: until})
 }
 
 func (p *basePlay) has(node int) bool {
@@ -185,7 +185,7 @@
 	}
 	within := func(times []int64) (n float64) {
 		for _, t := range times {
-			if t > now-over-200*decision.Ms {
+			if t > now-over-200*decision.Millisecond {
 				n++
 			}
 		}
@@ -194,7 +194,7 @@
 	return within(b.again)+1 <= b.of("budget.free", 0)+b.of("budget.share", 0)*within(b.taken)*0.9
 }
 
-func (b *baseline) Adopt(now int64, w decision.Want, node int) (decision.Handle, *decision.Result) {
+func (b *baseline) AdoptPlay(now int64, w decision.Request, node int) (decision.Handle, *decision.Result) {
 	b.begin()
 	h, p := b.add(w)
 	p.try, p.playing, p.out, p.node = 0, true, true, node
@@ -205,7 +205,7 @@
 	return h, b.end(now)
 }
 
-func (b *baseline) Started(now int64, h decision.Handle, try int) *decision.Result {
+func (b *baseline) AttemptStarted(now int64, h decision.Handle, try int) *decision.Result {
 	b.begin()
 	if p := b.get(h); p != nil && p.try == try {
 		p.playing = true
@@ -213,7 +213,7 @@
 	return b.end(now)
 }
 
-func (b *baseline) Ended(now int64, h decision.Handle, try int, how decision.Ending, over bool, load decision.Load) *decision.Result {
+func (b *baseline) AttemptEnded(now int64, h decision.Handle, try int, how decision.Outcome, over bool, load decision.Load) *decision.Result {
 	b.begin()
 	p := b.get(h)
 	if p == nil || !p.out || p.try != try {
@@ -237,24 +237,24 @@
 	}
 }
 
-func (b *baseline) Left(now int64, h decision.Handle) *decision.Result {
+func (b *baseline) ViewerLeft(now int64, h decision.Handle) *decision.Result {
 	b.begin()
 	if p := b.get(h); p != nil && !p.out {
 		p.live = false
 	} else if p != nil && !p.playing {
 		p.deserted = true
-		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Do: decision.Recall, Try: p.try})
+		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Action: decision.Cancel, Attempt: p.try})
 	}
 	return b.end(now)
 }
 
-func (b *baseline) Probed(now int64, node int, _ decision.Ending, load decision.Load) *decision.Result {
+func (b *baseline) ProbeEnded(now int64, node int, _ decision.Outcome, load decision.Load) *decision.Result {
 	b.begin()
 	b.heard(node, load)
 	return b.end(now)
 }
 
-func (b *baseline) Asked(now int64, h decision.Handle, load decision.Load) *decision.Result {
+func (b *baseline) LoadReported(now int64, h decision.Handle, load decision.Load) *decision.Result {
 	b.begin()
 	if p := b.get(h); p != nil {
 		b.heard(p.node, load)
@@ -264,10 +264,12 @@
 
 func (b *baseline) none(now int64) *decision.Result { b.begin(); return b.end(now) }
 
-func (b *baseline) Delivered(now int64, _ decision.Handle, _ float64) *decision.Result {
+func (b *baseline) DeliveryReported(now int64, _ decision.Handle, _ float64) *decision.Result {
+	return b.none(now)
+}
+func (b *baseline) RungReported(now int64, _ decision.Handle, _ int) *decision.Result {
 	return b.none(now)
 }
-func (b *baseline) Told(now int64, _ decision.Handle, _ int) *decision.Result { return b.none(now) }
 func (b *baseline) Wake(now int64) *decision.Result {
 	over := int64(b.of("budget.over", 0)) + decision.Second
 	for len(b.taken) > 0 && b.taken[0] < now-over {
@@ -280,8 +282,8 @@
 	return node >= len(b.nodes) || !b.nodes[node].listed
 }
 
-// Heard passes over what other fronts say.
-func (b *baseline) Heard(now int64, from int, bytes []byte) *decision.Result {
+// MessageReceived passes over what other fronts say.
+func (b *baseline) MessageReceived(now int64, from int, bytes []byte) *decision.Result {
 	b.begin()
 	return b.end(now)
 }
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -25,8 +25,8 @@
 // a clock and a transport of its own. It runs on one goroutine, and the same seed gives the same decisions.
 type Sim struct {
 	Day *Day
-	// Module makes a front's chooser; nil makes the project's own.
-	Module func(terms map[string][]float64, seed uint64) decision.Chooser
+	// Module makes a front's policy; nil makes the project's own.
+	Module func(terms map[string][]float64, seed uint64) decision.Policy
 
 	now      int64
 	seq      uint64
@@ -265,7 +265,7 @@
 		return
 	}
 	s := n.sim
-	idle := int64(s.Day.IdleMs) * decision.Ms
+	idle := int64(s.Day.IdleMs) * decision.Millisecond
 	for _, p := range slices.Clone(n.held) {
 		heard, ok := n.heard[p.front]
 		if !ok {
@@ -352,7 +352,7 @@
 	seed := s.Day.Seed + uint64(f.number)*1_000_003
 	set := &s.Day.Service
 	terms := set.Terms(f.number, set.Zones[f.number%len(set.Zones)])
-	var module decision.Chooser
+	var module decision.Policy
 	if s.Module != nil {
 		module = s.Module(terms, seed)
 	} else {
@@ -473,7 +473,7 @@
 		return
 	}
 	if !f.reaches(n) {
-		f.settle(a.Ref, p, decision.Lost, hop) // as on sockets: the connection breaks
+		f.settle(a.Ref, p, decision.ConnectionLost, hop) // as on sockets: the connection breaks
 		return
 	}
 	p.sent = true
@@ -489,7 +489,7 @@
 	if refusal != "" {
 		if n.hushed == 0 {
 			ends(trace.Refused, refusal)
-			f.settle(a.Ref, p, decision.TurnedAway, hop)
+			f.settle(a.Ref, p, decision.Rejected, hop)
 		}
 		return
 	}
@@ -522,14 +522,14 @@
 }
 
 // settle ends a set-up at the front, once.
-func (f *simFront) settle(r session.Ref, p *pending, how decision.Ending, after int64) {
+func (f *simFront) settle(r session.Ref, p *pending, how decision.Outcome, after int64) {
 	if f.pending[r] != p {
 		return
 	}
 	delete(f.pending, r)
 	n := p.node
-	load := decision.Untold
-	if f.sim.Day.Service.Reports == "answers" && (how == decision.Served || how == decision.TurnedAway) {
+	load := decision.UnknownLoad
+	if f.sim.Day.Service.Reports == "answers" && (how == decision.Served || how == decision.Rejected) {
 		load = n.load()
 	}
 	if how == decision.Served {
@@ -537,7 +537,7 @@
 		f.call(after, func(now int64, c *session.Core) { c.Started(now, r, life, mark, rung, load) })
 		return
 	}
-	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.CalledOff) {
+	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.Canceled) {
 		n.drop(p.play)
 		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
 	} else if p.sent && how == decision.NoAnswer { // refused by a node that says nothing
@@ -548,7 +548,7 @@
 
 func (f *simFront) Recall(r session.Ref) {
 	if p := f.pending[r]; p != nil {
-		how := decision.CalledOff
+		how := decision.Canceled
 		if !p.sent {
 			how = decision.NotSent
 		}
@@ -601,7 +601,7 @@
 	n := f.sim.nodes[address]
 	life := f.life
 	f.sim.after(hop, func() {
-		how, load, after := decision.Served, decision.Untold, int64(hop)
+		how, load, after := decision.Served, decision.UnknownLoad, int64(hop)
 		switch {
 		case !n.up || !f.reaches(n):
 			how = decision.NoConnect
@@ -668,7 +668,7 @@
 	}
 	sort.Slice(refs, func(i, j int) bool { return refs[i].Play < refs[j].Play })
 	for _, r := range refs {
-		f.settle(r, f.pending[r], decision.Lost, hop)
+		f.settle(r, f.pending[r], decision.ConnectionLost, hop)
 	}
 	if k, ok := f.numbers[n]; ok && f.streams[k] == n {
 		delete(f.streams, k)
@@ -811,7 +811,7 @@
 	}
 	v.first = false
 	s.add(line)
-	limit := s.now + int64(v.Product.LimitMs)*decision.Ms
+	limit := s.now + int64(v.Product.LimitMs)*decision.Millisecond
 	if !f.up {
 		s.after(clientHop, func() { s.add(trace.Line{What: trace.Answer, ID: id, Note: "connection refused"}); v.again(0) })
 		return
@@ -904,7 +904,7 @@
 		return
 	}
 	n := s.nodes[v.play.Address]
-	every := int64(s.Day.Service.SegmentMs) * decision.Ms
+	every := int64(s.Day.Service.SegmentMs) * decision.Millisecond
 	p := n.plays[play]
 	switch {
 	case !n.up || n.hushed > 0:
@@ -945,7 +945,7 @@
 	s.now = session.ClockStart
 	s.rnd = rand.New(rand.NewPCG(d.Seed, 2))
 	s.nodes, s.crowd = map[string]*simNode{}, map[string]float64{}
-	s.list.late = int64(d.ListLateMs) * decision.Ms
+	s.list.late = int64(d.ListLateMs) * decision.Millisecond
 	about := rand.New(rand.NewPCG(d.Seed, 1))
 	for range 32 { // as the key of a rehearsal on sockets draws
 		about.UintN(256)
