--- a/cmd/gullrail/deploy_test.go
+++ b/cmd/gullrail/deploy_test.go
@@ -59,14 +59,14 @@
 }
 
 func TestKnownRedListsAreChecked(t *testing.T) {
-	const good = "./parting TestOnlySetUpsThatAreOutAreWaitedFor | waits for a fault of another's | #1\n"
+	const good = "./shutdown TestOnlySetUpsThatAreOutAreWaitedFor | waits for a fault of another's | #1\n"
 	for name, c := range map[string]struct{ text, want string }{
 		"one":               {good, ""},
 		"four":              {strings.Repeat(good, 4), "three at most"},
-		"no cause":          {"./parting TestOnlySetUpsThatAreOutAreWaitedFor | | #1\n", "not 'PACKAGE TEST"},
-		"no issue":          {"./parting TestOnlySetUpsThatAreOutAreWaitedFor | a cause\n", "not 'PACKAGE TEST"},
+		"no cause":          {"./shutdown TestOnlySetUpsThatAreOutAreWaitedFor | | #1\n", "not 'PACKAGE TEST"},
+		"no issue":          {"./shutdown TestOnlySetUpsThatAreOutAreWaitedFor | a cause\n", "not 'PACKAGE TEST"},
 		"an empty line":     {"\n", "not 'PACKAGE TEST"},
-		"no such test":      {"./parting TestNowhere | a cause | #1\n", "has no test TestNowhere"},
+		"no such test":      {"./shutdown TestNowhere | a cause | #1\n", "has no test TestNowhere"},
 		"no end of line":    {strings.TrimSuffix(good, "\n"), ""},
 		"an unknown folder": {"./nowhere TestOnlySetUpsThatAreOutAreWaitedFor | a cause | #1\n", "has no test"},
 	} {
