--- a/dash/dash.go
+++ b/dash/dash.go
@@ -107,7 +107,7 @@
 			refuse(w, http.StatusForbidden, "token: made for another title, viewer or product")
 			return
 		}
-		req.Back = &session.Back{Play: cl.Play, Broken: req.Broken}
+		req.Back = &session.Previous{Play: cl.Play, NotDelivered: req.Broken}
 	}
 	f.ask(w, r, req)
 }
@@ -176,24 +176,24 @@
 	if ans.Play != "" {
 		h.Set(PlayHeader, ans.Play)
 	}
-	if ans.ComeBack > 0 { // HTTP tells whole seconds; rounding down would bring viewers back too soon
-		h.Set("Retry-After", strconv.FormatInt((ans.ComeBack+decision.Second-1)/decision.Second, 10))
+	if ans.RetryAfter > 0 { // HTTP tells whole seconds; rounding down would bring viewers back too soon
+		h.Set("Retry-After", strconv.FormatInt((ans.RetryAfter+decision.Second-1)/decision.Second, 10))
 	}
 	switch ans.Verdict {
 	case session.Declined:
-		refuse(w, http.StatusServiceUnavailable, "declined: "+ans.Why)
+		refuse(w, http.StatusServiceUnavailable, "declined: "+ans.Reason)
 	case session.Failed:
 		status := http.StatusBadGateway
-		if ans.Late {
+		if ans.TimedOut {
 			status = http.StatusGatewayTimeout
 		}
-		refuse(w, status, "failed: "+ans.Why)
+		refuse(w, status, "failed: "+ans.Reason)
 	case session.Denied:
 		status := http.StatusForbidden
 		if ans.Busy {
 			status = http.StatusConflict
 		}
-		refuse(w, status, "denied: "+ans.Why)
+		refuse(w, status, "denied: "+ans.Reason)
 	case session.Plays:
 		body, err := f.manifest(ans)
 		if err == nil {
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -105,7 +105,7 @@
 		}
 		word := *f.saved
 		used := make(chan bool, 1)
-		f.runner.Tell(func(now int64, c *session.Core) { used <- c.Word(now, word) })
+		f.runner.Post(func(now int64, c *session.Core) { used <- c.UpdateMembership(now, word) })
 		select {
 		case ok := <-used:
 			if ok {
@@ -137,9 +137,9 @@
 		heard   bool
 	}
 	got := make(chan kept, 1)
-	f.runner.Tell(func(_ int64, c *session.Core) {
-		v, lines := c.Keep()
-		got <- kept{v, lines, c.ListHeard()}
+	f.runner.Post(func(_ int64, c *session.Core) {
+		v, lines := c.ListSnapshot()
+		got <- kept{v, lines, c.ListReceived()}
 	})
 	var k kept
 	select {
@@ -187,7 +187,7 @@
 // believed answers with what the front believes.
 func (f *Front) believed(w http.ResponseWriter, r *http.Request) {
 	got := make(chan []membership.Belief, 1)
-	f.runner.Tell(func(now int64, c *session.Core) { got <- c.Beliefs(now) })
+	f.runner.Post(func(now int64, c *session.Core) { got <- c.NodeStates(now) })
 	select {
 	case all := <-got:
 		out := []FleetNode{}
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -81,7 +81,7 @@
 	f.client = nodes.NewClient(set.Name, epoch, service.Reports == "answers",
 		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, secure, log)
 	module := placement.New(set.Terms(), seed)
-	carrier := session.Carrier(f.client)
+	carrier := session.Transport(f.client)
 	var was earlier
 	if set.State != "" {
 		if f.journal, was, err = openJournal(set.State, service, epoch, f.client, f.runner, log); err != nil {
@@ -92,17 +92,17 @@
 	}
 	f.core = session.NewCore(clock.Now(), set.Name, epoch, module, carrier, service, seed)
 	if f.journal != nil {
-		f.core.Expect(clock.Now(), was.open, was.past, was.lost)
+		f.core.Recover(clock.Now(), was.open, was.past, was.lost)
 	}
 	if set.Peers.Listen != "" {
 		f.peers, err = peers.Listen(set.Peers.Listen, set.Number, set.Peers.Fronts, set.Peers.Secret, func(from int, b []byte) {
-			f.runner.Offer(func(now int64, c *session.Core) { c.Message(now, from, b) })
+			f.runner.TryPost(func(now int64, c *session.Core) { c.MessageReceived(now, from, b) })
 		}, log)
 		if err != nil {
 			listen.Close()
 			return nil, fmt.Errorf("front %s: %w", set.Name, err)
 		}
-		f.core.Tell(f.peers.Send)
+		f.core.SetSender(f.peers.Send)
 	}
 	mux := http.NewServeMux()
 	life := time.Duration(set.TokenMs * float64(time.Millisecond))
@@ -146,7 +146,7 @@
 // ready answers 200 once the front may take plays.
 func (f *Front) ready(w http.ResponseWriter, r *http.Request) {
 	got := make(chan bool, 1)
-	f.runner.Tell(func(now int64, c *session.Core) { got <- c.Ready(now) })
+	f.runner.Post(func(now int64, c *session.Core) { got <- c.Ready(now) })
 	select {
 	case ok := <-got:
 		if !ok {
@@ -159,7 +159,7 @@
 // Counts asks the running core what it has seen, or returns zeros if the context ends first.
 func (f *Front) Counts(ctx context.Context) session.Counts {
 	got := make(chan session.Counts, 1)
-	f.runner.Tell(func(_ int64, c *session.Core) { got <- c.Counts() })
+	f.runner.Post(func(_ int64, c *session.Core) { got <- c.Counts() })
 	select {
 	case n := <-got:
 		return n
@@ -170,7 +170,7 @@
 
 // Stall runs do on the core's goroutine, which does nothing else meanwhile: for rehearsing a front that
 // stands still.
-func (f *Front) Stall(do func()) { f.runner.Tell(func(int64, *session.Core) { do() }) }
+func (f *Front) Stall(do func()) { f.runner.Post(func(int64, *session.Core) { do() }) }
 
 // part ends the front in order, within the time that its settings give.
 func (f *Front) part() {
@@ -179,15 +179,15 @@
 	end := f.runner.Clock().Now() + session.Ticks(within)
 	owed, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	f.runner.Shut()
-	f.runner.Tell(func(now int64, c *session.Core) { c.Part(now, end) })
+	f.runner.RejectAll()
+	f.runner.Post(func(now int64, c *session.Core) { c.BeginShutdown(now, end) })
 	f.sockets.Shut()
 	last := time.AfterFunc(session.Duration(shutdown.Deadline(end)-f.runner.Clock().Now()), func() {
-		f.runner.Tell(func(now int64, c *session.Core) { c.Close(now) })
+		f.runner.Post(func(now int64, c *session.Core) { c.Close(now) })
 	})
 	defer last.Stop()
 	if f.set.Retire {
-		f.runner.Tell(func(now int64, c *session.Core) { c.Release(now, end) })
+		f.runner.Post(func(now int64, c *session.Core) { c.ReleasePlays(now, end) })
 	}
 	if err := f.server.Shutdown(owed); err != nil {
 		f.server.Close()
--- a/frontend/history_test.go
+++ b/frontend/history_test.go
@@ -266,7 +266,7 @@
 	if err != nil || was.lost != 1 || len(was.open) != 19 {
 		t.Fatalf("%+v, %v", was, err)
 	}
-	j.Settled()
+	j.RecoveryDone()
 	j.wg.Wait()
 	j.log.Close()
 	if j, was, err = openJournal(other, &config.Service{}, 3, nil, nil, zerolog.Nop()); err != nil || was.lost != 0 {
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -76,8 +76,8 @@
 		if !ok || !known {
 			product = -1
 		}
-		was.open = append(was.open, session.Expected{Node: r.Node, Heard: r.Heard, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
-			Try: r.Try, Product: product, Title: r.Title, Home: home, Copies: copies, Viewer: r.Viewer, Rung: r.Rung, Top: r.Top}})
+		was.open = append(was.open, session.Expected{Node: r.Node, Answered: r.Heard, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
+			Attempt: r.Try, Product: product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.Top}})
 	}
 	if was.lost > 0 {
 		say.Warn().Uint64("records", was.lost).Msg("records are missing since a salvage: plays are taken once every node has told or its lease has passed")
@@ -96,8 +96,8 @@
 		j.Client.SetUp(a)
 		return
 	}
-	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Try: a.Try, Product: j.set.Product(a.Product),
-		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, Top: a.Top})
+	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Try: a.Attempt, Product: j.set.Product(a.Product),
+		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, Top: a.MaxRung})
 	j.mu.Lock()
 	j.waiting[a.Ref] = true
 	j.mu.Unlock()
@@ -108,7 +108,7 @@
 		delete(j.waiting, a.Ref)
 		j.mu.Unlock()
 		if err != nil || !wanted {
-			j.runner.Tell(func(now int64, c *session.Core) { c.SetUpEnded(now, a.Ref, decision.NotSent, decision.UnknownLoad) })
+			j.runner.Post(func(now int64, c *session.Core) { c.SetUpEnded(now, a.Ref, decision.NotSent, decision.UnknownLoad) })
 			return
 		}
 		j.Client.SetUp(a)
@@ -129,23 +129,23 @@
 	}
 	j.mu.Unlock()
 	if !waits {
-		j.Client.Recall(r)
+		j.Client.Cancel(r)
 	}
 }
 
-// Begun records that a play's viewer was told, and that a token is used up; nobody waits for it.
-func (j *journal) Begun(r session.Ref, product int, back string) {
+// PlayStarted records that a play's viewer was told, and that a token is used up; nobody waits for it.
+func (j *journal) PlayStarted(r session.Ref, product int, back string) {
 	if !j.keeps(product) {
 		return
 	}
-	j.later(playlog.Record{Kind: playlog.Started, Play: r.Play, Try: r.Try})
+	j.later(playlog.Record{Kind: playlog.Started, Play: r.Play, Try: r.Attempt})
 	if back != "" {
 		j.later(playlog.Record{Kind: playlog.Token, Play: back, At: time.Now().UnixMilli()})
 	}
 }
 
-// Finished records a play's end; nobody waits for it.
-func (j *journal) Finished(play string, product int, how playlog.How) {
+// PlayFinished records a play's end; nobody waits for it.
+func (j *journal) PlayFinished(play string, product int, how playlog.How) {
 	if j.keeps(product) {
 		r := playlog.Record{Kind: playlog.Ended, Play: play, How: how}
 		if how != "" {
@@ -155,8 +155,8 @@
 	}
 }
 
-// Settled records that nothing is missing any more, where anything was.
-func (j *journal) Settled() {
+// RecoveryDone records that nothing is missing any more, where anything was.
+func (j *journal) RecoveryDone() {
 	j.mu.Lock()
 	lost := j.book.Lost()
 	j.mu.Unlock()
--- a/frontend/metrics.go
+++ b/frontend/metrics.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), asksFor)
 	defer cancel()
 	var n session.Counts = c.front.Counts(ctx)
-	turned, waiting := c.front.runner.Turned()
+	turned, waiting := c.front.runner.Rejected()
 	ready := 0.0
 	if n.Ready {
 		ready = 1
@@ -95,7 +95,7 @@
 		"moved_total": float64(n.Moved), "lost_total": float64(n.Lost), "adopted_total": float64(n.Adopted),
 		"orphans_total": float64(n.Orphans), "messages_sent_total": float64(sent), "messages_heard_total": float64(heard),
 		"messages_dropped_total": float64(dropped), "turned_away_total": float64(turned),
-		"core_busy_seconds_total": c.front.runner.Busy().Seconds()} {
+		"core_busy_seconds_total": c.front.runner.BusyTime().Seconds()} {
 		out <- prometheus.MustNewConstMetric(c.count[name], prometheus.CounterValue, v)
 	}
 }
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -41,7 +41,7 @@
 	Title(name string) (home, copies int, ok bool)
 }
 
-// Client carries out the core's orders towards playout nodes: it is the core's session.Carrier. All
+// Client carries out the core's orders towards playout nodes: it is the core's session.Transport. All
 // its goroutines end when Close returns.
 type Client struct {
 	name    string
@@ -156,21 +156,21 @@
 		delete(c.setUps, a.Ref)
 		c.mu.Unlock()
 		if how == decision.Served {
-			c.runner.Tell(func(now int64, core *session.Core) {
+			c.runner.Post(func(now int64, core *session.Core) {
 				core.Started(now, a.Ref, started.Life, started.Mark, started.Rung, load)
 			})
 			return
 		}
-		c.log.Debug().Str("play", a.Play).Int("try", a.Try).Str("node", a.Address).Uint8("ending", uint8(how)).Msg("set-up ended")
-		c.runner.Tell(func(now int64, core *session.Core) { core.SetUpEnded(now, a.Ref, how, load) })
+		c.log.Debug().Str("play", a.Play).Int("try", a.Attempt).Str("node", a.Address).Uint8("ending", uint8(how)).Msg("set-up ended")
+		c.runner.Post(func(now int64, core *session.Core) { core.SetUpEnded(now, a.Ref, how, load) })
 		if how.MayHaveRun() {
 			c.End(a.Ref, a.Address, "given up") // it may have run: what still does is to end
 		}
 	})
 }
 
-// Recall stops waiting for a set-up.
-func (c *Client) Recall(r session.Ref) {
+// Cancel stops waiting for a set-up.
+func (c *Client) Cancel(r session.Ref) {
 	c.mu.Lock()
 	cancel := c.setUps[r]
 	c.mu.Unlock()
@@ -255,8 +255,8 @@
 }
 
 func (c *Client) request(a session.Allocation, until time.Time) ([]byte, error) {
-	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Try: a.Try, Product: c.names.Product(a.Product),
-		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, Top: a.Top, Seq: a.Seq,
+	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Try: a.Attempt, Product: c.names.Product(a.Product),
+		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, Top: a.MaxRung, Seq: a.Seq,
 		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / decision.Millisecond})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a set-up: %w", err)
@@ -279,13 +279,13 @@
 // SetRung tells a node the rung of a play. What is lost is made good by the next, as numbers tell
 // their order.
 func (c *Client) SetRung(r session.Ref, address string, rung, seq int) {
-	body, _ := json.Marshal(SetRung{Front: c.name, Epoch: c.epoch, Try: r.Try, Rung: rung, Seq: seq})
+	body, _ := json.Marshal(SetRung{Front: c.name, Epoch: c.epoch, Try: r.Attempt, Rung: rung, Seq: seq})
 	c.repeat(http.MethodPut, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"/rung", body, r)
 }
 
 // End tells a node to end an allocation, whether it started or not.
 func (c *Client) End(r session.Ref, address, why string) {
-	q := url.Values{"front": {c.name}, "epoch": {strconv.FormatInt(c.epoch, 10)}, "try": {strconv.Itoa(r.Try)}, "why": {why}}
+	q := url.Values{"front": {c.name}, "epoch": {strconv.FormatInt(c.epoch, 10)}, "try": {strconv.Itoa(r.Attempt)}, "why": {why}}
 	c.repeat(http.MethodDelete, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"?"+q.Encode(), nil, r)
 }
 
@@ -310,7 +310,7 @@
 				return
 			}
 		}
-		c.log.Warn().Err(err).Str("play", r.Play).Int("try", r.Try).Str("method", method).Msg("node did not take a call")
+		c.log.Warn().Err(err).Str("play", r.Play).Int("try", r.Attempt).Str("method", method).Msg("node did not take a call")
 	})
 }
 
@@ -337,7 +337,7 @@
 		ctx, cancel := context.WithTimeout(c.ctx, session.Duration(liveness.ProbeFor))
 		defer cancel()
 		how, load := c.probe(ctx, address)
-		c.runner.Tell(func(now int64, core *session.Core) { core.Probed(now, node, how, load) })
+		c.runner.Post(func(now int64, core *session.Core) { core.ProbeEnded(now, node, how, load) })
 	})
 }
 
@@ -363,8 +363,8 @@
 
 // ---- Streams ----
 
-// Dial opens the stream from a node at a time of the front's clock, in place of any before it.
-func (c *Client) Dial(node int, address string, at int64) {
+// OpenStream opens the stream from a node at a time of the front's clock, in place of any before it.
+func (c *Client) OpenStream(node int, address string, at int64) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	d := &dial{cancel}
 	c.mu.Lock()
@@ -394,22 +394,22 @@
 		if current && c.ctx.Err() == nil {
 			gone := errors.Is(err, syscall.ECONNREFUSED)
 			c.log.Debug().Err(err).Str("node", address).Bool("gone", gone).Msg("stream ended")
-			c.runner.Tell(func(now int64, core *session.Core) { core.StreamBroke(now, node, gone) })
+			c.runner.Post(func(now int64, core *session.Core) { core.StreamBroke(now, node, gone) })
 		}
 	})
 }
 
-// Finished is for who keeps records of plays; the client keeps none.
-func (c *Client) Finished(string, int, playlog.How) {}
+// PlayFinished is for who keeps records of plays; the client keeps none.
+func (c *Client) PlayFinished(string, int, playlog.How) {}
 
-// Begun does nothing, nor does Settled: the client keeps no records.
-func (c *Client) Begun(session.Ref, int, string) {}
+// PlayStarted does nothing, nor does Settled: the client keeps no records.
+func (c *Client) PlayStarted(session.Ref, int, string) {}
 
-// Settled does nothing.
-func (c *Client) Settled() {}
+// RecoveryDone does nothing.
+func (c *Client) RecoveryDone() {}
 
-// Hangup closes the stream from a node.
-func (c *Client) Hangup(node int) {
+// CloseStream closes the stream from a node.
+func (c *Client) CloseStream(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if d := c.dialled[node]; d != nil {
@@ -451,7 +451,7 @@
 
 // note tells the core what a note says.
 func (c *Client) note(node int, n Note) {
-	ref := session.Ref{Play: n.Play, Try: n.Try, Node: node}
+	ref := session.Ref{Play: n.Play, Attempt: n.Try, Node: node}
 	switch n.Kind {
 	case Hello:
 		runs := make([]session.Running, len(n.Plays))
@@ -461,22 +461,25 @@
 			if !ok || !known {
 				product = -1
 			}
-			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Try: p.Try, Product: product, Title: p.Title,
-				Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top, Left: p.LeftMs * decision.Millisecond}
+			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Try, Product: product, Title: p.Title,
+				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.Top, Left: p.LeftMs * decision.Millisecond}
 		}
-		c.runner.Tell(func(now int64, core *session.Core) { core.Hello(now, node, n.Node, n.Life, n.Mark, runs) })
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, runs) })
 	case Beat:
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node) })
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node) })
 	case Ended:
 		how := decision.Served
 		if n.How == Lost {
 			how = decision.ConnectionLost
 		}
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.PlayEnded(now, ref, how) })
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.PlayEnded(now, ref, how) })
 	case Share:
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.Share(now, ref, n.Share) })
+		c.runner.Post(func(now int64, core *session.Core) {
+			core.StreamActive(now, node)
+			core.DeliveryReported(now, ref, n.Share)
+		})
 	case Load:
 		load := decision.Load{Streams: -1, Link: n.Link, Uplink: n.Uplink}
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.Load(now, ref, load) })
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.LoadReported(now, ref, load) })
 	}
 }
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -46,7 +46,7 @@
 var phases = map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
 // ParseChange reads a message of the list service into lines as the core knows them.
-func ParseChange(text []byte, set *config.Service, clock *session.Clock) (Change, []session.Listed, error) {
+func ParseChange(text []byte, set *config.Service, clock *session.Clock) (Change, []session.NodeEntry, error) {
 	var c Change
 	if err := json.Unmarshal(text, &c); err != nil {
 		return Change{}, nil, fmt.Errorf("list: %w", err)
@@ -59,13 +59,13 @@
 }
 
 // ParseLines checks lines and turns them into the core's, with the numbers of kinds and zones.
-func ParseLines(given []Line, set *config.Service, clock *session.Clock) ([]session.Listed, error) {
-	lines := make([]session.Listed, 0, len(given))
+func ParseLines(given []Line, set *config.Service, clock *session.Clock) ([]session.NodeEntry, error) {
+	lines := make([]session.NodeEntry, 0, len(given))
 	for i, n := range given {
-		wrong := func(field string, v any) ([]session.Listed, error) {
+		wrong := func(field string, v any) ([]session.NodeEntry, error) {
 			return nil, fmt.Errorf("list: nodes[%d].%s: %.60v", i, field, v)
 		}
-		l := session.Listed{Name: n.Name, Address: n.Address, Kind: -1, Zone: -1, Cell: n.Cell, Weight: n.Weight}
+		l := session.NodeEntry{Name: n.Name, Address: n.Address, Kind: -1, Zone: -1, Cell: n.Cell, Weight: n.Weight}
 		var ok bool
 		if n.Name == "" {
 			return wrong("name", "missing")
@@ -107,7 +107,7 @@
 }
 
 // FormatLine is a line as the list service would tell it; its start is not told.
-func FormatLine(l session.Listed, set *config.Service) Line {
+func FormatLine(l session.NodeEntry, set *config.Service) Line {
 	return Line{Name: l.Name, Address: l.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[l.Phase],
 		Kind: set.Kinds[l.Kind].Name, Zone: set.Zones[l.Zone], Cell: l.Cell, Weight: l.Weight}
 }
@@ -185,7 +185,7 @@
 		}
 		*version = c.Version
 		word := membership.Word{Source: membership.List, Version: c.Version, Whole: c.Whole, Lines: listed}
-		l.Runner.Tell(func(now int64, core *session.Core) { core.Word(now, word) })
+		l.Runner.Post(func(now int64, core *session.Core) { core.UpdateMembership(now, word) })
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("list service: %w", err)
--- a/playapi/playapi.go
+++ b/playapi/playapi.go
@@ -20,8 +20,8 @@
 
 // Asker is the core as the protocol fronts see it: session.Runner.
 type Asker interface {
-	Ask(a session.Ask, client string, importance float64) (withdraw func())
-	Tell(ev func(now int64, c *session.Core))
+	RequestPlay(a session.Request, client string, importance float64) (withdraw func())
+	Post(ev func(now int64, c *session.Core))
 	Clock() *session.Clock
 }
 
@@ -43,7 +43,7 @@
 	Limit   time.Duration
 	Length  time.Duration
 	Broken  bool
-	Back    *session.Back // the play whose token came with it; nil for a first try
+	Back    *session.Previous // the play whose token came with it; nil for a first try
 }
 
 // BadRequest is a mistake of the client's, told in one line.
@@ -76,7 +76,7 @@
 
 // Again checks a request for what a token names; the token itself was checked before.
 func Again(set *config.Service, cl token.Claims, w Want) (Request, error) {
-	r := Request{Title: cl.Title, Viewer: cl.Viewer, Top: min(cl.Top, len(set.RatesKB)-1), Back: &session.Back{Play: cl.Play, Broken: w.Broken}}
+	r := Request{Title: cl.Title, Viewer: cl.Viewer, Top: min(cl.Top, len(set.RatesKB)-1), Back: &session.Previous{Play: cl.Play, NotDelivered: w.Broken}}
 	var ok bool
 	if r.Product, ok = set.ProductNumber(cl.Product); !ok {
 		return r, BadRequest{"product", fmt.Sprintf("%.40q is not known any more", cl.Product)}
@@ -139,12 +139,12 @@
 	return &Desk{Set: set, Tokens: tokens, asker: a, name: name, media: media, life: life, log: log}
 }
 
-// Tell brings an event to the core.
-func (d *Desk) Tell(ev func(now int64, c *session.Core)) { d.asker.Tell(ev) }
+// Post brings an event to the core.
+func (d *Desk) Post(ev func(now int64, c *session.Core)) { d.asker.Post(ev) }
 
 // Abandon ends a play whose viewer is done, or who never learned of it.
 func (d *Desk) Abandon(play string) {
-	d.asker.Tell(func(now int64, c *session.Core) { c.Abandon(now, play) })
+	d.asker.Post(func(now int64, c *session.Core) { c.EndPlay(now, play) })
 }
 
 // Pending is a request that waits for its answer.
@@ -162,11 +162,11 @@
 func (d *Desk) Begin(r Request, follow func(session.Event), then func(session.Answer)) *Pending {
 	home, copies, _ := d.Set.Title(r.Title)
 	p := &Pending{then: then}
-	p.reply = session.NewReplyTo(func(ans session.Answer) { p.settle(ans) })
-	a := session.Ask{Product: r.Product, Title: r.Title, Home: home, Copies: copies, Viewer: r.Viewer, Limit: d.asker.Clock().Now() + session.Ticks(r.Limit),
-		Length: session.Ticks(r.Length), Top: r.Top, Back: r.Back, Follow: follow, Reply: p.reply}
-	p.withdraw = d.asker.Ask(a, r.Viewer, d.Set.Products[r.Product].Importance)
-	late := time.AfterFunc(r.Limit, func() { p.cancel(session.Answer{Verdict: session.Failed, Late: true, Why: "time limit"}) })
+	p.reply = session.NewReplyFunc(func(ans session.Answer) { p.settle(ans) })
+	a := session.Request{Product: r.Product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Deadline: d.asker.Clock().Now() + session.Ticks(r.Limit),
+		Length: session.Ticks(r.Length), MaxRung: r.Top, Previous: r.Back, OnEvent: follow, Reply: p.reply}
+	p.withdraw = d.asker.RequestPlay(a, r.Viewer, d.Set.Products[r.Product].Importance)
+	late := time.AfterFunc(r.Limit, func() { p.cancel(session.Answer{Verdict: session.Failed, TimedOut: true, Reason: "time limit"}) })
 	p.once.Do(func() { p.late = late }) // unless the answer came meanwhile
 	if p.late == nil {
 		late.Stop()
@@ -178,7 +178,7 @@
 // wait for a log.
 func (d *Desk) Log(r Request, ans session.Answer, protocol string, took time.Duration) {
 	d.log.Info().Str("play", ans.Play).Str("viewer", r.Viewer).Str("title", r.Title).Str("by", protocol).
-		Str("product", d.Set.Products[r.Product].Name).Str("verdict", ans.Verdict.String()).Str("why", ans.Why).
+		Str("product", d.Set.Products[r.Product].Name).Str("verdict", ans.Verdict.String()).Str("why", ans.Reason).
 		Str("node", ans.Node).Int("rung", ans.Rung).Bool("again", r.Back != nil).Dur("took", took).Msg("asked")
 }
 
@@ -193,7 +193,7 @@
 
 // Withdraw says that the client does not wait any more. An answer that came in the same moment holds.
 func (p *Pending) Withdraw() {
-	p.cancel(session.Answer{Verdict: session.Failed, Why: "client left"})
+	p.cancel(session.Answer{Verdict: session.Failed, Reason: "client left"})
 }
 
 func (p *Pending) cancel(instead session.Answer) {
@@ -228,7 +228,7 @@
 func (d *Desk) Grant(ans session.Answer) (Grant, error) {
 	p := &d.Set.Products[ans.Product]
 	raw, err := d.Tokens.Mint(token.Claims{Play: ans.Play, Front: d.name, Title: ans.Title, Product: p.Name,
-		Viewer: ans.Viewer, Node: ans.Node, Rung: ans.Rung, Top: ans.Top}, time.Now(), d.life)
+		Viewer: ans.Viewer, Node: ans.Node, Rung: ans.Rung, Top: ans.MaxRung}, time.Now(), d.life)
 	if err != nil {
 		return Grant{}, fmt.Errorf("token of %s: %w", ans.Play, err)
 	}
--- a/session/core.go
+++ b/session/core.go
@@ -27,9 +27,9 @@
 
 // Ref names an allocation.
 type Ref struct {
-	Play string
-	Try  int
-	Node int
+	Play    string
+	Attempt int
+	Node    int
 }
 
 // Allocation is what a node is asked to set up.
@@ -41,71 +41,71 @@
 	Title   string
 	Viewer  string
 	Rung    int
-	Top     int
+	MaxRung int
 	Seq     int   // of the rung; a node keeps to the highest it heard
 	Until   int64 // then it is given up
 	Length  int64 // guessed length; 0 is not told
 }
 
-// Carrier carries out what the core orders, towards the playout nodes. It must not block, and each
-// order comes to a call on the Core later: SetUp to Started or SetUpEnded, Probe to Probed, Dial to
-// StreamBroke at the latest when Hangup was called.
-type Carrier interface {
+// Transport carries out what the core orders, towards the playout nodes. It must not block, and each
+// order comes to a call on the Core later: SetUp to Started or SetUpEnded, Probe to Probed, OpenStream to
+// StreamBroke at the latest when CloseStream was called.
+type Transport interface {
 	SetUp(a Allocation)
-	Recall(r Ref)
+	Cancel(r Ref)
 	SetRung(r Ref, address string, rung, seq int)
 	End(r Ref, address, why string)
 	Probe(node int, address string)
-	Dial(node int, address string, at int64)
-	Hangup(node int)
-	// Begun says that a play's viewer was told that it plays; back is the play whose token brought the viewer
+	OpenStream(node int, address string, at int64)
+	CloseStream(node int)
+	// PlayStarted says that a play's viewer was told that it plays; back is the play whose token brought the viewer
 	// and is used up, if any. Nothing comes of it, nor of the following two.
-	Begun(r Ref, product int, back string)
-	// Finished says that a play of which allocations were sent is over, and how, if it ever played.
-	Finished(play string, product int, how playlog.How)
-	// Settled says, once, that what may run of earlier lives of this front is known from the nodes alone.
-	Settled()
+	PlayStarted(r Ref, product int, back string)
+	// PlayFinished says that a play of which allocations were sent is over, and how, if it ever played.
+	PlayFinished(play string, product int, how playlog.How)
+	// RecoveryDone says, once, that what may run of earlier lives of this front is known from the nodes alone.
+	RecoveryDone()
 }
 
 // Expected is a play of an earlier life of this front that may still run, by its own record.
 type Expected struct {
 	Running
-	Node  string // name of the node of its last allocation
-	Heard bool   // its viewer was told that it plays
+	Node     string // name of the node of its last allocation
+	Answered bool   // its viewer was told that it plays
 }
 
-// Listed is one line of the list of playout nodes, by name.
-type Listed = membership.Line
+// NodeEntry is one line of the list of playout nodes, by name.
+type NodeEntry = membership.Line
 
 // Running is a play that a node reports as running for this front.
 type Running struct {
-	Play    string
-	Epoch   int64 // of the front's life that set it up
-	Try     int
-	Product int // below 0 when this front knows no such product
-	Title   string
-	Home    int
-	Copies  int
-	Viewer  string
-	Rung    int
-	Seq     int // of the last order of a rung that it heard
-	Top     int
-	Left    int64 // guessed time left; 0 is not told
-}
-
-// Ask is a viewer's request for a play.
-type Ask struct {
-	Product int
-	Title   string
-	Home    int // first cell that holds the title
-	Copies  int
-	Viewer  string
-	Limit   int64 // when the client gives up
-	Length  int64 // guessed; 0 is not told
-	Top     int
-	Back    *Back // who it was before, by its token; nil for a first try
-	Reply   *Reply
-	Follow  func(Event) // hears of the play from its answer on; nil if nobody does
+	Play      string
+	Epoch     int64 // of the front's life that set it up
+	Attempt   int
+	Product   int // below 0 when this front knows no such product
+	Title     string
+	FirstCell int
+	CellCount int
+	Viewer    string
+	Rung      int
+	Seq       int // of the last order of a rung that it heard
+	MaxRung   int
+	Left      int64 // guessed time left; 0 is not told
+}
+
+// Request is a viewer's request for a play.
+type Request struct {
+	Product   int
+	Title     string
+	FirstCell int // first cell that holds the title
+	CellCount int
+	Viewer    string
+	Deadline  int64 // when the client gives up
+	Length    int64 // guessed; 0 is not told
+	MaxRung   int
+	Previous  *Previous // who it was before, by its token; nil for a first try
+	Reply     *Reply
+	OnEvent   func(Event) // hears of the play from its answer on; nil if nobody does
 }
 
 // Event is a change of a play that plays, for who follows it.
@@ -115,12 +115,12 @@
 }
 
 // key tells requests for the same play apart from others.
-func (a *Ask) key() string { return a.Viewer + "\x00" + a.Title + "\x00" + strconv.Itoa(a.Product) }
+func (a *Request) key() string { return a.Viewer + "\x00" + a.Title + "\x00" + strconv.Itoa(a.Product) }
 
-// Back is what a returning viewer's token says.
-type Back struct {
-	Play   string
-	Broken bool // the viewer says that its playout node does not deliver
+// Previous is what a returning viewer's token says.
+type Previous struct {
+	Play         string
+	NotDelivered bool // the viewer says that its playout node does not deliver
 }
 
 type stage uint8
@@ -135,7 +135,7 @@
 type play struct {
 	id      string
 	h       decision.Handle
-	ask     Ask
+	ask     Request
 	title   int
 	viewer  int
 	stage   stage
@@ -154,7 +154,7 @@
 // follow lets another hear of the play, in place of who did.
 func (p *play) follow(f func(Event)) {
 	if f != nil {
-		p.ask.Follow = f
+		p.ask.OnEvent = f
 	}
 }
 
@@ -215,7 +215,7 @@
 	name     string
 	epoch    int64
 	mod      decision.Policy
-	out      Carrier
+	out      Transport
 	watch    *liveness.Watch
 	fleet    *membership.Fleet
 	fleetAt  int64 // when the fleet is to be asked again; 0 is not by itself
@@ -247,7 +247,7 @@
 
 // NewCore makes a core for a front's life. Epoch tells its lives apart and only grows; seed draws
 // the pauses between dials. Products may be nil: all then count as paid.
-func NewCore(now int64, name string, epoch int64, mod decision.Policy, out Carrier, products Products, seed uint64) *Core {
+func NewCore(now int64, name string, epoch int64, mod decision.Policy, out Transport, products Products, seed uint64) *Core {
 	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: liveness.New(now, seed), fleet: membership.New(), wakeAt: now,
 		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: intern.New(), viewers: intern.New(),
 		nodeAt: map[string]int{}, ended: map[string]finished{}}
@@ -264,11 +264,11 @@
 	return s
 }
 
-// Expect says what an earlier life of this front recorded: what is open, and whose tokens are good no more. It
+// Recover says what an earlier life of this front recorded: what is open, and whose tokens are good no more. It
 // comes before anything else. With the first list the open plays are taken over at their nodes, so that their
 // seats count from then on; the nodes' words then settle which of them still run. A front whose records are
 // whole need not wait for all nodes; lost counts those that are missing.
-func (c *Core) Expect(now int64, open []Expected, past []playlog.Past, lost uint64) {
+func (c *Core) Recover(now int64, open []Expected, past []playlog.Past, lost uint64) {
 	c.expected, c.atOnce = open, recovery.Ready(true, lost)
 	for _, p := range past {
 		c.remember(now, p.Play, p.How)
@@ -281,10 +281,10 @@
 		at, ok := c.nodeAt[e.Node]
 		switch {
 		case !ok || e.Product < 0:
-			c.out.Finished(e.Play, max(0, e.Product), playlog.Broken)
+			c.out.PlayFinished(e.Play, max(0, e.Product), playlog.Broken)
 		case c.plays[e.Play] == nil:
 			p := c.adopt(now, at, 0, 0, e.Running)
-			if recovery.Asked(recovery.Recorded, e.Heard, true) != recovery.Fresh {
+			if recovery.Asked(recovery.Recorded, e.Answered, true) != recovery.Fresh {
 				c.unheard[p.ask.key()] = p
 			}
 		}
@@ -296,28 +296,28 @@
 func (c *Core) Ready(now int64) bool {
 	if !c.settled && c.watch.Ready(now, c.listed) {
 		c.settled = true
-		c.out.Settled()
+		c.out.RecoveryDone()
 	}
 	c.counts.Ready = c.settled || c.atOnce && c.expected == nil && len(c.listed) > 0
 	return c.counts.Ready
 }
 
 // again answers a fresh request by what may run of an earlier life, and tells whether it did.
-func (c *Core) again(now int64, a Ask) bool {
+func (c *Core) again(now int64, a Request) bool {
 	p := c.unheard[a.key()]
 	if p == nil {
 		return false
 	}
 	switch recovery.Asked(c.standing(p.id, Ref{p.id, p.try, p.node}), false, true) {
 	case recovery.Resume:
-		p.follow(a.Follow)
-		if a.Reply.Give(c.answer(p, "plays already")) {
+		p.follow(a.OnEvent)
+		if a.Reply.Resolve(c.answer(p, "plays already")) {
 			c.heard(p)
 		}
 		return true
 	case recovery.Wait:
 		c.counts.Denied++
-		a.Reply.Give(Answer{Verdict: Denied, Why: "an earlier play of this request may still run", Busy: true, ComeBack: decision.Second})
+		a.Reply.Resolve(Answer{Verdict: Denied, Reason: "an earlier play of this request may still run", Busy: true, RetryAfter: decision.Second})
 		return true
 	}
 	return false
@@ -326,10 +326,10 @@
 // heard says that the viewer of a play was told.
 func (c *Core) heard(p *play) {
 	back := ""
-	if p.ask.Back != nil {
-		back = p.ask.Back.Play
+	if p.ask.Previous != nil {
+		back = p.ask.Previous.Play
 	}
-	c.out.Begun(Ref{p.id, p.try, p.node}, p.ask.Product, back)
+	c.out.PlayStarted(Ref{p.id, p.try, p.node}, p.ask.Product, back)
 	if k := p.ask.key(); c.unheard[k] == p {
 		delete(c.unheard, k)
 	}
@@ -342,7 +342,7 @@
 		return recovery.Over
 	case p == nil:
 		return recovery.Unknown
-	case p.node != r.Node || p.try != r.Try || p.stage == waiting:
+	case p.node != r.Node || p.try != r.Attempt || p.stage == waiting:
 		return recovery.Elsewhere
 	case p.adopted && p.life == 0:
 		return recovery.Recorded
@@ -350,27 +350,27 @@
 	return recovery.Held
 }
 
-// Ask brings a viewer's request. Exactly one answer is given to its reply, now or later, unless the
+// RequestPlay brings a viewer's request. Exactly one answer is given to its reply, now or later, unless the
 // reply is withdrawn first.
-func (c *Core) Ask(now int64, a Ask) {
+func (c *Core) RequestPlay(now int64, a Request) {
 	if c.parting {
-		a.Reply.Give(Answer{Verdict: Declined, Why: "the front is ending", ComeBack: decision.Second})
+		a.Reply.Resolve(Answer{Verdict: Declined, Reason: "the front is ending", RetryAfter: decision.Second})
 		c.counts.Declined++
 		return
 	}
 	if !c.Ready(now) {
-		a.Reply.Give(Answer{Verdict: Declined, Why: "the front is starting", ComeBack: decision.Second})
+		a.Reply.Resolve(Answer{Verdict: Declined, Reason: "the front is starting", RetryAfter: decision.Second})
 		c.counts.Declined++
 		return
 	}
 	isMoved := false
-	if a.Back != nil {
-		how, p := c.recall(a.Back.Play)
+	if a.Previous != nil {
+		how, p := c.recall(a.Previous.Play)
 		switch {
-		case p != nil && p.stage == playing && !a.Back.Broken:
+		case p != nil && p.stage == playing && !a.Previous.NotDelivered:
 			if a.Title == p.ask.Title {
-				p.follow(a.Follow)
-				a.Reply.Give(c.answer(p, "plays already"))
+				p.follow(a.OnEvent)
+				a.Reply.Resolve(c.answer(p, "plays already"))
 			} else {
 				c.deny(a, "the token is of another title")
 			}
@@ -386,13 +386,13 @@
 		case how == playlog.Returned:
 			c.deny(a, "the token was used to come back already")
 			return
-		case how == "" && c.ownLife(a.Back.Play):
+		case how == "" && c.ownLife(a.Previous.Play):
 			c.deny(a, "the play ended long ago")
 			return
 		}
 		isMoved = how == playlog.Moved
 	}
-	if a.Back == nil && c.again(now, a) {
+	if a.Previous == nil && c.again(now, a) {
 		return
 	}
 	key := a.key()
@@ -405,22 +405,22 @@
 		viewer: c.viewers.Hold(a.Viewer)}
 	c.plays[p.id], c.asking[key] = p, p
 	c.counts.Taken++
-	h, res := c.mod.AddPlay(now, decision.Request{Product: a.Product, Title: p.title, Viewer: p.viewer, Deadline: a.Limit,
-		Length: a.Length, FirstCell: a.Home, CellCount: a.Copies, MaxRung: a.Top, Key: decision.Key(a.Title), Moved: isMoved, Retry: a.Back != nil})
+	h, res := c.mod.AddPlay(now, decision.Request{Product: a.Product, Title: p.title, Viewer: p.viewer, Deadline: a.Deadline,
+		Length: a.Length, FirstCell: a.FirstCell, CellCount: a.CellCount, MaxRung: a.MaxRung, Key: decision.Key(a.Title), Moved: isMoved, Retry: a.Previous != nil})
 	c.enter(p, h)
 	c.carry(now, res)
 }
 
 const busy = "the same viewer's request is being answered"
 
-func (c *Core) deny(a Ask, why string) {
+func (c *Core) deny(a Request, why string) {
 	c.counts.Denied++
-	a.Reply.Give(Answer{Verdict: Denied, Why: why, Busy: why == busy})
+	a.Reply.Resolve(Answer{Verdict: Denied, Reason: why, Busy: why == busy})
 }
 
-// Follow lets a viewer who was away hear of its play again, in place of who did. It returns the play as it is now,
+// Subscribe lets a viewer who was away hear of its play again, in place of who did. It returns the play as it is now,
 // if it plays, or how it ended, if that is remembered; neither if this front does not know it.
-func (c *Core) Follow(id string, f func(Event)) (ans Answer, plays bool, how playlog.How) {
+func (c *Core) Subscribe(id string, f func(Event)) (ans Answer, plays bool, how playlog.How) {
 	how, p := c.recall(id)
 	if p == nil || p.stage != playing {
 		return Answer{}, false, how
@@ -429,16 +429,16 @@
 	return c.answer(p, ""), true, ""
 }
 
-// Unfollow says that nobody hears of a play any more.
-func (c *Core) Unfollow(id string) {
+// Unsubscribe says that nobody hears of a play any more.
+func (c *Core) Unsubscribe(id string) {
 	if p := c.plays[id]; p != nil {
-		p.ask.Follow = nil
+		p.ask.OnEvent = nil
 	}
 }
 
-// Withdrawn says that nobody waits for a request's answer any more, as its client left or its time
+// RequestWithdrawn says that nobody waits for a request's answer any more, as its client left or its time
 // ran out. A play that was answered meanwhile is ended.
-func (c *Core) Withdrawn(now int64, r *Reply) {
+func (c *Core) RequestWithdrawn(now int64, r *Reply) {
 	for _, p := range c.asking { // at most one has this reply
 		if p.ask.Reply == r {
 			c.leave(now, p)
@@ -460,8 +460,8 @@
 	c.carry(now, res)
 }
 
-// Abandon ends a play whose answer did not reach its viewer, or whom the viewer ended.
-func (c *Core) Abandon(now int64, id string) {
+// EndPlay ends a play whose answer did not reach its viewer, or whom the viewer ended.
+func (c *Core) EndPlay(now int64, id string) {
 	p := c.plays[id]
 	if p == nil {
 		return
@@ -481,8 +481,8 @@
 	c.carry(now, res)
 }
 
-// Broken says that a viewer is not delivered: its play ends there, to be placed anew when it asks again.
-func (c *Core) Broken(now int64, id string) {
+// NotDelivered says that a viewer is not delivered: its play ends there, to be placed anew when it asks again.
+func (c *Core) NotDelivered(now int64, id string) {
 	if p := c.plays[id]; p != nil && p.stage == playing {
 		c.nodeGaveUp(now, p)
 	}
@@ -508,7 +508,7 @@
 		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
-	c.carry(now, c.mod.AttemptStarted(now, p.h, r.Try))
+	c.carry(now, c.mod.AttemptStarted(now, p.h, r.Attempt))
 	if c.plays[p.id] == nil {
 		return
 	}
@@ -519,14 +519,14 @@
 		p.seq++
 		c.out.SetRung(r, c.nodes[p.node].address, p.rung, p.seq)
 	}
-	if !p.ask.Reply.Give(c.answer(p, "")) { // withdrawn in the same moment: nobody will watch it
+	if !p.ask.Reply.Resolve(c.answer(p, "")) { // withdrawn in the same moment: nobody will watch it
 		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
 	c.counts.Plays++
 	c.heard(p)
-	if p.ask.Back != nil { // its token is used up only now: a viewer declined may try again with it
-		c.remember(now, p.ask.Back.Play, playlog.Returned)
+	if p.ask.Previous != nil { // its token is used up only now: a viewer declined may try again with it
+		c.remember(now, p.ask.Previous.Play, playlog.Returned)
 	}
 	if p.early != nil {
 		c.PlayEnded(now, r, *p.early)
@@ -550,7 +550,7 @@
 	p.stage = waiting
 	p.mayHave = p.mayHave || how.MayHaveRun()
 	c.nodes[p.node].plays--
-	res := c.mod.AttemptEnded(now, p.h, r.Try, how, p.left, load)
+	res := c.mod.AttemptEnded(now, p.h, r.Attempt, how, p.left, load)
 	if p.left {
 		c.finish(now, p, playlog.Served)
 	}
@@ -575,32 +575,32 @@
 	}
 }
 
-// Share brings the share of its rate that a play is delivered.
-func (c *Core) Share(now int64, r Ref, share float64) {
+// DeliveryReported brings the share of its rate that a play is delivered.
+func (c *Core) DeliveryReported(now int64, r Ref, share float64) {
 	if p := c.at(r, playing); p != nil {
 		c.carry(now, c.mod.DeliveryReported(now, p.h, share))
 	}
 }
 
-// Load brings a note of what is asked of the link or uplink of a play's node.
-func (c *Core) Load(now int64, r Ref, load decision.Load) {
+// LoadReported brings a note of what is asked of the link or uplink of a play's node.
+func (c *Core) LoadReported(now int64, r Ref, load decision.Load) {
 	if p := c.at(r, playing); p != nil {
 		c.carry(now, c.mod.LoadReported(now, p.h, load))
 	}
 }
 
-// Probed brings the end of a probe.
-func (c *Core) Probed(now int64, at int, how decision.Outcome, load decision.Load) {
+// ProbeEnded brings the end of a probe.
+func (c *Core) ProbeEnded(now int64, at int, how decision.Outcome, load decision.Load) {
 	if at < len(c.nodes) && c.nodes[at].probing {
 		c.nodes[at].probing = false
 		c.carry(now, c.mod.ProbeEnded(now, at, how, load))
 	}
 }
 
-// Hello brings the first word of a stream from a node: what it calls itself, which life of its process it is, its count
+// StreamOpened brings the first word of a stream from a node: what it calls itself, which life of its process it is, its count
 // of starts, and what it runs for this front. Plays of an earlier life of this front are adopted,
 // those that this life gave up are ended, and those that the node does not run any more are lost.
-func (c *Core) Hello(now int64, at int, calls string, life, mark int64, runs []Running) {
+func (c *Core) StreamOpened(now int64, at int, calls string, life, mark int64, runs []Running) {
 	if at >= len(c.nodes) || !c.nodes[at].followed {
 		return
 	}
@@ -614,7 +614,7 @@
 	still := make(map[string]bool, len(runs))
 	for _, r := range runs {
 		still[r.Play] = true
-		switch recovery.Told(c.standing(r.Play, Ref{r.Play, r.Try, at}), r.Epoch < c.epoch, r.Product >= 0) {
+		switch recovery.Told(c.standing(r.Play, Ref{r.Play, r.Attempt, at}), r.Epoch < c.epoch, r.Product >= 0) {
 		case recovery.Confirm:
 			p := c.plays[r.Play]
 			p.life, p.mark, p.seq, p.rung = life, mark, r.Seq, r.Rung
@@ -622,7 +622,7 @@
 		case recovery.Adopt:
 			c.adopt(now, at, life, mark, r)
 		case recovery.End:
-			c.orphan(Ref{Play: r.Play, Try: r.Try, Node: at})
+			c.orphan(Ref{Play: r.Play, Attempt: r.Attempt, Node: at})
 		}
 	}
 	for _, p := range c.runningAt(at) {
@@ -634,30 +634,30 @@
 
 func (c *Core) adopt(now int64, at int, life, mark int64, r Running) *play {
 	c.counts.Adopted++
-	p := &play{id: r.Play, stage: playing, node: at, life: life, mark: mark, try: r.Try, rung: r.Rung, seq: r.Seq,
+	p := &play{id: r.Play, stage: playing, node: at, life: life, mark: mark, try: r.Attempt, rung: r.Rung, seq: r.Seq,
 		adopted: true, title: c.titles.Hold(r.Title), viewer: c.viewers.Hold(r.Viewer),
-		ask: Ask{Product: r.Product, Title: r.Title, Home: r.Home, Copies: r.Copies, Viewer: r.Viewer, Top: r.Top,
+		ask: Request{Product: r.Product, Title: r.Title, FirstCell: r.FirstCell, CellCount: r.CellCount, Viewer: r.Viewer, MaxRung: r.MaxRung,
 			Length: r.Left}}
 	c.plays[p.id] = p
 	c.nodes[at].plays++
 	h, res := c.mod.AdoptPlay(now, decision.Request{Product: r.Product, Title: p.title, Viewer: p.viewer, Deadline: now,
-		Length: r.Left, FirstCell: r.Home, CellCount: r.Copies, MaxRung: r.Top, Key: decision.Key(r.Title)}, at)
+		Length: r.Left, FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Key: decision.Key(r.Title)}, at)
 	c.enter(p, h)
 	c.carry(now, res)
 	c.carry(now, c.mod.RungReported(now, p.h, r.Rung))
 	return p
 }
 
-// Tell sets how messages to other fronts are sent; it must not block, nor keep the bytes. Without it none are.
-func (c *Core) Tell(tell func(to int, bytes []byte)) { c.tell = tell }
+// SetSender sets how messages to other fronts are sent; it must not block, nor keep the bytes. Without it none are.
+func (c *Core) SetSender(tell func(to int, bytes []byte)) { c.tell = tell }
 
-// Message brings a message of another front.
-func (c *Core) Message(now int64, from int, bytes []byte) {
+// MessageReceived brings a message of another front.
+func (c *Core) MessageReceived(now int64, from int, bytes []byte) {
 	c.carry(now, c.mod.MessageReceived(now, from, bytes))
 }
 
-// Heard says that something came on a node's stream.
-func (c *Core) Heard(now int64, at int) { c.watch.Heard(now, at) }
+// StreamActive says that something came on a node's stream.
+func (c *Core) StreamActive(now int64, at int) { c.watch.Heard(now, at) }
 
 // StreamBroke says that a stream ended or could not be opened; gone, that the connection was refused
 // outright, so that no process is there.
@@ -699,30 +699,30 @@
 	n := &c.nodes[at]
 	n.followed = n.listed || n.plays > 0
 	if n.followed {
-		c.out.Dial(at, n.address, dialAt)
+		c.out.OpenStream(at, n.address, dialAt)
 	}
 }
 
-// List brings the whole list of nodes, or what changed of it, from a list service that counts no versions.
-func (c *Core) List(now int64, lines []Listed, whole bool) {
-	c.Word(now, membership.Word{Source: membership.List, Whole: whole, Lines: lines})
+// UpdateList brings the whole list of nodes, or what changed of it, from a list service that counts no versions.
+func (c *Core) UpdateList(now int64, lines []NodeEntry, whole bool) {
+	c.UpdateMembership(now, membership.Word{Source: membership.List, Whole: whole, Lines: lines})
 }
 
-// Word brings what a source says of the fleet, and tells whether it counts.
-func (c *Core) Word(now int64, w membership.Word) bool {
+// UpdateMembership brings what a source says of the fleet, and tells whether it counts.
+func (c *Core) UpdateMembership(now int64, w membership.Word) bool {
 	counts := c.fleet.Hear(now, w)
 	c.learn(now)
 	return counts
 }
 
-// Beliefs are what the front believes of its fleet.
-func (c *Core) Beliefs(now int64) []membership.Belief { return c.fleet.Beliefs(now) }
+// NodeStates are what the front believes of its fleet.
+func (c *Core) NodeStates(now int64) []membership.Belief { return c.fleet.Beliefs(now) }
 
-// ListHeard tells that the list service has spoken in this life.
-func (c *Core) ListHeard() bool { return c.fleet.Spoke(membership.List) }
+// ListReceived tells that the list service has spoken in this life.
+func (c *Core) ListReceived() bool { return c.fleet.Spoke(membership.List) }
 
-// Keep is the list as it is worth writing down.
-func (c *Core) Keep() (version int64, lines []Listed) { return c.fleet.Keep() }
+// ListSnapshot is the list as it is worth writing down.
+func (c *Core) ListSnapshot() (version int64, lines []NodeEntry) { return c.fleet.Keep() }
 
 // learn takes over what the roster believes now.
 func (c *Core) learn(now int64) {
@@ -737,7 +737,7 @@
 }
 
 // take tells the module and the streams of nodes that changed.
-func (c *Core) take(now int64, lines []Listed) {
+func (c *Core) take(now int64, lines []NodeEntry) {
 	c.list = c.list[:0]
 	for _, l := range lines {
 		at, ok := c.nodeAt[l.Name]
@@ -750,7 +750,7 @@
 		n := &c.nodes[at]
 		n.listed, n.phase = l.Phase != decision.Gone, l.Phase
 		if n.address != l.Address && n.followed {
-			c.out.Hangup(at) // dialled again at its new address once the old stream has ended
+			c.out.CloseStream(at) // dialled again at its new address once the old stream has ended
 		}
 		n.address = l.Address
 		if !n.followed && n.listed {
@@ -799,7 +799,7 @@
 			continue
 		}
 		if n.followed && c.watch.Silent(now, at) {
-			c.out.Hangup(at)
+			c.out.CloseStream(at)
 		}
 		if c.watch.Expired(now, at) {
 			c.loseAll(now, at)
@@ -807,7 +807,7 @@
 		if !n.listed && n.plays == 0 && !n.probing {
 			if n.followed {
 				n.followed = false
-				c.out.Hangup(at)
+				c.out.CloseStream(at)
 			}
 			if c.mod.ForgetNode(now, at) {
 				delete(c.nodeAt, n.name)
@@ -824,8 +824,8 @@
 
 // ---- The front's end ----
 
-// Part begins an orderly end: nothing new is taken, and what is not waited for until the end is answered.
-func (c *Core) Part(now, end int64) {
+// BeginShutdown begins an orderly end: nothing new is taken, and what is not waited for until the end is answered.
+func (c *Core) BeginShutdown(now, end int64) {
 	c.parting = true
 	for _, p := range c.unanswered() {
 		c.giveUp(now, p, shutdown.Judge(now, end, c.request(p)))
@@ -840,8 +840,8 @@
 	}
 }
 
-// Release lets the plays that play go, one by one up to a time, as nobody takes this front's place.
-func (c *Core) Release(now, end int64) {
+// ReleasePlays lets the plays that play go, one by one up to a time, as nobody takes this front's place.
+func (c *Core) ReleasePlays(now, end int64) {
 	var plays []shutdown.Playing
 	var ids []string
 	for i, p := range c.places {
@@ -877,7 +877,7 @@
 }
 
 func (c *Core) request(p *play) shutdown.Request {
-	return shutdown.Request{Limit: p.ask.Limit, Paid: c.paid(p.ask.Product), Out: p.stage == settingUp, MayHave: p.mayHave}
+	return shutdown.Request{Limit: p.ask.Deadline, Paid: c.paid(p.ask.Product), Out: p.stage == settingUp, MayHave: p.mayHave}
 }
 
 func (c *Core) giveUp(now int64, p *play, v shutdown.Verdict) {
@@ -886,10 +886,10 @@
 		return
 	case shutdown.Fail:
 		c.counts.Failed++
-		p.ask.Reply.Give(Answer{Verdict: Failed, Play: p.id, Why: "the front is ending"})
+		p.ask.Reply.Resolve(Answer{Verdict: Failed, Play: p.id, Reason: "the front is ending"})
 	case shutdown.Decline:
 		c.counts.Declined++
-		p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, Why: "the front is ending", ComeBack: decision.Second})
+		p.ask.Reply.Resolve(Answer{Verdict: Declined, Play: p.id, Reason: "the front is ending", RetryAfter: decision.Second})
 	}
 	c.leave(now, p)
 }
@@ -912,27 +912,27 @@
 			n := &c.nodes[o.Node]
 			n.plays++
 			c.out.SetUp(Allocation{Ref: Ref{p.id, p.try, o.Node}, Name: n.name, Address: n.address, Product: p.ask.Product,
-				Title: p.ask.Title, Viewer: p.ask.Viewer, Rung: o.Rung, Top: p.ask.Top, Seq: p.seq, Until: o.Until,
+				Title: p.ask.Title, Viewer: p.ask.Viewer, Rung: o.Rung, MaxRung: p.ask.MaxRung, Seq: p.seq, Until: o.Until,
 				Length: p.ask.Length})
 		case decision.Decline:
 			c.counts.Declined++
-			p.ask.Reply.Give(Answer{Verdict: Declined, Play: p.id, ComeBack: o.RetryAfter, Why: "no node can take it"})
+			p.ask.Reply.Resolve(Answer{Verdict: Declined, Play: p.id, RetryAfter: o.RetryAfter, Reason: "no node can take it"})
 			c.finish(now, p, playlog.Served)
 		case decision.Fail:
 			c.counts.Failed++
-			p.ask.Reply.Give(Answer{Verdict: Failed, Play: p.id, Why: "its set-up may have run and did not answer"})
+			p.ask.Reply.Resolve(Answer{Verdict: Failed, Play: p.id, Reason: "its set-up may have run and did not answer"})
 			c.finish(now, p, playlog.Served)
 		case decision.SetRung:
 			p.rung = o.Rung
 			p.seq++
-			if p.stage == playing && p.ask.Follow != nil {
-				p.ask.Follow(Event{Answer: c.answer(p, "")})
+			if p.stage == playing && p.ask.OnEvent != nil {
+				p.ask.OnEvent(Event{Answer: c.answer(p, "")})
 			}
 			c.out.SetRung(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, o.Rung, p.seq)
 		case decision.Move:
 			moves = append(moves, p)
 		case decision.Cancel:
-			c.out.Recall(Ref{p.id, o.Attempt, p.node})
+			c.out.Cancel(Ref{p.id, o.Attempt, p.node})
 		}
 	}
 	for _, at := range res.Probes {
@@ -965,7 +965,7 @@
 
 // at is the play of an allocation if that is its last and it is in this stage.
 func (c *Core) at(r Ref, s stage) *play {
-	if p := c.plays[r.Play]; p != nil && p.try == r.Try && p.node == r.Node && p.stage == s {
+	if p := c.plays[r.Play]; p != nil && p.try == r.Attempt && p.node == r.Node && p.stage == s {
 		return p
 	}
 	return nil
@@ -974,7 +974,7 @@
 func (c *Core) answer(p *play, why string) Answer {
 	n := &c.nodes[p.node]
 	return Answer{Verdict: Plays, Play: p.id, Node: n.name, Address: n.address, Title: p.ask.Title,
-		Product: p.ask.Product, Viewer: p.ask.Viewer, Rung: p.rung, Top: p.ask.Top, Why: why}
+		Product: p.ask.Product, Viewer: p.ask.Viewer, Rung: p.rung, MaxRung: p.ask.MaxRung, Reason: why}
 }
 
 // free lets the same viewer ask for the title again.
@@ -1002,14 +1002,14 @@
 	c.viewers.Release(p.viewer)
 	if p.stage == playing { // nobody holds a token of another
 		c.remember(now, p.id, how)
-		if p.ask.Follow != nil {
-			p.ask.Follow(Event{Ended: how, Answer: Answer{Play: p.id}})
+		if p.ask.OnEvent != nil {
+			p.ask.OnEvent(Event{Ended: how, Answer: Answer{Play: p.id}})
 		}
 	} else {
 		how = ""
 	}
 	if p.try >= 0 {
-		c.out.Finished(p.id, p.ask.Product, how)
+		c.out.PlayFinished(p.id, p.ask.Product, how)
 	}
 }
 
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -13,7 +13,7 @@
 
 const start = ClockStart
 
-// recorder is a Carrier that only writes down what was ordered.
+// recorder is a Transport that only writes down what was ordered.
 type recorder struct {
 	setUps   []Allocation
 	ends     []Ref
@@ -26,18 +26,18 @@
 	settled  int
 }
 
-func (r *recorder) SetUp(a Allocation)                     { r.setUps = append(r.setUps, a) }
-func (r *recorder) Recall(x Ref)                           { r.recall = append(r.recall, x) }
-func (r *recorder) SetRung(x Ref, _ string, rung, seq int) { r.rungs = append(r.rungs, rung) }
-func (r *recorder) End(x Ref, _, _ string)                 { r.ends = append(r.ends, x) }
-func (r *recorder) Probe(int, string)                      {}
-func (r *recorder) Dial(node int, _ string, at int64)      { r.dials[node] = at }
-func (r *recorder) Begun(x Ref, _ int, back string)        { r.begun = append(r.begun, x) }
-func (r *recorder) Settled()                               { r.settled++ }
-func (r *recorder) Finished(play string, _ int, _ playlog.How) {
+func (r *recorder) SetUp(a Allocation)                      { r.setUps = append(r.setUps, a) }
+func (r *recorder) Cancel(x Ref)                            { r.recall = append(r.recall, x) }
+func (r *recorder) SetRung(x Ref, _ string, rung, seq int)  { r.rungs = append(r.rungs, rung) }
+func (r *recorder) End(x Ref, _, _ string)                  { r.ends = append(r.ends, x) }
+func (r *recorder) Probe(int, string)                       {}
+func (r *recorder) OpenStream(node int, _ string, at int64) { r.dials[node] = at }
+func (r *recorder) PlayStarted(x Ref, _ int, back string)   { r.begun = append(r.begun, x) }
+func (r *recorder) RecoveryDone()                           { r.settled++ }
+func (r *recorder) PlayFinished(play string, _ int, _ playlog.How) {
 	r.finished = append(r.finished, play)
 }
-func (r *recorder) Hangup(node int) { r.hung = append(r.hung, node) }
+func (r *recorder) CloseStream(node int) { r.hung = append(r.hung, node) }
 func (r *recorder) last(t *testing.T) Allocation {
 	t.Helper()
 	if len(r.setUps) == 0 {
@@ -66,24 +66,24 @@
 func core(n int) (*Core, *recorder) {
 	out := &recorder{dials: map[int]int64{}}
 	c := NewCore(start, "f", 0xe, placement.New(terms(), 1), out, products{}, 1)
-	var lines []Listed
+	var lines []NodeEntry
 	for i := range n {
-		lines = append(lines, Listed{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
+		lines = append(lines, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
 	}
-	c.List(start, lines, true)
+	c.UpdateList(start, lines, true)
 	for i := range n {
-		c.Hello(start, i, "", 7, 0, nil)
+		c.StreamOpened(start, i, "", 7, 0, nil)
 	}
 	return c, out
 }
 
 const ready = start + decision.Second
 
-func want(product int, viewer string) Ask {
-	return Ask{Product: product, Title: "clip", Copies: 4, Viewer: viewer, Limit: ready + 4*decision.Second, Top: 2, Reply: NewReply()}
+func want(product int, viewer string) Request {
+	return Request{Product: product, Title: "clip", CellCount: 4, Viewer: viewer, Deadline: ready + 4*decision.Second, MaxRung: 2, Reply: NewReply()}
 }
 
-func got(t *testing.T, a Ask) Answer {
+func got(t *testing.T, a Request) Answer {
 	t.Helper()
 	select {
 	case x := <-a.Reply.Answer():
@@ -94,7 +94,7 @@
 	}
 }
 
-func silent(t *testing.T, a Ask) {
+func silent(t *testing.T, a Request) {
 	t.Helper()
 	select {
 	case x := <-a.Reply.Answer():
@@ -104,9 +104,9 @@
 }
 
 // plays brings a play to playing and returns its answer.
-func plays(t *testing.T, c *Core, out *recorder, a Ask) Answer {
+func plays(t *testing.T, c *Core, out *recorder, a Request) Answer {
 	t.Helper()
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	s := out.last(t)
 	c.Started(ready, s.Ref, 7, int64(len(out.setUps)), s.Rung, decision.UnknownLoad)
 	x := got(t, a)
@@ -119,7 +119,7 @@
 func TestOneAnswerOnceItPlays(t *testing.T) {
 	c, out := core(2)
 	a := want(0, "v")
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	silent(t, a)
 	s := out.last(t)
 	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.UnknownLoad)
@@ -135,7 +135,7 @@
 func TestAnswerAndTimeLimitInBothOrders(t *testing.T) {
 	c, out := core(1)
 	a := want(0, "v")
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	s := out.last(t)
 	if !a.Reply.Withdraw() {
 		t.Fatal("the first to use a reply has it")
@@ -144,14 +144,14 @@
 	if len(out.ends) != 1 || c.Counts().InHand != 0 {
 		t.Fatalf("ends %v, in hand %d", out.ends, c.Counts().InHand)
 	}
-	c.Withdrawn(ready, a.Reply)
+	c.RequestWithdrawn(ready, a.Reply)
 
 	b := want(0, "w")
 	plays(t, c, out, b)
 	if b.Reply.Withdraw() {
 		t.Fatal("a reply was used twice")
 	}
-	c.Withdrawn(ready, b.Reply)
+	c.RequestWithdrawn(ready, b.Reply)
 	if c.Counts().InHand != 1 {
 		t.Fatal("a play that was answered was taken back")
 	}
@@ -162,7 +162,7 @@
 		decision.Errored: false, decision.ConnectionLost: false, decision.NoAnswer: false} {
 		c, out := core(3)
 		a := want(1, "v")
-		c.Ask(ready, a)
+		c.RequestPlay(ready, a)
 		c.SetUpEnded(ready, out.last(t).Ref, how, decision.UnknownLoad)
 		if again != (len(out.setUps) == 2) {
 			t.Fatalf("ending %d: %d set-ups", how, len(out.setUps))
@@ -176,29 +176,29 @@
 func TestViewerWhoLeavesFreesItsSeatOnlyOnceTheSetUpIsIn(t *testing.T) {
 	c, out := core(1)
 	a, b := want(1, "v"), want(1, "w")
-	c.Ask(ready, a)
-	c.Ask(ready, b)
+	c.RequestPlay(ready, a)
+	c.RequestPlay(ready, b)
 	a.Reply.Withdraw()
-	c.Withdrawn(ready, a.Reply)
+	c.RequestWithdrawn(ready, a.Reply)
 	if len(out.recall) != 1 || c.Counts().InHand != 2 {
 		t.Fatalf("recalls %v", out.recall)
 	}
 	x := want(1, "x")
-	c.Ask(ready, x)
+	c.RequestPlay(ready, x)
 	if got(t, x).Verdict != Declined {
 		t.Fatal("a third play got one of two seats")
 	}
 	c.SetUpEnded(ready, out.setUps[0].Ref, decision.Canceled, decision.UnknownLoad)
 	y := want(1, "y")
-	c.Ask(ready, y)
+	c.RequestPlay(ready, y)
 	silent(t, y)
 }
 
 func TestSameViewerTwiceAtOnceIsDenied(t *testing.T) {
 	c, out := core(1)
 	a, b := want(0, "v"), want(0, "v")
-	c.Ask(ready, a)
-	c.Ask(ready, b)
+	c.RequestPlay(ready, a)
+	c.RequestPlay(ready, b)
 	if x := got(t, b); x.Verdict != Denied || !x.Busy || len(out.setUps) != 1 {
 		t.Fatalf("got %+v", x)
 	}
@@ -209,18 +209,18 @@
 	c, out := core(2)
 	first := want(0, "v")
 	x := plays(t, c, out, first)
-	back := func(broken bool, id string) Ask {
+	back := func(broken bool, id string) Request {
 		a := want(0, "v")
-		a.Back = &Back{Play: id, Broken: broken}
+		a.Previous = &Previous{Play: id, NotDelivered: broken}
 		return a
 	}
 	a := back(false, x.Play)
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	if y := got(t, a); y.Verdict != Plays || y.Play != x.Play || len(out.setUps) != 1 {
 		t.Fatalf("while it plays, its manifest again: %+v", y)
 	}
 	a = back(true, x.Play)
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	if len(out.setUps) != 2 || len(out.ends) != 1 {
 		t.Fatal("the node does not deliver: ended there, set up anew")
 	}
@@ -228,23 +228,23 @@
 	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.UnknownLoad)
 	y := got(t, a)
 	a = back(false, x.Play)
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	if z := got(t, a); z.Verdict != Denied {
 		t.Fatalf("a token used to come back was used again: %+v", z)
 	}
-	c.Abandon(ready, y.Play)
+	c.EndPlay(ready, y.Play)
 	a = back(false, y.Play)
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	if z := got(t, a); z.Verdict != Denied {
 		t.Fatalf("a token was replayed after its play ended: %+v", z)
 	}
 	a = back(false, "f-e-99999")
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	if z := got(t, a); z.Verdict != Denied {
 		t.Fatalf("a token of a play long forgotten: %+v", z)
 	}
 	a = back(false, "other-1-1") // another front's, or an earlier life's: comes again
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	silent(t, a)
 }
 
@@ -254,9 +254,9 @@
 	c.PlayEnded(ready, Ref{x.Play, 0, out.last(t).Node}, decision.ConnectionLost)
 	for range 2 {
 		a := want(0, "v")
-		a.Copies = 0 // nobody holds it: declined
-		a.Back = &Back{Play: x.Play}
-		c.Ask(ready, a)
+		a.CellCount = 0 // nobody holds it: declined
+		a.Previous = &Previous{Play: x.Play}
+		c.RequestPlay(ready, a)
 		if y := got(t, a); y.Verdict != Declined {
 			t.Fatalf("got %+v", y)
 		}
@@ -266,7 +266,7 @@
 func TestEndToldBeforeTheStart(t *testing.T) {
 	c, out := core(1)
 	a := want(0, "v")
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	s := out.last(t)
 	c.PlayEnded(ready, s.Ref, decision.Served)
 	c.Started(ready, s.Ref, 7, 1, s.Rung, decision.UnknownLoad)
@@ -278,7 +278,7 @@
 func TestRungChangedDuringSetUpIsToldAgain(t *testing.T) {
 	c, out := core(1)
 	a := want(0, "v")
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	s := out.last(t)
 	c.Started(ready, s.Ref, 7, 1, s.Rung+1, decision.UnknownLoad)
 	if len(out.rungs) != 1 || out.rungs[0] != s.Rung {
@@ -289,10 +289,10 @@
 func TestHelloSettlesWhatRuns(t *testing.T) {
 	c, out := core(1)
 	kept, lost, young := plays(t, c, out, want(0, "a")), plays(t, c, out, want(0, "b")), plays(t, c, out, want(0, "c"))
-	runs := []Running{{Play: kept.Play, Epoch: 0xe}, {Play: "f-e-77", Epoch: 0xe, Try: 1},
-		{Play: "f-d-5", Epoch: 0xd, Try: 2, Title: "clip", Copies: 4, Viewer: "old", Rung: 1, Top: 2, Seq: 4},
+	runs := []Running{{Play: kept.Play, Epoch: 0xe}, {Play: "f-e-77", Epoch: 0xe, Attempt: 1},
+		{Play: "f-d-5", Epoch: 0xd, Attempt: 2, Title: "clip", CellCount: 4, Viewer: "old", Rung: 1, MaxRung: 2, Seq: 4},
 		{Play: "f-d-6", Epoch: 0xd, Product: -1, Title: "gone", Viewer: "x"}}
-	c.Hello(ready, 0, "", 7, 2, runs) // told before the third started
+	c.StreamOpened(ready, 0, "", 7, 2, runs) // told before the third started
 	if c.plays[kept.Play] == nil || c.plays[lost.Play] != nil || c.plays[young.Play] == nil {
 		t.Fatal("only what the node does not run is lost, unless it started later than the node's word")
 	}
@@ -303,7 +303,7 @@
 		t.Fatalf("ended: %v", out.ends)
 	}
 	c.PlayEnded(ready, Ref{"f-d-5", 2, 0}, decision.Served)
-	c.Hello(ready, 0, "", 8, 0, nil) // the node's process is another
+	c.StreamOpened(ready, 0, "", 8, 0, nil) // the node's process is another
 	if c.Counts().InHand != 0 {
 		t.Fatalf("%d in hand after the node's restart", c.Counts().InHand)
 	}
@@ -327,8 +327,8 @@
 	out := &recorder{dials: map[int]int64{}}
 	c := NewCore(start, "f", 1, placement.New(terms(), 1), out, products{}, 1)
 	a := want(0, "v")
-	c.Ask(start, a)
-	if x := got(t, a); x.Verdict != Declined || x.ComeBack == 0 {
+	c.RequestPlay(start, a)
+	if x := got(t, a); x.Verdict != Declined || x.RetryAfter == 0 {
 		t.Fatalf("got %+v", x)
 	}
 }
@@ -338,10 +338,10 @@
 	c.Wake(ready)
 	due := c.WakeAt()
 	for i := range int64(100) {
-		c.Share(ready+i, Ref{"x", 0, 0}, 1)
+		c.DeliveryReported(ready+i, Ref{"x", 0, 0}, 1)
 		a := want(0, fmt.Sprint("v", i))
-		a.Copies = 0
-		c.Ask(ready+i, a)
+		a.CellCount = 0
+		c.RequestPlay(ready+i, a)
 	}
 	if c.WakeAt() != due {
 		t.Fatalf("due at %d, put off to %d", due, c.WakeAt())
@@ -350,7 +350,7 @@
 
 func TestNodeGoneFromTheListIsForgottenAndItsNumberUsedAgain(t *testing.T) {
 	c, out := core(2)
-	c.List(ready, []Listed{{Name: "n0", Address: "a0", Phase: decision.Gone}}, false)
+	c.UpdateList(ready, []NodeEntry{{Name: "n0", Address: "a0", Phase: decision.Gone}}, false)
 	c.Wake(ready + decision.Second)
 	c.StreamBroke(ready+decision.Second, 0, false)
 	if len(out.hung) != 1 {
@@ -360,7 +360,7 @@
 	if c.Counts().Nodes != 1 {
 		t.Fatalf("%d nodes known", c.Counts().Nodes)
 	}
-	c.List(ready+21*decision.Second, []Listed{{Name: "new", Address: "b", Cell: 0, Weight: 1}}, false)
+	c.UpdateList(ready+21*decision.Second, []NodeEntry{{Name: "new", Address: "b", Cell: 0, Weight: 1}}, false)
 	if len(c.nodes) != 2 || c.nodes[0].name != "new" {
 		t.Fatalf("nodes %+v", c.nodes)
 	}
@@ -372,8 +372,8 @@
 	now := int64(ready)
 	for i := range n {
 		now += 300 // 33 plays a second
-		a := Ask{Title: fmt.Sprint("t", i%5000), Copies: 4, Viewer: fmt.Sprint("v", i), Limit: now + 4*decision.Second, Top: 2, Reply: NewReply()}
-		c.Ask(now, a)
+		a := Request{Title: fmt.Sprint("t", i%5000), CellCount: 4, Viewer: fmt.Sprint("v", i), Deadline: now + 4*decision.Second, MaxRung: 2, Reply: NewReply()}
+		c.RequestPlay(now, a)
 		if len(out.setUps) > 0 {
 			s := out.setUps[0]
 			out.setUps = out.setUps[:0]
@@ -383,7 +383,7 @@
 		if now >= c.WakeAt() {
 			c.Wake(now)
 			for at := range c.nodes {
-				c.Heard(now, at)
+				c.StreamActive(now, at)
 			}
 		}
 		out.ends, out.rungs, out.recall, out.hung = out.ends[:0], out.rungs[:0], out.recall[:0], out.hung[:0]
@@ -418,14 +418,14 @@
 	c, out := core(2)
 	plays(t, c, out, want(0, "plays"))
 	paid, safe := want(1, "paid"), want(0, "safe")
-	c.Ask(ready, paid)
-	c.Ask(ready, safe)
-	c.Part(ready, ready+2*decision.Second)
+	c.RequestPlay(ready, paid)
+	c.RequestPlay(ready, safe)
+	c.BeginShutdown(ready, ready+2*decision.Second)
 	silent(t, paid) // both are out: their nodes' words are waited for
 	silent(t, safe)
 	late := want(0, "late")
-	c.Ask(ready, late)
-	if x := got(t, late); x.Verdict != Declined || x.ComeBack == 0 {
+	c.RequestPlay(ready, late)
+	if x := got(t, late); x.Verdict != Declined || x.RetryAfter == 0 {
 		t.Fatalf("a new one: %+v", x)
 	}
 	c.Close(ready + 2*decision.Second)
@@ -436,7 +436,7 @@
 	if len(out.ends) != 1 {
 		t.Fatalf("it is ended at its node: %v", out.ends)
 	}
-	c.Release(ready, ready+2*decision.Second)
+	c.ReleasePlays(ready, ready+2*decision.Second)
 	if len(out.ends) != 2 {
 		t.Fatalf("what plays is let go: %v", out.ends)
 	}
@@ -449,20 +449,20 @@
 	if len(out.ends) != 1 || c.Counts().InHand != 0 {
 		t.Fatalf("a move ends it at its node: %v", out.ends)
 	}
-	back := func() Ask {
+	back := func() Request {
 		a := want(0, "v")
-		a.Back = &Back{Play: x.Play}
+		a.Previous = &Previous{Play: x.Play}
 		return a
 	}
 	a := back()
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	s := out.last(t)
 	c.Started(ready, s.Ref, 7, 2, s.Rung, decision.UnknownLoad)
 	if y := got(t, a); y.Verdict != Plays || y.Play == x.Play {
 		t.Fatalf("placed anew: %+v", y)
 	}
 	a = back()
-	c.Ask(ready, a)
+	c.RequestPlay(ready, a)
 	if y := got(t, a); y.Verdict != Denied || len(out.setUps) != 2 {
 		t.Fatalf("replayed after the move: %+v", y)
 	}
@@ -472,31 +472,31 @@
 	out := &recorder{dials: map[int]int64{}}
 	c := NewCore(start, "f", 2, placement.New(terms(), 1), out, products{}, 1)
 	was := func(play, node string) Expected {
-		return Expected{Running{Play: play, Epoch: 1, Product: 1, Title: "clip", Copies: 4, Viewer: play, Rung: 1, Top: 2}, node, true}
+		return Expected{Running{Play: play, Epoch: 1, Product: 1, Title: "clip", CellCount: 4, Viewer: play, Rung: 1, MaxRung: 2}, node, true}
 	}
-	c.Expect(start, []Expected{was("a", "n0"), was("b", "n1"), was("gone", "n9")}, nil, 0)
+	c.Recover(start, []Expected{was("a", "n0"), was("b", "n1"), was("gone", "n9")}, nil, 0)
 	if c.Ready(start) {
 		t.Fatal("ready without a list")
 	}
-	var lines []Listed
+	var lines []NodeEntry
 	for i := range 3 {
-		lines = append(lines, Listed{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
+		lines = append(lines, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
 	}
-	c.List(start, lines, true)
+	c.UpdateList(start, lines, true)
 	if !c.Ready(start) || c.Counts().InHand != 2 || len(out.finished) != 1 || out.finished[0] != "gone" {
 		t.Fatalf("ready %v, %+v, finished %v", c.Ready(start), c.Counts(), out.finished)
 	}
 	full := want(1, "w")
-	c.Ask(start, full)
+	c.RequestPlay(start, full)
 	if got(t, full).Verdict != Declined {
 		t.Fatal("a third play on two seats")
 	}
-	c.Hello(start, 0, "", 7, 3, []Running{{Play: "a", Epoch: 1, Product: 1, Title: "clip", Copies: 4, Viewer: "a", Rung: 2, Seq: 5, Top: 2}})
-	c.Hello(start, 1, "", 7, 3, nil) // the node does not run it
+	c.StreamOpened(start, 0, "", 7, 3, []Running{{Play: "a", Epoch: 1, Product: 1, Title: "clip", CellCount: 4, Viewer: "a", Rung: 2, Seq: 5, MaxRung: 2}})
+	c.StreamOpened(start, 1, "", 7, 3, nil) // the node does not run it
 	if p := c.plays["a"]; p == nil || p.rung != 2 || p.seq != 5 || c.plays["b"] != nil {
 		t.Fatal("confirmed by its node as it is there, or lost")
 	}
 	free := want(1, "x")
-	c.Ask(start, free)
+	c.RequestPlay(start, free)
 	silent(t, free)
 }
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -37,8 +37,8 @@
 		var open []Expected
 		var past []playlog.Past
 		for i := range rapid.IntRange(0, 8).Draw(t, "plays") {
-			p := &truth{Running: Running{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Try: rapid.IntRange(0, 2).Draw(t, "try"),
-				Product: 1, Title: fmt.Sprint("t", i), Copies: 4, Viewer: fmt.Sprint("v", i), Rung: 1, Top: 2}, node: rapid.IntRange(0, nodes-1).Draw(t, "node")}
+			p := &truth{Running: Running{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Attempt: rapid.IntRange(0, 2).Draw(t, "try"),
+				Product: 1, Title: fmt.Sprint("t", i), CellCount: 4, Viewer: fmt.Sprint("v", i), Rung: 1, MaxRung: 2}, node: rapid.IntRange(0, nodes-1).Draw(t, "node")}
 			// An allocation is recorded before it is sent; its end after it ended. So what runs is booked, unless
 			// records were lost.
 			p.runs = rapid.Bool().Draw(t, "runs")
@@ -52,12 +52,12 @@
 				past = append(past, playlog.Past{Play: p.Play, How: playlog.Served})
 			}
 		}
-		c.Expect(now, open, past, lost)
-		var lines []Listed
+		c.Recover(now, open, past, lost)
+		var lines []NodeEntry
 		for i := range nodes {
-			lines = append(lines, Listed{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
+			lines = append(lines, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
 		}
-		c.List(now, lines, true)
+		c.UpdateList(now, lines, true)
 		if c.Ready(now) != (lost == 0) {
 			t.Fatalf("ready %v with %d records lost", c.Ready(now), lost)
 		}
@@ -77,7 +77,7 @@
 				switch {
 				case p.runs && (p.booked || spoken[p.node]) && held == nil:
 					t.Fatalf("%s: %s runs at %d and is not held", when, p.Play, p.node)
-				case held != nil && (held.node != p.node || held.try != p.Try):
+				case held != nil && (held.node != p.node || held.try != p.Attempt):
 					t.Fatalf("%s: %s is held elsewhere", when, p.Play)
 				case held != nil && !p.runs && (spoken[p.node] || gone[p.node]):
 					t.Fatalf("%s: %s does not run, its node has told, and it is held", when, p.Play)
@@ -94,7 +94,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1:
 				if !gone[at] {
-					c.Hello(now, at, "", 7, 100, says(at))
+					c.StreamOpened(now, at, "", 7, 100, says(at))
 					spoken[at], heardAt[at] = true, now
 				}
 			case 2: // its process dies
@@ -116,8 +116,8 @@
 				p := plays[rapid.IntRange(0, len(plays)-1).Draw(t, "again")]
 				known := c.plays[p.Play]
 				before := c.Counts().Taken
-				a := Ask{Product: 1, Title: p.Title, Copies: 4, Viewer: p.Viewer, Limit: now + 4*decision.Second, Top: 2, Reply: NewReply()}
-				c.Ask(now, a)
+				a := Request{Product: 1, Title: p.Title, CellCount: 4, Viewer: p.Viewer, Deadline: now + 4*decision.Second, MaxRung: 2, Reply: NewReply()}
+				c.RequestPlay(now, a)
 				if c.settledOrAtOnce() && p.booked && !p.heard && known != nil {
 					select {
 					case x := <-a.Reply.Answer():
@@ -131,7 +131,7 @@
 						t.Fatalf("asked again for %s: taken as another", p.Play)
 					}
 				} else {
-					c.Withdrawn(now, a.Reply)
+					c.RequestWithdrawn(now, a.Reply)
 				}
 			case 5:
 				c.Wake(now)
@@ -170,20 +170,20 @@
 
 func TestTokensEndedStayEndedOverACrash(t *testing.T) {
 	c := NewCore(start, "f", 2, placement.New(terms(), 1), &recorder{dials: map[int]int64{}}, products{}, 1)
-	c.Expect(start, nil, []playlog.Past{{Play: "f-1-1", How: playlog.Returned}, {Play: "f-1-2", How: playlog.Served}, {Play: "f-1-3", How: playlog.Moved}}, 0)
-	c.List(start, []Listed{{Name: "n0", Address: "a0", Weight: 1}}, true)
-	c.Hello(start, 0, "", 7, 0, nil)
+	c.Recover(start, nil, []playlog.Past{{Play: "f-1-1", How: playlog.Returned}, {Play: "f-1-2", How: playlog.Served}, {Play: "f-1-3", How: playlog.Moved}}, 0)
+	c.UpdateList(start, []NodeEntry{{Name: "n0", Address: "a0", Weight: 1}}, true)
+	c.StreamOpened(start, 0, "", 7, 0, nil)
 	for play, why := range map[string]string{"f-1-1": "the token was used to come back already", "f-1-2": "the play has ended"} {
 		a := want(1, play)
-		a.Back = &Back{Play: play}
-		c.Ask(ready, a)
-		if x := got(t, a); x.Verdict != Denied || x.Why != why {
+		a.Previous = &Previous{Play: play}
+		c.RequestPlay(ready, a)
+		if x := got(t, a); x.Verdict != Denied || x.Reason != why {
 			t.Errorf("%s: %+v", play, x)
 		}
 	}
 	a := want(1, "moved")
-	a.Back = &Back{Play: "f-1-3"}
-	c.Ask(ready, a)
+	a.Previous = &Previous{Play: "f-1-3"}
+	c.RequestPlay(ready, a)
 	if c.Counts().Taken != 1 {
 		t.Error("a moved viewer is placed anew, also after a crash")
 	}
--- a/session/reply.go
+++ b/session/reply.go
@@ -16,19 +16,19 @@
 
 // Answer is the one answer to a request for a play.
 type Answer struct {
-	Verdict  Verdict
-	Play     string // id of the play
-	Node     string // name of its playout node
-	Address  string // host:port where players fetch
-	Title    string
-	Product  int
-	Viewer   string
-	Rung     int
-	Top      int
-	ComeBack int64  // tenths of a millisecond; 0 is no advice
-	Busy     bool   // denied as the same viewer's request is being answered
-	Late     bool   // failed as nothing came within the time limit
-	Why      string // one line for the log and the client
+	Verdict    Verdict
+	Play       string // id of the play
+	Node       string // name of its playout node
+	Address    string // host:port where players fetch
+	Title      string
+	Product    int
+	Viewer     string
+	Rung       int
+	MaxRung    int
+	RetryAfter int64  // tenths of a millisecond; 0 is no advice
+	Busy       bool   // denied as the same viewer's request is being answered
+	TimedOut   bool   // failed as nothing came within the time limit
+	Reason     string // one line for the log and the client
 }
 
 // Reply carries one answer from the core to one waiting request, once. Whoever comes second, an
@@ -42,12 +42,12 @@
 // NewReply makes a reply that nobody has used.
 func NewReply() *Reply { return &Reply{answer: make(chan Answer, 1)} }
 
-// NewReplyTo makes a reply whose answer goes to a function, on the core's goroutine. The function must not
+// NewReplyFunc makes a reply whose answer goes to a function, on the core's goroutine. The function must not
 // call the core.
-func NewReplyTo(then func(Answer)) *Reply { return &Reply{then: then} }
+func NewReplyFunc(then func(Answer)) *Reply { return &Reply{then: then} }
 
-// Give answers, and tells whether this was the first use. It never blocks.
-func (r *Reply) Give(a Answer) bool {
+// Resolve answers, and tells whether this was the first use. It never blocks.
+func (r *Reply) Resolve(a Answer) bool {
 	if r == nil || !r.taken.CompareAndSwap(false, true) {
 		return false
 	}
--- a/session/runner.go
+++ b/session/runner.go
@@ -68,28 +68,28 @@
 // Clock is the runner's clock.
 func (r *Runner) Clock() *Clock { return r.clock }
 
-// Tell brings an event to the core, waiting while too many wait. After the runner has ended it does
+// Post brings an event to the core, waiting while too many wait. After the runner has ended it does
 // nothing.
-func (r *Runner) Tell(ev func(now int64, c *Core)) {
+func (r *Runner) Post(ev func(now int64, c *Core)) {
 	select {
 	case r.events <- ev:
 	case <-r.done:
 	}
 }
 
-// Offer is Tell for what may be lost: it drops the event while too many wait.
-func (r *Runner) Offer(ev func(now int64, c *Core)) {
+// TryPost is Post for what may be lost: it drops the event while too many wait.
+func (r *Runner) TryPost(ev func(now int64, c *Core)) {
 	select {
 	case r.events <- ev:
 	default:
 	}
 }
 
-// Ask brings a request from a client, by whose name floods are told. Its answer comes to a.Reply.
+// RequestPlay brings a request from a client, by whose name floods are told. Its answer comes to a.Reply.
 // The result withdraws it: the caller must call it if it stops waiting before the answer.
-func (r *Runner) Ask(a Ask, client string, importance float64) (withdraw func()) {
+func (r *Runner) RequestPlay(a Request, client string, importance float64) (withdraw func()) {
 	now := r.clock.Now()
-	w := &admission.Ask{Importance: importance, Limit: a.Limit, Client: client, Value: a}
+	w := &admission.Ask{Importance: importance, Limit: a.Deadline, Client: client, Value: a}
 	r.mu.Lock()
 	var turned []*admission.Turned
 	if r.shut {
@@ -117,17 +117,17 @@
 		waited := r.gate.Withdraw(w)
 		r.mu.Unlock()
 		if !waited {
-			r.Tell(func(now int64, c *Core) { c.Withdrawn(now, a.Reply) })
+			r.Post(func(now int64, c *Core) { c.RequestWithdrawn(now, a.Reply) })
 		}
 	}
 }
 
 func turnAway(t *admission.Turned) {
-	t.Ask.Value.(Ask).Reply.Give(Answer{Verdict: Declined, Why: t.Why.String(), ComeBack: t.ComeBack})
+	t.Ask.Value.(Request).Reply.Resolve(Answer{Verdict: Declined, Reason: t.Why.String(), RetryAfter: t.ComeBack})
 }
 
-// Turned is how many requests were turned away at the gate, and how many wait there.
-func (r *Runner) Turned() (turned uint64, waiting int) {
+// Rejected is how many requests were turned away at the gate, and how many wait there.
+func (r *Runner) Rejected() (turned uint64, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.turn, r.gate.Len()
@@ -180,8 +180,8 @@
 	}
 }
 
-// Busy is how long the core has worked so far.
-func (r *Runner) Busy() time.Duration { return time.Duration(r.busy.Load()) }
+// BusyTime is how long the core has worked so far.
+func (r *Runner) BusyTime() time.Duration { return time.Duration(r.busy.Load()) }
 
 // drain takes all events that wait, then requests, and again while there are requests.
 func (r *Runner) drain() {
@@ -207,9 +207,9 @@
 			case late != nil:
 				turnAway(late)
 			case a != nil:
-				ask := a.Value.(Ask)
-				ask.Limit = admission.Limit(now, a.Limit)
-				r.core.Ask(now, ask)
+				ask := a.Value.(Request)
+				ask.Deadline = admission.Limit(now, a.Limit)
+				r.core.RequestPlay(now, ask)
 			default:
 				return
 			}
@@ -220,8 +220,8 @@
 	}
 }
 
-// Shut turns away what waits at the gate and all that still comes, each with its advice when to come back.
-func (r *Runner) Shut() {
+// RejectAll turns away what waits at the gate and all that still comes, each with its advice when to come back.
+func (r *Runner) RejectAll() {
 	for {
 		r.mu.Lock()
 		r.shut = true
@@ -238,6 +238,6 @@
 }
 
 func (r *Runner) end() {
-	r.Shut()
+	r.RejectAll()
 	close(r.done)
 }
--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -23,8 +23,8 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now += 300
-		a := Ask{Title: "clip", Copies: 4, Viewer: names[i%len(names)], Limit: now + 4*decision.Second, Top: 2, Reply: NewReply()}
-		c.Ask(now, a)
+		a := Request{Title: "clip", CellCount: 4, Viewer: names[i%len(names)], Deadline: now + 4*decision.Second, MaxRung: 2, Reply: NewReply()}
+		c.RequestPlay(now, a)
 		for _, s := range out.setUps {
 			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.UnknownLoad)
 			c.PlayEnded(now+10, s.Ref, decision.Served)
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -275,7 +275,7 @@
 			continue
 		}
 		n.drop(p)
-		s.add(trace.Line{What: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Try: p.Try})
+		s.add(trace.Line{What: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Try: p.Attempt})
 		f, ref := s.fronts[p.front], p.Ref
 		if n.hushed == 0 && f.reaches(n) {
 			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), decision.Served) })
@@ -308,10 +308,10 @@
 			continue
 		}
 		if share < 0.98 || before < 0.98 {
-			f.call(hop, func(now int64, c *session.Core) { c.Share(now, f.ref(ref, n), share) })
+			f.call(hop, func(now int64, c *session.Core) { c.DeliveryReported(now, f.ref(ref, n), share) })
 		}
 		if s.Day.Service.Reports == "answers" && beat%12 == 0 {
-			f.call(hop, func(now int64, c *session.Core) { c.Load(now, f.ref(ref, n), load) })
+			f.call(hop, func(now int64, c *session.Core) { c.LoadReported(now, f.ref(ref, n), load) })
 		}
 	}
 }
@@ -395,9 +395,9 @@
 		if a == nil {
 			break
 		}
-		ask := a.Value.(session.Ask)
-		ask.Limit = admission.Limit(s.now, a.Limit)
-		f.core.Ask(s.now, ask)
+		ask := a.Value.(session.Request)
+		ask.Deadline = admission.Limit(s.now, a.Limit)
+		f.core.RequestPlay(s.now, ask)
 	}
 	if at := f.core.WakeAt(); f.wakeDue == 0 || at < f.wakeDue {
 		f.wakeDue = at
@@ -413,7 +413,7 @@
 }
 
 func (f *simFront) turnAway(t *admission.Turned) {
-	t.Ask.Value.(session.Ask).Reply.Give(session.Answer{Verdict: session.Declined, Why: t.Why.String(), ComeBack: t.ComeBack})
+	t.Ask.Value.(session.Request).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: t.Why.String(), RetryAfter: t.ComeBack})
 }
 
 // beat is once a second: the beats of all streams that live, both ways.
@@ -430,7 +430,7 @@
 			sort.Ints(at)
 			for _, k := range at {
 				if n := f.streams[k]; n.up && n.hushed == 0 && f.reaches(n) {
-					f.core.Heard(f.sim.now, k)
+					f.core.StreamActive(f.sim.now, k)
 				}
 			}
 			f.gate.Beat(f.sim.now)
@@ -477,7 +477,7 @@
 		return
 	}
 	p.sent = true
-	line := trace.Line{What: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Try: a.Try,
+	line := trace.Line{What: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Try: a.Attempt,
 		Product: s.Day.Service.Products[a.Product].Name, Title: a.Title, Viewer: a.Viewer, Rung: a.Rung}
 	s.add(line)
 	ends := func(what, why string) { line.What, line.Note = what, why; s.add(line) }
@@ -539,14 +539,14 @@
 	}
 	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.Canceled) {
 		n.drop(p.play)
-		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt})
 	} else if p.sent && how == decision.NoAnswer { // refused by a node that says nothing
-		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt})
 	}
 	f.call(after, func(now int64, c *session.Core) { c.SetUpEnded(now, r, how, load) })
 }
 
-func (f *simFront) Recall(r session.Ref) {
+func (f *simFront) Cancel(r session.Ref) {
 	if p := f.pending[r]; p != nil {
 		how := decision.Canceled
 		if !p.sent {
@@ -575,10 +575,10 @@
 
 func (f *simFront) SetRung(r session.Ref, address string, rung, seq int) {
 	f.later(address, func(n *simNode) {
-		if p := n.plays[r.Play]; p != nil && p.Try == r.Try && seq > p.Seq {
+		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt && seq > p.Seq {
 			p.Seq = seq
 			n.rerate(p, rung)
-			f.sim.add(trace.Line{What: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Product: p.product.Name, Rung: rung})
+			f.sim.add(trace.Line{What: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt, Product: p.product.Name, Rung: rung})
 		}
 	})
 }
@@ -587,11 +587,11 @@
 	n := f.sim.nodes[address]
 	f.sim.after(hop, func() {
 		if n.up && f.reaches(n) {
-			f.sim.add(trace.Line{What: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Note: why})
+			f.sim.add(trace.Line{What: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt, Note: why})
 		}
 	})
 	f.later(address, func(n *simNode) {
-		if p := n.plays[r.Play]; p != nil && p.Try == r.Try {
+		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt {
 			n.drop(p)
 		}
 	})
@@ -611,12 +611,12 @@
 			load = n.load()
 		}
 		if f.life == life {
-			f.call(after, func(now int64, c *session.Core) { c.Probed(now, node, how, load) })
+			f.call(after, func(now int64, c *session.Core) { c.ProbeEnded(now, node, how, load) })
 		}
 	})
 }
 
-func (f *simFront) Dial(node int, address string, at int64) {
+func (f *simFront) OpenStream(node int, address string, at int64) {
 	s, n, life := f.sim, f.sim.nodes[address], f.life
 	f.numbers[n] = node
 	delete(f.streams, node)
@@ -636,27 +636,27 @@
 			for _, p := range n.held {
 				if p.front == f.number && p.playing {
 					home, copies, _ := s.Day.Service.Title(p.Title)
-					runs = append(runs, session.Running{Play: p.Play, Epoch: p.epoch, Try: p.Try, Product: p.Product, Title: p.Title,
-						Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top})
+					runs = append(runs, session.Running{Play: p.Play, Epoch: p.epoch, Attempt: p.Attempt, Product: p.Product, Title: p.Title,
+						FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung})
 				}
 			}
 			nodeLife, mark := n.life, n.mark
-			f.call(hop, func(now int64, c *session.Core) { c.Hello(now, node, "", nodeLife, mark, runs) })
+			f.call(hop, func(now int64, c *session.Core) { c.StreamOpened(now, node, "", nodeLife, mark, runs) })
 		}
 	})
 }
 
-func (f *simFront) Hangup(node int) {
+func (f *simFront) CloseStream(node int) {
 	if f.streams[node] != nil {
 		delete(f.streams, node)
 		f.call(1, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 	}
 }
 
-// Finished is for records on disk, which a simulated front does not keep.
-func (f *simFront) Finished(string, int, playlog.How) {}
-func (f *simFront) Begun(session.Ref, int, string)    {}
-func (f *simFront) Settled()                          {}
+// PlayFinished is for records on disk, which a simulated front does not keep.
+func (f *simFront) PlayFinished(string, int, playlog.How) {}
+func (f *simFront) PlayStarted(session.Ref, int, string)  {}
+func (f *simFront) RecoveryDone()                         {}
 
 // nodeDied cuts what the front has to do with a node whose process ended.
 func (f *simFront) nodeDied(n *simNode) {
@@ -688,7 +688,7 @@
 	for _, r := range refs { // nodes see their connections closed
 		if p := f.pending[r]; p.play != nil && !p.play.playing {
 			p.node.drop(p.play)
-			f.sim.add(trace.Line{What: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+			f.sim.add(trace.Line{What: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt})
 		}
 	}
 	replies := make([]*session.Reply, 0, len(f.asks))
@@ -697,7 +697,7 @@
 	}
 	sort.Slice(replies, func(i, j int) bool { return f.asks[replies[i]] < f.asks[replies[j]] })
 	for _, r := range replies { // and so do those who wait
-		r.Give(session.Answer{Verdict: cut})
+		r.Resolve(session.Answer{Verdict: cut})
 	}
 }
 
@@ -753,14 +753,14 @@
 		}
 	}
 	f.listed = due
-	var listed []session.Listed
+	var listed []session.NodeEntry
 	for _, l := range lines {
 		if whole && l.Phase == "gone" {
 			continue
 		}
 		s.add(trace.Line{What: trace.Told, Front: f.name, Node: l.Name, Note: l.Phase})
 		phase := map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[l.Phase]
-		e := session.Listed{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, Started: l.StartedMs}
+		e := session.NodeEntry{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, Started: l.StartedMs}
 		for i, k := range s.Day.Service.Kinds {
 			if k.Name == l.Kind {
 				e.Kind = i
@@ -773,7 +773,7 @@
 		}
 		listed = append(listed, e)
 	}
-	f.call(hop, func(now int64, c *session.Core) { c.List(now, listed, whole) })
+	f.call(hop, func(now int64, c *session.Core) { c.UpdateList(now, listed, whole) })
 }
 
 // ---- Viewers ----
@@ -817,17 +817,17 @@
 		return
 	}
 	var reply *session.Reply
-	reply = session.NewReplyTo(func(a session.Answer) {
+	reply = session.NewReplyFunc(func(a session.Answer) {
 		delete(f.asks, reply)
 		s.after(clientHop, func() { v.answered(id, a) })
 	})
 	f.asks[reply] = id
 	home, copies, _ := s.Day.Service.Title(v.Title)
 	number, _ := s.Day.Service.ProductNumber(v.Product.Name)
-	a := session.Ask{Product: number, Title: v.Title, Home: home, Copies: copies, Viewer: v.Name, Limit: limit, Top: v.Top,
+	a := session.Request{Product: number, Title: v.Title, FirstCell: home, CellCount: copies, Viewer: v.Name, Deadline: limit, MaxRung: v.Top,
 		Length: max(0, v.until-s.now), Reply: reply}
 	if v.before != "" {
-		a.Back = &session.Back{Play: v.before, Broken: v.broken}
+		a.Previous = &session.Previous{Play: v.before, NotDelivered: v.broken}
 	}
 	life := f.life
 	s.after(clientHop, func() {
@@ -845,15 +845,15 @@
 	s.after(limit-s.now, func() { // its time is up, whatever the front does
 		if f.up && f.life == life && reply.Withdraw() {
 			delete(f.asks, reply)
-			f.call(0, func(now int64, c *session.Core) { c.Withdrawn(now, reply) })
-			v.answered(id, session.Answer{Verdict: session.Failed, Late: true})
+			f.call(0, func(now int64, c *session.Core) { c.RequestWithdrawn(now, reply) })
+			v.answered(id, session.Answer{Verdict: session.Failed, TimedOut: true})
 		}
 	})
 }
 
 func (v *simViewer) answered(id int64, a session.Answer) {
 	s := v.sim
-	line := trace.Line{What: trace.Answer, ID: id, Play: a.Play, Note: a.Why}
+	line := trace.Line{What: trace.Answer, ID: id, Play: a.Play, Note: a.Reason}
 	switch {
 	case a.Verdict == cut:
 	case a.Verdict == session.Plays:
@@ -869,7 +869,7 @@
 	if line.Status != 200 {
 		v.play, v.before, v.broken = nil, "", false
 		v.front++
-		v.again(a.ComeBack)
+		v.again(a.RetryAfter)
 		return
 	}
 	started := v.play == nil || v.play.Play != a.Play
@@ -900,7 +900,7 @@
 	}
 	if s.now >= v.until {
 		f := s.fronts[v.front%len(s.fronts)]
-		f.call(clientHop, func(now int64, c *session.Core) { c.Abandon(now, play) })
+		f.call(clientHop, func(now int64, c *session.Core) { c.EndPlay(now, play) })
 		return
 	}
 	n := s.nodes[v.play.Address]
--- a/wsapi/line.go
+++ b/wsapi/line.go
@@ -90,7 +90,7 @@
 	case session.Answer:
 		out.Type = "rung"
 		if m.Kind == sockets.Answer {
-			out.Type, out.Verdict, out.Why, out.ComeBack = "answer", v.Verdict.String(), v.Why, session.Duration(v.ComeBack).Milliseconds()
+			out.Type, out.Verdict, out.Why, out.ComeBack = "answer", v.Verdict.String(), v.Reason, session.Duration(v.RetryAfter).Milliseconds()
 			l.front.desk.Log(l.request, v, "socket", time.Since(l.began))
 		}
 		if v.Verdict == session.Plays {
@@ -159,7 +159,7 @@
 	case sockets.Abandon:
 		l.front.desk.Abandon(play)
 	case sockets.Forget:
-		l.front.desk.Tell(func(_ int64, c *session.Core) { c.Unfollow(play) })
+		l.front.desk.Post(func(_ int64, c *session.Core) { c.Unsubscribe(play) })
 	}
 }
 
--- a/wsapi/many_test.go
+++ b/wsapi/many_test.go
@@ -156,7 +156,7 @@
 		defer close(done)
 		for n := 0; ctx.Err() == nil; {
 			b.mu.Lock()
-			var x *session.Ask
+			var x *session.Request
 			if len(b.asks) > n {
 				x = &b.asks[n]
 			}
@@ -166,9 +166,9 @@
 				continue
 			}
 			n++
-			x.Reply.Give(plays(fmt.Sprint("p", n), 0))
+			x.Reply.Resolve(plays(fmt.Sprint("p", n), 0))
 			mu.Lock()
-			all = append(all, x.Follow)
+			all = append(all, x.OnEvent)
 			mu.Unlock()
 		}
 	}()
@@ -272,9 +272,9 @@
 		p := b.dial(t)
 		p.say("%s", strings.Replace(askA, ticketA, fmt.Sprintf("%020d", i), 1))
 		x := b.ask(t, i)
-		x.Reply.Give(plays(fmt.Sprint("p", i), 0))
+		x.Reply.Resolve(plays(fmt.Sprint("p", i), 0))
 		p.hear()
-		peers, follow = append(peers, p), append(follow, x.Follow)
+		peers, follow = append(peers, p), append(follow, x.OnEvent)
 	}
 	var took []time.Duration
 	for round := range 20 {
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -512,7 +512,7 @@
 			if s.conduct.Claim(s.front.now()) != sockets.Take {
 				return "too many broken nodes in a short time: look at the player's own line"
 			}
-			s.front.desk.Tell(func(now int64, c *session.Core) { c.Broken(now, play) })
+			s.front.desk.Post(func(now int64, c *session.Core) { c.NotDelivered(now, play) })
 		}
 	}
 	return ""
@@ -562,7 +562,7 @@
 		if !playapi.Fits(f.desk.Set, cl, r) {
 			return "token: made for another title, viewer or product"
 		}
-		r.Back = &session.Back{Play: cl.Play, Broken: m.Broken}
+		r.Back = &session.Previous{Play: cl.Play, NotDelivered: m.Broken}
 		if m.Broken && s.conduct.Claim(f.now()) != sockets.Take {
 			return "too many broken nodes in a short time: look at the player's own line"
 		}
@@ -639,8 +639,8 @@
 		f.drop(l)
 		return why
 	}
-	f.desk.Tell(func(_ int64, c *session.Core) {
-		ans, plays, how := c.Follow(cl.Play, l.event)
+	f.desk.Post(func(_ int64, c *session.Core) {
+		ans, plays, how := c.Subscribe(cl.Play, l.event)
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.box = sockets.Begun(m.Cursor) // what it has is another ticket's, or another front's: cursors go on from there
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -32,25 +32,25 @@
 type asker struct {
 	clock *session.Clock
 	mu    sync.Mutex
-	asks  []session.Ask
+	asks  []session.Request
 	gone  int // withdrawn
 	tells int // events for the core
 }
 
-func (a *asker) Ask(x session.Ask, _ string, _ float64) func() {
+func (a *asker) RequestPlay(x session.Request, _ string, _ float64) func() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.asks = append(a.asks, x)
 	return func() { a.mu.Lock(); a.gone++; a.mu.Unlock() }
 }
 
-func (a *asker) Tell(func(int64, *session.Core)) { a.mu.Lock(); a.tells++; a.mu.Unlock() }
+func (a *asker) Post(func(int64, *session.Core)) { a.mu.Lock(); a.tells++; a.mu.Unlock() }
 func (a *asker) Clock() *session.Clock           { return a.clock }
 
 // ask waits for the n-th request, from 0.
-func (a *asker) ask(t testing.TB, n int) session.Ask {
+func (a *asker) ask(t testing.TB, n int) session.Request {
 	t.Helper()
-	var x session.Ask
+	var x session.Request
 	until(t, "a request", func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
@@ -75,7 +75,7 @@
 }
 
 func plays(play string, rung int) session.Answer {
-	return session.Answer{Verdict: session.Plays, Play: play, Node: "n", Address: "127.0.0.1:1", Title: "t", Viewer: "v", Rung: rung, Top: 1}
+	return session.Answer{Verdict: session.Plays, Play: play, Node: "n", Address: "127.0.0.1:1", Title: "t", Viewer: "v", Rung: rung, MaxRung: 1}
 }
 
 type bench struct {
@@ -182,16 +182,16 @@
 	p := b.dial(t)
 	p.say(askA)
 	x := b.ask(t, 0)
-	x.Reply.Give(plays("p1", 0))
+	x.Reply.Resolve(plays("p1", 0))
 	m := p.hear()
 	if m.Type != "answer" || m.Verdict != "plays" || m.Cursor != 1 || m.Grant == nil || m.Grant.Play != "p1" || len(m.Grant.Rungs) != 1 {
 		t.Fatalf("%+v", m)
 	}
-	x.Follow(session.Event{Answer: plays("p1", 1)})
+	x.OnEvent(session.Event{Answer: plays("p1", 1)})
 	if m = p.hear(); m.Type != "rung" || m.Cursor != 2 || len(m.Grant.Rungs) != 2 || m.Grant.Rungs[1].ID != "r1" {
 		t.Fatalf("%+v", m)
 	}
-	x.Follow(session.Event{Ended: playlog.Moved, Answer: session.Answer{Play: "p1"}})
+	x.OnEvent(session.Event{Ended: playlog.Moved, Answer: session.Answer{Play: "p1"}})
 	if m = p.hear(); m.Type != "moved" || m.Cursor != 3 || m.Play != "p1" {
 		t.Fatalf("%+v", m)
 	}
@@ -203,7 +203,7 @@
 	b := newBench(t, 100)
 	p := b.dial(t)
 	p.say(askA)
-	b.ask(t, 0).Reply.Give(session.Answer{Verdict: session.Declined, Why: "no node can take it", ComeBack: 7000})
+	b.ask(t, 0).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: "no node can take it", RetryAfter: 7000})
 	if m := p.hear(); m.Verdict != "declined" || m.ComeBack != 700 {
 		t.Fatalf("%+v", m)
 	}
@@ -211,7 +211,7 @@
 	if m := p.hear(); m.Verdict != "failed" || m.Why != "time limit" || m.Ticket != ticketB {
 		t.Fatalf("%+v", m)
 	}
-	if b.ask(t, 1).Reply.Give(plays("late", 0)) {
+	if b.ask(t, 1).Reply.Resolve(plays("late", 0)) {
 		t.Fatal("answered twice")
 	}
 }
@@ -221,11 +221,11 @@
 	p := b.dial(t)
 	p.say(askA)
 	x := b.ask(t, 0)
-	x.Reply.Give(plays("p1", 0))
+	x.Reply.Resolve(plays("p1", 0))
 	p.hear()
 	p.conn.CloseNow()
-	x.Follow(session.Event{Answer: plays("p1", 1)})
-	x.Follow(session.Event{Answer: plays("p1", 0)})
+	x.OnEvent(session.Event{Answer: plays("p1", 1)})
+	x.OnEvent(session.Event{Answer: plays("p1", 0)})
 	q := b.dial(t)
 	q.say(`{"type":"resume","ticket":%q,"cursor":1}`, ticketA)
 	for want := uint64(2); want <= 3; want++ {
@@ -233,7 +233,7 @@
 			t.Fatalf("%d: %+v", want, m)
 		}
 	}
-	x.Follow(session.Event{Ended: playlog.Served, Answer: session.Answer{Play: "p1"}})
+	x.OnEvent(session.Event{Ended: playlog.Served, Answer: session.Answer{Play: "p1"}})
 	q.conn.CloseNow()
 	r := b.dial(t)
 	r.say(`{"type":"resume","ticket":%q,"cursor":3}`, ticketA)
@@ -252,7 +252,7 @@
 	x := b.ask(t, 0)
 	p.conn.CloseNow()
 	until(t, "the break", func() bool { _, open, _ := b.front.Counts(); return open == 0 })
-	x.Reply.Give(plays("p1", 0))
+	x.Reply.Resolve(plays("p1", 0))
 	q := b.dial(t)
 	q.say(`{"type":"resume","ticket":%q,"cursor":0}`, ticketA)
 	if m := q.hear(); m.Type != "answer" || m.Verdict != "plays" {
@@ -264,13 +264,13 @@
 	y := b.ask(t, 1)
 	q.conn.CloseNow()
 	until(t, "the break", func() bool { _, open, _ := b.front.Counts(); return open == 0 })
-	y.Reply.Give(plays("p2", 0))
+	y.Reply.Resolve(plays("p2", 0))
 	b.mu.Lock()
 	tells := b.tells
 	b.mu.Unlock()
 	until(t, "the play's end", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.tells > tells })
-	if now := b.clock.Now(); now < y.Limit {
-		t.Fatalf("ended %d before its limit, while its viewer might return", y.Limit-now)
+	if now := b.clock.Now(); now < y.Deadline {
+		t.Fatalf("ended %d before its limit, while its viewer might return", y.Deadline-now)
 	}
 	z := b.dial(t)
 	z.say(`{"type":"resume","ticket":%q,"cursor":0}`, ticketB)
@@ -286,7 +286,7 @@
 	x := b.ask(t, 0)
 	p.conn.CloseNow()
 	until(t, "the withdrawal", func() bool { b.mu.Lock(); defer b.mu.Unlock(); return b.gone == 1 })
-	if x.Reply.Give(plays("p", 0)) {
+	if x.Reply.Resolve(plays("p", 0)) {
 		t.Fatal("answered after it was withdrawn")
 	}
 }
@@ -296,20 +296,20 @@
 	p := b.dial(t)
 	p.say(askA)
 	x := b.ask(t, 0)
-	x.Reply.Give(plays("p1", 0))
+	x.Reply.Resolve(plays("p1", 0))
 	p.hear()
 	q := b.dial(t) // the old one still lives
 	q.say(`{"type":"resume","ticket":%q,"cursor":1}`, ticketA)
 	if m := p.hear(); m.Type != "taken" || m.Ticket != ticketA {
 		t.Fatalf("%+v", m)
 	}
-	x.Follow(session.Event{Answer: plays("p1", 1)})
+	x.OnEvent(session.Event{Answer: plays("p1", 1)})
 	if m := q.hear(); m.Type != "rung" {
 		t.Fatalf("%+v", m)
 	}
 	p.conn.CloseNow()
 	until(t, "the old one's end", func() bool { _, open, _ := b.front.Counts(); return open == 1 })
-	x.Follow(session.Event{Answer: plays("p1", 0)})
+	x.OnEvent(session.Event{Answer: plays("p1", 0)})
 	if m := q.hear(); m.Type != "rung" || m.Cursor != 3 {
 		t.Fatalf("%+v", m)
 	}
@@ -398,7 +398,7 @@
 			}
 			time.Sleep(time.Millisecond)
 		}
-		b.ask(t, n).Reply.Give(session.Answer{Verdict: session.Declined, Why: "no"})
+		b.ask(t, n).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: "no"})
 		if _, body := r.read(t); !strings.Contains(body, ticket) {
 			t.Fatalf("cut at %d: %s", cut, body)
 		}
@@ -454,7 +454,7 @@
 	other := b.dial(t)
 	other.say("%s", strings.Replace(askA, ticketA, ticketB, 1))
 	x := b.ask(t, 0)
-	x.Reply.Give(plays("p1", 0))
+	x.Reply.Resolve(plays("p1", 0))
 	other.hear()
 	bad, _, err := websocket.Dial(t.Context(), "ws"+strings.TrimPrefix(b.server.URL, "http")+"?viewer=bad", &websocket.DialOptions{Subprotocols: []string{Subprotocol}})
 	if err != nil {
@@ -473,7 +473,7 @@
 	if err == nil || resp == nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || resp.Header.Get(ComeBackHeader) == "" {
 		t.Fatalf("let in at once again: %v %v", resp, err)
 	}
-	x.Follow(session.Event{Answer: plays("p1", 1)})
+	x.OnEvent(session.Event{Answer: plays("p1", 1)})
 	if m := other.hear(); m.Type != "rung" {
 		t.Fatalf("another player: %+v", m)
 	}
@@ -485,19 +485,19 @@
 	r.conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	r.conn.Write(frame(askA))
 	x := b.ask(t, 0)
-	x.Reply.Give(plays("p1", 0))
+	x.Reply.Resolve(plays("p1", 0))
 	r.read(t)
 	r.conn.Write(frame(`{"type":"ack","ticket":"` + ticketA + `","cursor":1}`))
 	stop := time.Now().Add(30 * time.Second)
 	for open := 1; open > 0; _, open, _ = b.front.Counts() { // until its buffers are full and its time to take a message has passed
-		x.Follow(session.Event{Answer: plays("p1", 1)})
+		x.OnEvent(session.Event{Answer: plays("p1", 1)})
 		if time.Now().After(stop) {
 			t.Fatal("it is still held")
 		}
 		time.Sleep(50 * time.Microsecond)
 	}
 	for range 100 {
-		x.Follow(session.Event{Answer: plays("p1", 1)})
+		x.OnEvent(session.Event{Answer: plays("p1", 1)})
 	}
 	b.front.mu.Lock()
 	l := b.front.lines[ticketA]
@@ -525,7 +525,7 @@
 	b := newBench(t, 100)
 	r := b.raw(t) // reads nothing, so sends no pong
 	r.conn.Write(frame(askA))
-	b.ask(t, 0).Reply.Give(plays("p1", 0))
+	b.ask(t, 0).Reply.Resolve(plays("p1", 0))
 	began := time.Now()
 	for {
 		if _, open, _ := b.front.Counts(); open == 0 {
@@ -547,7 +547,7 @@
 		peers = append(peers, p)
 		x := b.ask(t, i)
 		if i > 0 {
-			x.Reply.Give(plays(fmt.Sprint("p", i), 0))
+			x.Reply.Resolve(plays(fmt.Sprint("p", i), 0))
 			p.hear()
 		}
 	}
@@ -555,7 +555,7 @@
 	seen := map[int64]bool{}
 	for i, p := range append(peers[1:], peers[0]) {
 		if i == len(peers)-1 { // it is still owed its answer
-			b.ask(t, 0).Reply.Give(plays("p0", 0))
+			b.ask(t, 0).Reply.Resolve(plays("p0", 0))
 			if m := p.hear(); m.Type != "answer" {
 				t.Fatalf("%+v", m)
 			}
@@ -585,7 +585,7 @@
 	b := newBench(t, 8) // six sockets
 	playing := b.dial(t)
 	playing.say(askA)
-	b.ask(t, 0).Reply.Give(plays("p1", 0))
+	b.ask(t, 0).Reply.Resolve(plays("p1", 0))
 	playing.hear()
 	var idle []*peer
 	for range 5 {
