--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,7 +1,7 @@
 // Package admission decides what a front end does with requests for plays before its core can take
 // them: which wait, which are turned away when the queue is full or a client floods, and when to
 // come back. It does no I/O and has no clock: times are int64 tenths of a millisecond, as in
-// package decision, and come in as arguments. One goroutine at a time may use a Gate.
+// package decision, and come in as arguments. One goroutine at a time may use a Queue.
 //
 // A play turned away here was never taken by the module, so that no allocation of it can exist:
 // declining it is always safe, for paid products too.
@@ -16,60 +16,60 @@
 )
 
 const (
-	perClient   = 20.0                       // requests a client may save up: a player zapping through a menu stays far under it
-	clientRate  = 4.0                        // requests a second that it earns: a retry each quarter second is already a fault
-	clientsKept = 8192                       // clients remembered at most; the longest silent is forgotten first
-	reserve     = 120 * decision.Millisecond // of the time limit: kept for the answer's own way and a busy machine
-	leastLeft   = 250 * decision.Millisecond // with less time than this no set-up can be hoped for
-	spreadLeast = 1 * decision.Second        // advice to come back: the least that HTTP's whole seconds can say
-	spreadMost  = 4 * decision.Second        // and the most: a viewer at a kiosk waits no longer
-	serviceOver = 16                         // a rate of service is the mean over so many plays taken
-	BeatEvery   = 100 * decision.Millisecond // how often the gate is told that the front runs
-	stallOver   = 300 * decision.Millisecond // a longer gap between beats is a stall: pauses of a busy machine are shorter
-	stallTail   = 500 * decision.Millisecond // after one, requests read may have waited through it: it takes so long to read them
-	HeaderFor   = 5 * decision.Second        // a client takes no longer to send its request
-	AnswerFor   = 10 * decision.Second       // nor to take its answer, however slowly it reads
-	IdleFor     = 30 * decision.Second       // a kept connection without a request is closed
-	slowest     = 10 * decision.Second       // time taken for one play when none was ever seen
+	perClient         = 20.0                       // requests a client may save up: a player zapping through a menu stays far under it
+	clientRate        = 4.0                        // requests a second that it earns: a retry each quarter second is already a fault
+	clientsKept       = 8192                       // clients remembered at most; the longest silent is forgotten first
+	reserve           = 120 * decision.Millisecond // of the time limit: kept for the answer's own way and a busy machine
+	leastLeft         = 250 * decision.Millisecond // with less time than this no set-up can be hoped for
+	spreadLeast       = 1 * decision.Second        // advice to come back: the least that HTTP's whole seconds can say
+	spreadMost        = 4 * decision.Second        // and the most: a viewer at a kiosk waits no longer
+	serviceOver       = 16                         // a rate of service is the mean over so many plays taken
+	HeartbeatInterval = 100 * decision.Millisecond // how often the queue is told that the front runs
+	stallOver         = 300 * decision.Millisecond // a longer gap between beats is a stall: pauses of a busy machine are shorter
+	stallTail         = 500 * decision.Millisecond // after one, requests read may have waited through it: it takes so long to read them
+	HeaderTimeout     = 5 * decision.Second        // a client takes no longer to send its request
+	WriteTimeout      = 10 * decision.Second       // nor to take its answer, however slowly it reads
+	IdleTimeout       = 30 * decision.Second       // a kept connection without a request is closed
+	slowest           = 10 * decision.Second       // time taken for one play when none was ever seen
 )
 
-// Verdict is what becomes of a request at the gate.
+// Verdict is what becomes of a request at the queue.
 type Verdict uint8
 
 const (
-	Waits   Verdict = iota // it is in the queue
-	Full                   // turned away: the queue holds only what matters as much or more
-	Flood                  // turned away: this client asks too often
-	TooLate                // turned away: too little is left of its time limit
-	Ending                 // turned away: the front is ending
+	Queued       Verdict = iota // it is in the queue
+	Full                        // turned away: the queue holds only what matters as much or more
+	RateLimited                 // turned away: this client asks too often
+	TooLate                     // turned away: too little is left of its time limit
+	ShuttingDown                // turned away: the front is ending
 )
 
 func (v Verdict) String() string {
 	return [...]string{"waits", "front is full", "too many requests", "too late", "the front is ending"}[v]
 }
 
-// Ask is a request at the gate.
-type Ask struct {
+// Request is a request at the queue.
+type Request struct {
 	Importance float64
-	Limit      int64 // when the client gives up
+	Deadline   int64 // when the client gives up
 	Client     string
 	Value      any // the caller's own
 }
 
-// Turned is a request that was let go of after it had waited, and why.
-type Turned struct {
-	Ask      *Ask
-	Why      Verdict
-	ComeBack int64
+// Rejection is a request that was let go of after it had waited, and why.
+type Rejection struct {
+	Request    *Request
+	Reason     Verdict
+	RetryAfter int64
 }
 
-// Gate is the bounded queue before a core. The most important waits shortest; among equals the one
+// Queue is the bounded queue before a core. The most important waits shortest; among equals the one
 // with least time left. When full it lets go of the least important, and among those of the one with
 // most time left, which can best come back.
-type Gate struct {
+type Queue struct {
 	most    int
 	rnd     pcg.Source
-	queue   []*Ask // in the order they came; a few hundred at most, so it is walked
+	queue   []*Request // in the order they came; a few hundred at most, so it is walked
 	clients map[string]*list.Element
 	recent  *list.List // of *client, the longest silent last
 	gap     float64    // mean time between plays taken while some wait
@@ -86,24 +86,24 @@
 	at     int64
 }
 
-// New makes a gate that holds most requests.
-func New(most int, seed uint64) *Gate {
-	return &Gate{most: max(1, most), rnd: pcg.New(seed), clients: map[string]*list.Element{}, recent: list.New()}
+// New makes a queue that holds most requests.
+func New(most int, seed uint64) *Queue {
+	return &Queue{most: max(1, most), rnd: pcg.New(seed), clients: map[string]*list.Element{}, recent: list.New()}
 }
 
 // Len is the number of requests that wait.
-func (g *Gate) Len() int { return len(g.queue) }
+func (g *Queue) Len() int { return len(g.queue) }
 
-// Limit is the time by which the module is to have answered: a little before the client gives up.
-func Limit(now, limit int64) int64 { return max(now, limit-reserve) }
+// Deadline is the time by which the module is to have answered: a little before the client gives up.
+func Deadline(now, limit int64) int64 { return max(now, limit-reserve) }
 
 // Offer brings a request. What it says holds for the request itself; gone is another that had to
 // make room, or nil. The request's limit is brought forward where it may have lain unread.
-func (g *Gate) Offer(now int64, a *Ask) (v Verdict, comeBack int64, gone *Turned) {
+func (g *Queue) Offer(now int64, a *Request) (v Verdict, comeBack int64, gone *Rejection) {
 	if !g.earned(now, a.Client) {
-		return Flood, g.advice(), nil
+		return RateLimited, g.advice(), nil
 	}
-	if a.Limit -= g.waited(now); a.Limit-now < leastLeft+reserve {
+	if a.Deadline -= g.waited(now); a.Deadline-now < leastLeft+reserve {
 		return TooLate, g.advice(), nil
 	}
 	if len(g.queue) >= g.most {
@@ -116,14 +116,14 @@
 		if worse(a, g.queue[worst]) {
 			return Full, g.advice(), nil
 		}
-		gone = &Turned{g.remove(worst), Full, g.advice()}
+		gone = &Rejection{g.remove(worst), Full, g.advice()}
 	}
 	g.queue = append(g.queue, a)
-	return Waits, 0, gone
+	return Queued, 0, gone
 }
 
-// Beat says that the front runs. A long gap since the one before means that the whole process stood still.
-func (g *Gate) Beat(now int64) {
+// Heartbeat says that the front runs. A long gap since the one before means that the whole process stood still.
+func (g *Queue) Heartbeat(now int64) {
 	if gap := now - g.beatAt; g.beatAt > 0 && gap > stallOver {
 		g.stall, g.stallTo = gap, now
 	}
@@ -133,7 +133,7 @@
 // waited is how long a request read now may have lain unread. Guards against answers that come after the
 // client's time limit because a front that stood still counts from when it read the request. It harms
 // requests that come new within stallTail after a stall: they are given less time than they have.
-func (g *Gate) waited(now int64) int64 {
+func (g *Queue) waited(now int64) int64 {
 	age := int64(0)
 	if gap := now - g.beatAt; g.beatAt > 0 && gap > stallOver { // read before the beat that will notice
 		age = gap
@@ -146,15 +146,15 @@
 
 // Next takes the request that matters most out of the queue, or nil. Those whose time has run out
 // while they waited come first, one a call, to be answered as turned away.
-func (g *Gate) Next(now int64) (a *Ask, late *Turned) {
+func (g *Queue) Next(now int64) (a *Request, late *Rejection) {
 	if len(g.queue) == 0 {
 		g.busy = false
 		return nil, nil
 	}
 	pick := 0
 	for i, x := range g.queue {
-		if x.Limit-now < leastLeft+reserve {
-			return nil, &Turned{g.remove(i), TooLate, g.advice()}
+		if x.Deadline-now < leastLeft+reserve {
+			return nil, &Rejection{g.remove(i), TooLate, g.advice()}
 		}
 		if worse(g.queue[pick], x) {
 			pick = i
@@ -168,19 +168,19 @@
 	return g.remove(pick), nil
 }
 
-// TurnAway takes one request out of the queue of a front that is ending, or returns nil.
-func (g *Gate) TurnAway() *Turned {
+// RejectNext takes one request out of the queue of a front that is ending, or returns nil.
+func (g *Queue) RejectNext() *Rejection {
 	if len(g.queue) == 0 {
 		return nil
 	}
-	return g.Refuse(g.remove(0), Ending)
+	return g.Reject(g.remove(0), ShuttingDown)
 }
 
-// Refuse turns a request away that is not in the queue.
-func (g *Gate) Refuse(a *Ask, why Verdict) *Turned { return &Turned{a, why, g.advice()} }
+// Reject turns a request away that is not in the queue.
+func (g *Queue) Reject(a *Request, why Verdict) *Rejection { return &Rejection{a, why, g.advice()} }
 
 // Withdraw takes a request out whose client went away; it does nothing if it no longer waits.
-func (g *Gate) Withdraw(a *Ask) bool {
+func (g *Queue) Withdraw(a *Request) bool {
 	i := slices.Index(g.queue, a)
 	if i >= 0 {
 		g.remove(i)
@@ -190,14 +190,14 @@
 
 // advice is when a client turned away should come back: drawn evenly over the time in which the queue
 // is worked off, so that those turned away together do not return together.
-func (g *Gate) advice() int64 {
+func (g *Queue) advice() int64 {
 	drain := min(float64(spreadMost), float64(spreadLeast)+min(g.gap, float64(slowest))*float64(len(g.queue)))
 	return spreadLeast + int64(g.rnd.Float()*(max(drain, 2*float64(spreadLeast))-float64(spreadLeast)))
 }
 
 // earned counts a client's request against what it has earned. Guards against one client that
 // floods; many viewers behind one name would share its allowance, so the name must be a viewer's.
-func (g *Gate) earned(now int64, name string) bool {
+func (g *Queue) earned(now int64, name string) bool {
 	e, ok := g.clients[name]
 	if !ok {
 		if g.recent.Len() >= clientsKept {
@@ -220,14 +220,14 @@
 }
 
 // worse tells that a goes before b when room must be made.
-func worse(a, b *Ask) bool {
+func worse(a, b *Request) bool {
 	if a.Importance != b.Importance {
 		return a.Importance < b.Importance
 	}
-	return a.Limit > b.Limit
+	return a.Deadline > b.Deadline
 }
 
-func (g *Gate) remove(i int) *Ask {
+func (g *Queue) remove(i int) *Request {
 	a := g.queue[i]
 	g.queue = slices.Delete(g.queue, i, i+1)
 	return a
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -9,8 +9,8 @@
 
 const now = 1_000_000
 
-func ask(i int, importance float64, left int64) *Ask {
-	return &Ask{Importance: importance, Limit: now + left, Client: fmt.Sprint("c", i)}
+func ask(i int, importance float64, left int64) *Request {
+	return &Request{Importance: importance, Deadline: now + left, Client: fmt.Sprint("c", i)}
 }
 
 func TestFullQueueKeepsWhatMattersMost(t *testing.T) {
@@ -22,7 +22,7 @@
 		t.Fatalf("no better than what waits: %v %v %v", v, back, gone)
 	}
 	v, _, gone := g.Offer(now, ask(3, 3, 4*decision.Second))
-	if v != Waits || gone == nil || gone.Ask != low || gone.Why != Full {
+	if v != Queued || gone == nil || gone.Request != low || gone.Reason != Full {
 		t.Fatalf("a more important one: %v %+v", v, gone)
 	}
 	if a, _ := g.Next(now); a.Importance != 3 {
@@ -48,7 +48,7 @@
 	a, b := ask(0, 1, 1*decision.Second), ask(1, 1, 5*decision.Second)
 	g.Offer(now, a)
 	g.Offer(now, b)
-	if x, late := g.Next(now + 2*decision.Second); x != nil || late == nil || late.Ask != a || late.Why != TooLate {
+	if x, late := g.Next(now + 2*decision.Second); x != nil || late == nil || late.Request != a || late.Reason != TooLate {
 		t.Fatalf("got %v %+v", x, late)
 	}
 	if x, late := g.Next(now + 2*decision.Second); x != b || late != nil {
@@ -63,17 +63,17 @@
 	g := New(1000, 1)
 	turned := 0
 	for range 100 {
-		if v, _, _ := g.Offer(now, &Ask{Client: "flood", Limit: now + 4*decision.Second}); v == Flood {
+		if v, _, _ := g.Offer(now, &Request{Client: "flood", Deadline: now + 4*decision.Second}); v == RateLimited {
 			turned++
 		}
 	}
 	if turned != 100-perClient {
 		t.Fatalf("%d of 100 turned away", turned)
 	}
-	if v, _, _ := g.Offer(now, ask(1, 1, 4*decision.Second)); v != Waits {
+	if v, _, _ := g.Offer(now, ask(1, 1, 4*decision.Second)); v != Queued {
 		t.Fatalf("another client: %v", v)
 	}
-	if v, _, _ := g.Offer(now+decision.Second, &Ask{Client: "flood", Limit: now + 4*decision.Second}); v != Waits {
+	if v, _, _ := g.Offer(now+decision.Second, &Request{Client: "flood", Deadline: now + 4*decision.Second}); v != Queued {
 		t.Fatalf("after a second of quiet: %v", v)
 	}
 	for i := range 2 * clientsKept {
@@ -109,11 +109,11 @@
 func TestRequestsReadAfterAStallAreTakenAsOldAsTheStall(t *testing.T) {
 	g := New(99, 1)
 	limit := func(at int64, left int64) (Verdict, int64) {
-		a := &Ask{Client: fmt.Sprint(at, left), Limit: at + left}
+		a := &Request{Client: fmt.Sprint(at, left), Deadline: at + left}
 		v, _, _ := g.Offer(at, a)
-		return v, at + left - a.Limit
+		return v, at + left - a.Deadline
 	}
-	g.Beat(now)
+	g.Heartbeat(now)
 	if _, off := limit(now+stallOver, 5*decision.Second); off != 0 {
 		t.Fatalf("a pause is no stall: %d off", off)
 	}
@@ -121,9 +121,9 @@
 	if _, off := limit(woke, 5*decision.Second); off != 2*decision.Second {
 		t.Fatalf("read before the beat that notices: %d off", off)
 	}
-	g.Beat(woke)
-	for at := woke; at < woke+stallTail; at += BeatEvery {
-		g.Beat(at)
+	g.Heartbeat(woke)
+	for at := woke; at < woke+stallTail; at += HeartbeatInterval {
+		g.Heartbeat(at)
 	}
 	if _, off := limit(woke+stallTail-1, 5*decision.Second); off != 2*decision.Second {
 		t.Fatalf("read right after: %d off", off)
@@ -131,7 +131,7 @@
 	if v, _ := limit(woke+1, 2*decision.Second); v != TooLate {
 		t.Fatalf("its time may be up: %v", v)
 	}
-	g.Beat(woke + stallTail)
+	g.Heartbeat(woke + stallTail)
 	if _, off := limit(woke+stallTail, 5*decision.Second); off != 0 {
 		t.Fatalf("later ones are new: %d off", off)
 	}
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -40,7 +40,7 @@
 	runner *session.Runner
 	say    zerolog.Logger
 	log    *store.Log // nil where nothing is kept
-	saved  *membership.Word
+	saved  *membership.Update
 	last   string
 }
 
@@ -76,7 +76,7 @@
 	return f, nil
 }
 
-func (f *fleet) read(text []byte) (*membership.Word, error) {
+func (f *fleet) read(text []byte) (*membership.Update, error) {
 	var s savedFleet
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("saved list: %w", err)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("saved %w", err)
 	}
-	return &membership.Word{Source: membership.Saved, Version: s.Version, Whole: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Lines: lines}, nil
+	return &membership.Update{Source: membership.Saved, Version: s.Version, Full: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Lines: lines}, nil
 }
 
 // run offers what was saved if the list service has not spoken in time, and writes the list down as it changes, until
@@ -99,7 +99,7 @@
 	}
 	if f.saved != nil {
 		select {
-		case <-time.After(session.Duration(membership.SavedAfter)):
+		case <-time.After(session.Duration(membership.SavedListDelay)):
 		case <-ctx.Done():
 			return nil
 		}
@@ -133,7 +133,7 @@
 func (f *fleet) save(ctx context.Context) {
 	type kept struct {
 		version int64
-		lines   []membership.Line
+		lines   []membership.Entry
 		heard   bool
 	}
 	got := make(chan kept, 1)
@@ -186,14 +186,14 @@
 
 // believed answers with what the front believes.
 func (f *Front) believed(w http.ResponseWriter, r *http.Request) {
-	got := make(chan []membership.Belief, 1)
+	got := make(chan []membership.NodeState, 1)
 	f.runner.Post(func(now int64, c *session.Core) { got <- c.NodeStates(now) })
 	select {
 	case all := <-got:
 		out := []FleetNode{}
 		for _, b := range all {
-			l := nodes.FormatLine(b.Line, &f.set.Service)
-			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Use: b.Use, Why: b.Why, By: b.By.String(),
+			l := nodes.FormatLine(b.Entry, &f.set.Service)
+			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Use: b.Usable, Why: b.Reason, By: b.Source.String(),
 				AgeMs: b.Age / decision.Millisecond, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -120,9 +120,9 @@
 	mux.HandleFunc("GET /readyz", f.ready)
 	mux.HandleFunc("GET "+FleetPath, f.believed)
 	mux.Handle("GET /metrics", f.metrics())
-	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(admission.HeaderFor),
-		IdleTimeout: session.Duration(admission.IdleFor), MaxHeaderBytes: 16 << 10,
-		WriteTimeout: time.Duration(service.LongestMs()*float64(time.Millisecond)) + session.Duration(admission.AnswerFor)}
+	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(admission.HeaderTimeout),
+		IdleTimeout: session.Duration(admission.IdleTimeout), MaxHeaderBytes: 16 << 10,
+		WriteTimeout: time.Duration(service.LongestMs()*float64(time.Millisecond)) + session.Duration(admission.WriteTimeout)}
 	return f, nil
 }
 
--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	Beat       = 1 * decision.Second        // a node says something at least this often
-	Lease      = 6 * decision.Second        // a node keeps the plays of a front that it doesn't hear from so long
-	SilentFor  = 3 * Beat                   // two lost beats are chance, three are a broken stream
-	margin     = 2 * decision.Second        // over the lease: a beat on its way and a busy machine
-	retryLeast = 100 * decision.Millisecond // pause before the first dial after a break
-	retryMost  = 2 * decision.Second        // and at most: well under the lease, so that a short cut ends no play
-	ConnectFor = 250 * decision.Millisecond // a dial that takes longer failed: a machine on the same site answers in a few
-	ProbeFor   = 250 * decision.Millisecond // a probe's answer is old after that
-	CallFor    = 1 * decision.Second        // rungs and ends: a node that takes longer is asked again
-	CallTries  = 3                          // then the next word of its stream tells what it runs
-	callPause  = 100 * decision.Millisecond // before the second try, doubled for the third
-	firstEach  = 2 * decision.Millisecond   // first dials are spread over this for each node listed
-	firstMost  = 1 * decision.Second        // and over no more: a front waits for them before it takes plays
-	startLeast = 100 * decision.Millisecond // a fresh front hears the list at least so long before it takes plays
-	startMost  = Lease + margin             // then what it held before has ended wherever it could not ask
+	HeartbeatInterval = 1 * decision.Second        // a node says something at least this often
+	Lease             = 6 * decision.Second        // a node keeps the plays of a front that it doesn't hear from so long
+	SilenceTimeout    = 3 * HeartbeatInterval      // two lost beats are chance, three are a broken stream
+	margin            = 2 * decision.Second        // over the lease: a beat on its way and a busy machine
+	retryLeast        = 100 * decision.Millisecond // pause before the first dial after a break
+	retryMost         = 2 * decision.Second        // and at most: well under the lease, so that a short cut ends no play
+	ConnectTimeout    = 250 * decision.Millisecond // a dial that takes longer failed: a machine on the same site answers in a few
+	ProbeTimeout      = 250 * decision.Millisecond // a probe's answer is old after that
+	CallTimeout       = 1 * decision.Second        // rungs and ends: a node that takes longer is asked again
+	MaxCallAttempts   = 3                          // then the next word of its stream tells what it runs
+	callPause         = 100 * decision.Millisecond // before the second try, doubled for the third
+	firstEach         = 2 * decision.Millisecond   // first dials are spread over this for each node listed
+	firstMost         = 1 * decision.Second        // and over no more: a front waits for them before it takes plays
+	startLeast        = 100 * decision.Millisecond // a fresh front hears the list at least so long before it takes plays
+	startMost         = Lease + margin             // then what it held before has ended wherever it could not ask
 )
 
 // Stream is what is known of the stream from one node. The zero Stream was never alive.
@@ -42,8 +42,8 @@
 	lost     bool // the plays there were given up since it broke
 }
 
-// Watch follows all streams of one front.
-type Watch struct {
+// Monitor follows all streams of one front.
+type Monitor struct {
 	rnd     pcg.Source
 	began   int64
 	ready   bool
@@ -51,9 +51,9 @@
 }
 
 // New makes a watch at the front's start.
-func New(now int64, seed uint64) *Watch { return &Watch{rnd: pcg.New(seed), began: now} }
+func New(now int64, seed uint64) *Monitor { return &Monitor{rnd: pcg.New(seed), began: now} }
 
-func (w *Watch) of(node int) *Stream {
+func (w *Monitor) of(node int) *Stream {
 	for node >= len(w.streams) {
 		w.streams = append(w.streams, Stream{})
 	}
@@ -61,33 +61,33 @@
 }
 
 // Forget blanks a node's record, so that its number may name another.
-func (w *Watch) Forget(node int) { *w.of(node) = Stream{} }
+func (w *Monitor) Forget(node int) { *w.of(node) = Stream{} }
 
-// Hello says that a stream is alive and has told which plays it runs.
-func (w *Watch) Hello(now int64, node int) {
+// StreamOpened says that a stream is alive and has told which plays it runs.
+func (w *Monitor) StreamOpened(now int64, node int) {
 	*w.of(node) = Stream{alive: true, met: true, heardAt: now}
 }
 
-// First is when a node newly listed is dialled, of so many listed together. Guards against hundreds of
+// FirstDial is when a node newly listed is dialled, of so many listed together. Guards against hundreds of
 // fronts that start at once and dial each node in the same moment.
-func (w *Watch) First(now int64, listed int) int64 {
+func (w *Monitor) FirstDial(now int64, listed int) int64 {
 	return now + int64(w.rnd.Float()*float64(min(firstMost, int64(listed)*firstEach)))
 }
 
-// Heard says that something came on a stream.
-func (w *Watch) Heard(now int64, node int) { w.of(node).heardAt = now }
+// StreamActive says that something came on a stream.
+func (w *Monitor) StreamActive(now int64, node int) { w.of(node).heardAt = now }
 
 // Silent tells that a stream has said nothing for so long that it is to be closed and dialled anew.
-func (w *Watch) Silent(now int64, node int) bool {
+func (w *Monitor) Silent(now int64, node int) bool {
 	s := w.of(node)
-	return s.alive && Quiet(now, s.heardAt)
+	return s.alive && Silent(now, s.heardAt)
 }
 
-// Broke says that a stream ended or a dial failed. It returns when to dial next, and whether the
+// StreamBroke says that a stream ended or a dial failed. It returns when to dial next, and whether the
 // plays there have surely ended: gone says that the node's machine refused the connection, so that no
-// process is there to run them. Pause says how the
+// process is there to run them. Backoff says how the
 // dials are spread.
-func (w *Watch) Broke(now int64, node int, gone bool) (dialAt int64, ended bool) {
+func (w *Monitor) StreamBroke(now int64, node int, gone bool) (dialAt int64, ended bool) {
 	s := w.of(node)
 	if s.alive || s.failures == 0 && s.brokeAt == 0 {
 		s.brokeAt = max(1, s.heardAt)
@@ -96,7 +96,7 @@
 		}
 	}
 	s.alive = false
-	dialAt = now + Pause(s.failures, w.rnd.Float())
+	dialAt = now + Backoff(s.failures, w.rnd.Float())
 	s.failures++
 	if gone {
 		s.met = true
@@ -105,8 +105,8 @@
 	return dialAt, ended
 }
 
-// Expired tells, once, that the plays of a node whose stream stays broken must have ended by now.
-func (w *Watch) Expired(now int64, node int) bool {
+// LeaseExpired tells, once, that the plays of a node whose stream stays broken must have ended by now.
+func (w *Monitor) LeaseExpired(now int64, node int) bool {
 	s := w.of(node)
 	if s.alive || s.lost || s.brokeAt == 0 || now-s.brokeAt < Lease+margin {
 		return false
@@ -119,7 +119,7 @@
 // was met or seen gone, or what it held has ended. Once ready it stays so. Guards against seats
 // counted too low and plays adopted too late after a restart; costs a start of Lease where a node
 // is silent.
-func (w *Watch) Ready(now int64, listed []int) bool {
+func (w *Monitor) Ready(now int64, listed []int) bool {
 	switch age := now - w.began; {
 	case w.ready:
 	case age >= startMost:
@@ -133,16 +133,16 @@
 	return w.ready
 }
 
-// Pause is how long to wait before a stream, from a node or from the list service, is dialled again
+// Backoff is how long to wait before a stream, from a node or from the list service, is dialled again
 // after so many failures in a row: doubling, and drawn between half and all of it by chance, a number
 // from 0 to 1, so that the fronts of one that comes back don't all dial at once.
-func Pause(failures int, chance float64) int64 {
+func Backoff(failures int, chance float64) int64 {
 	pause := min(retryMost, retryLeast<<min(failures, 8))
 	return pause/2 + int64(chance*float64(pause/2))
 }
 
-// Quiet tells that a stream last heard at a time has been silent too long.
-func Quiet(now, heardAt int64) bool { return now-heardAt > SilentFor }
+// Silent tells that a stream last heard at a time has been silent too long.
+func Silent(now, heardAt int64) bool { return now-heardAt > SilenceTimeout }
 
-// CallPause is the pause after so many tries of a call that may be repeated.
-func CallPause(tries int) int64 { return callPause << min(tries, CallTries) }
+// CallBackoff is the pause after so many tries of a call that may be repeated.
+func CallBackoff(tries int) int64 { return callPause << min(tries, MaxCallAttempts) }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -28,14 +28,14 @@
 	vanishShare = 1.0 / 3              // of the fleet: more at once is likelier a mistake of the list than of so many machines
 	vanishLeast = 2                    // of a small fleet so many may go at once
 	vanishFor   = 10 * decision.Second // then it is believed: a list that is wrong by a slip is mended in seconds
-	// SavedAfter is how long a front that starts waits for the list service before it uses what it saved.
-	SavedAfter = 1 * decision.Second
-	savedFresh = 60 * decision.Second // fewer nodes change in a minute than drain within their grace
-	savedOld   = 24 * 3600 * decision.Second
-	admitShare = 1.0 / 8                    // of the fleet in use: so many more are given to the module in one step
-	admitLeast = 4                          // and at least
-	goneFor    = 600 * decision.Second      // a node that is gone is remembered so long, so that no older word brings it back
-	admitEvery = 250 * decision.Millisecond // a step: the module's pace for cold nodes counts plays, not nodes that come at once
+	// SavedListDelay is how long a front that starts waits for the list service before it uses what it saved.
+	SavedListDelay = 1 * decision.Second
+	savedFresh     = 60 * decision.Second // fewer nodes change in a minute than drain within their grace
+	savedOld       = 24 * 3600 * decision.Second
+	admitShare     = 1.0 / 8                    // of the fleet in use: so many more are given to the module in one step
+	admitLeast     = 4                          // and at least
+	goneFor        = 600 * decision.Second      // a node that is gone is remembered so long, so that no older word brings it back
+	admitEvery     = 250 * decision.Millisecond // a step: the module's pace for cold nodes counts plays, not nodes that come at once
 )
 
 // Source is who says something of the fleet; the higher has more authority.
@@ -50,8 +50,8 @@
 
 func (s Source) String() string { return [...]string{"saved list", "file", "list service"}[s] }
 
-// Line is one playout node, by name.
-type Line struct {
+// Entry is one playout node, by name.
+type Entry struct {
 	Name    string
 	Address string // host:port
 	Phase   decision.Phase
@@ -62,17 +62,17 @@
 	Weight  float64
 }
 
-// Word is what a source says: the whole list, or what changed.
-type Word struct {
+// Update is what a source says: the whole list, or what changed.
+type Update struct {
 	Source  Source
 	Version int64 // 0 where the source counts none
-	Whole   bool
+	Full    bool
 	Age     int64 // of what was saved; below 0 where the clock was set back since
-	Lines   []Line
+	Lines   []Entry
 }
 
 type node struct {
-	line     Line
+	line     Entry
 	by       Source
 	saidAt   int64
 	has      [sources]bool // the source's last whole list, and what followed it, has it
@@ -83,7 +83,7 @@
 	partedBy Source
 	missing  int64 // since when a word that is not believed yet leaves it out; 0 is not
 	unsure   bool  // by a word that wants it to confirm itself
-	told     Line  // what the core was last told
+	told     Entry // what the core was last told
 	known    bool  // the core was told anything
 }
 
@@ -103,7 +103,7 @@
 
 // Counts are what the fleet has heard.
 type Counts struct {
-	Words, Old, Back, Doubted, Impostors uint64
+	Updates, Stale, Regressions, Doubted, NameMismatches uint64
 }
 
 // New makes an empty fleet.
@@ -112,8 +112,8 @@
 // Counts returns a copy of what was heard so far.
 func (f *Fleet) Counts() Counts { return f.counts }
 
-// Spoke tells that a source has said anything.
-func (f *Fleet) Spoke(s Source) bool { return f.spoke[s] }
+// HasReported tells that a source has said anything.
+func (f *Fleet) HasReported(s Source) bool { return f.spoke[s] }
 
 // Usable says how a list that was saved may serve, by its age: not at all, or only nodes that confirm themselves. An age
 // below 0 tells of a clock that was set back, so that it is not known.
@@ -127,9 +127,9 @@
 	return true, false
 }
 
-// Hear takes a source's word, and tells whether it is one that counts: not older than what the same source said.
-func (f *Fleet) Hear(now int64, w Word) bool {
-	f.counts.Words++
+// Apply takes a source's word, and tells whether it is one that counts: not older than what the same source said.
+func (f *Fleet) Apply(now int64, w Update) bool {
+	f.counts.Updates++
 	unsure := false
 	if w.Source == Saved {
 		var use bool
@@ -140,11 +140,11 @@
 	back := w.Version > 0 && w.Version < f.top[w.Source] // behind what the source once said
 	if w.Version > 0 && f.spoke[w.Source] {
 		switch have := f.version[w.Source]; {
-		case !w.Whole && w.Version <= have:
-			f.counts.Old++
+		case !w.Full && w.Version <= have:
+			f.counts.Stale++
 			return false
-		case w.Whole && w.Version < have:
-			f.counts.Back++
+		case w.Full && w.Version < have:
+			f.counts.Regressions++
 		}
 	}
 	f.top[w.Source] = max(f.top[w.Source], w.Version)
@@ -154,14 +154,14 @@
 		in[l.Name] = true
 		f.line(now, w, l, unsure, back)
 	}
-	if w.Whole {
+	if w.Full {
 		f.absent(now, w, in, back)
 	}
 	return true
 }
 
 // line takes one line of a word in.
-func (f *Fleet) line(now int64, w Word, l Line, unsure, back bool) {
+func (f *Fleet) line(now int64, w Update, l Entry, unsure, back bool) {
 	i, ok := f.at[l.Name]
 	if !ok {
 		i = len(f.nodes) // one that is gone too: no older word may bring it
@@ -205,7 +205,7 @@
 }
 
 // absent judges the nodes that a whole list leaves out.
-func (f *Fleet) absent(now int64, w Word, in map[string]bool, back bool) {
+func (f *Fleet) absent(now int64, w Update, in map[string]bool, back bool) {
 	var out []int
 	known := 0
 	for i := range f.nodes {
@@ -240,8 +240,8 @@
 	n.line.Phase, n.parted, n.partedBy, n.missing = decision.Gone, true, by, 0
 }
 
-// Answered says that a node's stream is open and that the process there calls itself so.
-func (f *Fleet) Answered(now int64, name, calls string) {
+// Confirmed says that a node's stream is open and that the process there calls itself so.
+func (f *Fleet) Confirmed(now int64, name, calls string) {
 	i, ok := f.at[name]
 	if !ok {
 		return
@@ -249,7 +249,7 @@
 	n := &f.nodes[i]
 	if calls != "" && calls != name {
 		if n.name != calls {
-			f.counts.Impostors++
+			f.counts.NameMismatches++
 		}
 		n.name, n.alive = calls, false
 		return
@@ -257,8 +257,8 @@
 	n.name, n.alive, n.met = "", true, true
 }
 
-// Broke says that a node's stream is not open any more.
-func (f *Fleet) Broke(now int64, name string) {
+// Disconnected says that a node's stream is not open any more.
+func (f *Fleet) Disconnected(now int64, name string) {
 	if i, ok := f.at[name]; ok {
 		f.nodes[i].alive = false
 	}
@@ -285,7 +285,7 @@
 
 // Due brings what the core is to be told now: the nodes that changed, in the order in which they were first heard of, those
 // that are given new plays not all at once. wake is when to ask again; 0 if a word or a node must change something first.
-func (f *Fleet) Due(now int64) (lines []Line, wake int64) {
+func (f *Fleet) Due(now int64) (lines []Entry, wake int64) {
 	fresh := 0
 	for i := range f.nodes {
 		n := &f.nodes[i]
@@ -355,38 +355,38 @@
 	f.nodes = kept
 }
 
-// Belief is what is believed of one node, and why.
-type Belief struct {
-	Line
-	Use   bool
-	Why   string // where it is not used, or only just
-	By    Source
-	Age   int64 // of the last word on it
-	Alive bool
+// NodeState is what is believed of one node, and why.
+type NodeState struct {
+	Entry
+	Usable bool
+	Reason string // where it is not used, or only just
+	Source Source
+	Age    int64 // of the last word on it
+	Alive  bool
 }
 
-// Beliefs are what is believed of all nodes, by their names.
-func (f *Fleet) Beliefs(now int64) []Belief {
-	out := make([]Belief, 0, len(f.nodes))
+// NodeStates are what is believed of all nodes, by their names.
+func (f *Fleet) NodeStates(now int64) []NodeState {
+	out := make([]NodeState, 0, len(f.nodes))
 	for i := range f.nodes {
 		n := &f.nodes[i]
-		b := Belief{Line: n.line, By: n.by, Age: now - n.saidAt, Alive: n.alive}
-		b.Phase, b.Why = f.phase(n)
-		b.Use = b.Phase == decision.Ready && n.given()
-		if b.Phase == decision.Ready && !b.Use {
-			b.Why = "waits to be admitted, as many come at once"
+		b := NodeState{Entry: n.line, Source: n.by, Age: now - n.saidAt, Alive: n.alive}
+		b.Phase, b.Reason = f.phase(n)
+		b.Usable = b.Phase == decision.Ready && n.given()
+		if b.Phase == decision.Ready && !b.Usable {
+			b.Reason = "waits to be admitted, as many come at once"
 		}
 		out = append(out, b)
 	}
-	slices.SortFunc(out, func(a, b Belief) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b NodeState) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// Keep is what is worth writing down: the nodes that may be used or drain, as the highest source says.
-func (f *Fleet) Keep() (version int64, lines []Line) {
-	for _, b := range f.Beliefs(0) {
-		if b.Line.Phase != decision.Gone {
-			lines = append(lines, b.Line)
+// Snapshot is what is worth writing down: the nodes that may be used or drain, as the highest source says.
+func (f *Fleet) Snapshot() (version int64, lines []Entry) {
+	for _, b := range f.NodeStates(0) {
+		if b.Entry.Phase != decision.Gone {
+			lines = append(lines, b.Entry)
 		}
 	}
 	return f.version[List], lines
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -11,11 +11,11 @@
 
 const now = 1_000_000
 
-func line(i int, phase decision.Phase) Line {
-	return Line{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Phase: phase, Weight: 1}
+func line(i int, phase decision.Phase) Entry {
+	return Entry{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Phase: phase, Weight: 1}
 }
 
-func whole(n int) (lines []Line) {
+func whole(n int) (lines []Entry) {
 	for i := range n {
 		lines = append(lines, line(i, decision.Ready))
 	}
@@ -23,7 +23,7 @@
 }
 
 // core is what a core would make of what it is told.
-type core map[string]Line
+type core map[string]Entry
 
 func (c core) due(f *Fleet, at int64) int64 {
 	lines, wake := f.Due(at)
@@ -44,10 +44,10 @@
 
 func heard(n int) (*Fleet, core) {
 	f, c := New(), core{}
-	f.Hear(now, Word{Source: List, Version: 10, Whole: true, Lines: whole(n)})
+	f.Apply(now, Update{Source: List, Version: 10, Full: true, Lines: whole(n)})
 	c.due(f, now)
 	for i := range n {
-		f.Answered(now, fmt.Sprint("n", i), fmt.Sprint("n", i))
+		f.Confirmed(now, fmt.Sprint("n", i), fmt.Sprint("n", i))
 	}
 	return f, c
 }
@@ -60,21 +60,21 @@
 
 func TestDrainIsNotUndoneByAnOlderOrLowerWord(t *testing.T) {
 	f, c := heard(4)
-	f.Hear(now+1, Word{Source: List, Version: 11, Lines: []Line{line(0, decision.Draining)}})
+	f.Apply(now+1, Update{Source: List, Version: 11, Lines: []Entry{line(0, decision.Draining)}})
 	c.due(f, now+1)
-	for _, w := range []Word{
-		{Source: List, Version: 11, Lines: []Line{line(0, decision.Ready)}}, // repeated with another text
-		{Source: List, Version: 9, Lines: []Line{line(0, decision.Ready)}},  // late
-		{Source: File, Whole: true, Lines: whole(4)},                        // of less authority
-		{Source: List, Version: 5, Whole: true, Lines: whole(4)},            // gone back in time
-		{Source: Saved, Whole: true, Lines: whole(4)},                       // what was
+	for _, w := range []Update{
+		{Source: List, Version: 11, Lines: []Entry{line(0, decision.Ready)}}, // repeated with another text
+		{Source: List, Version: 9, Lines: []Entry{line(0, decision.Ready)}},  // late
+		{Source: File, Full: true, Lines: whole(4)},                          // of less authority
+		{Source: List, Version: 5, Full: true, Lines: whole(4)},              // gone back in time
+		{Source: Saved, Full: true, Lines: whole(4)},                         // what was
 	} {
-		f.Hear(now+2, w)
+		f.Apply(now+2, w)
 		if c.due(f, now+2); c["n0"].Phase != decision.Draining {
 			t.Fatalf("undone by %+v", w)
 		}
 	}
-	f.Hear(now+3, Word{Source: List, Version: 20, Lines: []Line{line(0, decision.Ready)}})
+	f.Apply(now+3, Update{Source: List, Version: 20, Lines: []Entry{line(0, decision.Ready)}})
 	if c.due(f, now+3); c["n0"].Phase != decision.Ready {
 		t.Fatal("a newer word of the list service takes it back")
 	}
@@ -84,15 +84,15 @@
 	f, c := heard(4)
 	l := line(0, decision.Gone)
 	l.Started = 50
-	f.Hear(now, Word{Source: List, Version: 11, Lines: []Line{l}})
+	f.Apply(now, Update{Source: List, Version: 11, Lines: []Entry{l}})
 	c.due(f, now)
 	l.Phase, l.Started = decision.Ready, 900
-	f.Hear(now+1, Word{Source: List, Version: 12, Lines: []Line{l}})
+	f.Apply(now+1, Update{Source: List, Version: 12, Lines: []Entry{l}})
 	if c.due(f, now+1); c["n0"].Phase != decision.Ready || c["n0"].Started != 900 {
 		t.Fatalf("%+v", c["n0"])
 	}
 	l.Started = 100
-	f.Hear(now+2, Word{Source: List, Version: 13, Lines: []Line{l}})
+	f.Apply(now+2, Update{Source: List, Version: 13, Lines: []Entry{l}})
 	if c.due(f, now+2); c["n0"].Started != 900 {
 		t.Fatal("a start went back")
 	}
@@ -100,8 +100,8 @@
 
 func TestEmptyListIsNotBelievedAtOnce(t *testing.T) {
 	f, c := heard(30)
-	f.Broke(now, "n7")
-	f.Hear(now+1, Word{Source: List, Version: 11, Whole: true})
+	f.Disconnected(now, "n7")
+	f.Apply(now+1, Update{Source: List, Version: 11, Full: true})
 	wake := c.due(f, now+1)
 	if c.ready() != 29 || c["n7"].Phase != decision.Gone {
 		t.Fatalf("%d ready, n7 %v: those in touch stay, the other goes", c.ready(), c["n7"].Phase)
@@ -109,11 +109,11 @@
 	if wake != now+1+vanishFor {
 		t.Fatalf("asks again at %d", wake-now)
 	}
-	f.Hear(now+2, Word{Source: List, Version: 12, Whole: true, Lines: whole(30)}) // mended
+	f.Apply(now+2, Update{Source: List, Version: 12, Full: true, Lines: whole(30)}) // mended
 	if c.due(f, now+2); c.ready() != 30 {
 		t.Fatalf("%d ready after it was mended", c.ready())
 	}
-	f.Hear(now+3, Word{Source: List, Version: 13, Whole: true})
+	f.Apply(now+3, Update{Source: List, Version: 13, Full: true})
 	c.due(f, now+3)
 	if c.due(f, now+3+vanishFor); c.ready() != 0 {
 		t.Fatalf("%d ready though it was said for so long", c.ready())
@@ -122,15 +122,15 @@
 
 func TestAFewMayVanishAtOnceAndGoneHoldsAtOnce(t *testing.T) {
 	f, c := heard(30)
-	f.Hear(now, Word{Source: List, Version: 11, Whole: true, Lines: whole(25)})
+	f.Apply(now, Update{Source: List, Version: 11, Full: true, Lines: whole(25)})
 	if c.due(f, now); c.ready() != 25 {
 		t.Fatalf("%d ready", c.ready())
 	}
-	var gone []Line
+	var gone []Entry
 	for i := range 25 {
 		gone = append(gone, line(i, decision.Gone))
 	}
-	f.Hear(now, Word{Source: List, Version: 12, Lines: gone})
+	f.Apply(now, Update{Source: List, Version: 12, Lines: gone})
 	if c.due(f, now); c.ready() != 0 {
 		t.Fatalf("%d ready: what is told as gone is gone, however many", c.ready())
 	}
@@ -145,7 +145,7 @@
 		lines := whole(8)
 		lines[1].Phase = decision.Draining
 		lines[0].Started = 77
-		f.Hear(now, Word{Source: Saved, Version: 5, Whole: true, Age: x.age, Lines: lines})
+		f.Apply(now, Update{Source: Saved, Version: 5, Full: true, Age: x.age, Lines: lines})
 		c.due(f, now)
 		want := x.ready
 		if want > 0 {
@@ -154,7 +154,7 @@
 		if c.ready() != want {
 			t.Errorf("age %d: %d ready, want %d", x.age, c.ready(), want)
 		}
-		f.Answered(now+1, "n0", "n0")
+		f.Confirmed(now+1, "n0", "n0")
 		c.due(f, now+1)
 		if x.spoken == 1 && c.ready() != 1 {
 			t.Errorf("age %d: %d ready after one answered", x.age, c.ready())
@@ -163,14 +163,14 @@
 			t.Errorf("age %d: a node of unknown start counts as warm", x.age)
 		}
 		// The list service is back: a third of the fleet was replaced since.
-		f.Hear(now+2, Word{Source: List, Version: 3, Whole: true, Lines: whole(12)[4:]})
+		f.Apply(now+2, Update{Source: List, Version: 3, Full: true, Lines: whole(12)[4:]})
 		for at := int64(now + 2); at < now+2+vanishFor+decision.Second; at += admitEvery {
 			c.due(f, at)
 		}
 		if l, ok := c["n0"]; c.ready() != 8 || ok && l.Phase == decision.Ready {
 			t.Errorf("age %d: %d ready of the live list's 8", x.age, c.ready())
 		}
-		if f.Hear(now+3, Word{Source: Saved, Whole: true, Lines: whole(8)}) {
+		if f.Apply(now+3, Update{Source: Saved, Full: true, Lines: whole(8)}) {
 			t.Error("what was saved counts beside the list service")
 		}
 	}
@@ -178,7 +178,7 @@
 
 func TestHandBackComesInSteps(t *testing.T) {
 	f, c := heard(40)
-	f.Hear(now, Word{Source: List, Version: 11, Whole: true, Lines: whole(5000)})
+	f.Apply(now, Update{Source: List, Version: 11, Full: true, Lines: whole(5000)})
 	at, steps, last := int64(now), 0, 40
 	for c.ready() < 5000 {
 		wake := c.due(f, at)
@@ -195,20 +195,20 @@
 	if took := at - now; steps < 20 || took > 15*decision.Second {
 		t.Fatalf("%d steps", steps)
 	}
-	if before := f.Beliefs(at); len(before) != 5000 || !before[0].Use {
+	if before := f.NodeStates(at); len(before) != 5000 || !before[0].Usable {
 		t.Fatal("beliefs")
 	}
 }
 
 func TestAnAddressThatAnswersWithAnotherName(t *testing.T) {
 	f, c := heard(4)
-	f.Answered(now, "n2", "stranger")
-	if c.due(f, now); c["n2"].Phase != decision.Draining || f.Counts().Impostors != 1 {
+	f.Confirmed(now, "n2", "stranger")
+	if c.due(f, now); c["n2"].Phase != decision.Draining || f.Counts().NameMismatches != 1 {
 		t.Fatalf("%+v", c["n2"])
 	}
 	l := line(2, decision.Ready)
 	l.Address = "moved:1"
-	f.Hear(now, Word{Source: List, Version: 11, Lines: []Line{l}})
+	f.Apply(now, Update{Source: List, Version: 11, Lines: []Entry{l}})
 	if c.due(f, now+admitEvery); c["n2"].Phase != decision.Ready || c["n2"].Address != "moved:1" {
 		t.Fatalf("at its new address: %+v", c["n2"])
 	}
@@ -218,7 +218,7 @@
 	f, c := heard(20)
 	for i := range 60 {
 		at := now + int64(i)*decision.Second
-		f.Hear(at, Word{Source: List, Version: int64(11 + i), Whole: true, Lines: whole(20 * (i % 2))})
+		f.Apply(at, Update{Source: List, Version: int64(11 + i), Full: true, Lines: whole(20 * (i % 2))})
 		if c.due(f, at); c.ready() != 20 {
 			t.Fatalf("second %d: %d ready", i, c.ready())
 		}
@@ -232,17 +232,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 6
 		f, c := New(), core{}
-		truth := map[string]Line{}
-		var said []Word
+		truth := map[string]Entry{}
+		var said []Update
 		version := int64(0)
 		for range rapid.IntRange(1, 25).Draw(t, "words") {
 			version++
 			i := rapid.IntRange(0, n-1).Draw(t, "node")
 			l := line(i, rapid.SampledFrom([]decision.Phase{decision.Ready, decision.Ready, decision.Draining, decision.Gone}).Draw(t, "phase"))
 			truth[l.Name] = l
-			w := Word{Source: List, Version: version, Lines: []Line{l}}
+			w := Update{Source: List, Version: version, Lines: []Entry{l}}
 			if rapid.IntRange(0, 4).Draw(t, "whole") == 0 {
-				w.Whole, w.Lines = true, nil
+				w.Full, w.Lines = true, nil
 				for k := range n {
 					if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != decision.Gone {
 						w.Lines = append(w.Lines, x)
@@ -253,9 +253,9 @@
 		}
 		at := int64(now)
 		newest, stopped := int64(0), map[string]int64{} // the version that stopped a node
-		hear := func(w Word) {
+		hear := func(w Update) {
 			at += 100
-			counts := f.Hear(at, w)
+			counts := f.Apply(at, w)
 			if w.Version > newest && !counts {
 				t.Fatalf("version %d after %d does not count", w.Version, newest)
 			}
@@ -280,7 +280,7 @@
 			hear(said[rapid.IntRange(0, len(said)-1).Draw(t, "which")])
 		}
 		version++
-		final := Word{Source: List, Version: version, Whole: true}
+		final := Update{Source: List, Version: version, Full: true}
 		for k := range n {
 			if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != decision.Gone {
 				final.Lines = append(final.Lines, x)
@@ -309,7 +309,7 @@
 			lines := whole(n)
 			f := New()
 			for i := range b.N {
-				f.Hear(now+int64(i), Word{Source: List, Version: int64(i + 1), Whole: true, Lines: lines})
+				f.Apply(now+int64(i), Update{Source: List, Version: int64(i + 1), Full: true, Lines: lines})
 				f.Due(now + int64(i))
 			}
 		})
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -78,19 +78,19 @@
 	log zerolog.Logger) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{name: name, epoch: epoch, report: report, names: names, runner: r, secure: secure, log: log,
-		sendFor: min(session.Duration(liveness.ConnectFor), max(graceLeast, time.Duration(graceShare*float64(grace)))),
+		sendFor: min(session.Duration(liveness.ConnectTimeout), max(graceLeast, time.Duration(graceShare*float64(grace)))),
 		slots:   make(chan struct{}, callsAtOne), ctx: ctx, cancel: cancel,
 		setUps: map[session.Ref]context.CancelCauseFunc{}, dialled: map[int]*dial{}}
 	dialFor := func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, session.Duration(liveness.ConnectFor))
+		ctx, cancel := context.WithTimeout(ctx, session.Duration(liveness.ConnectTimeout))
 		defer cancel()
 		return c.dial(ctx, address)
 	}
 	// Scheme http with a dialer that does TLS itself keeps set-ups and all else on one way to the nodes.
-	c.calls = http.Client{Timeout: session.Duration(liveness.CallFor), Transport: &http.Transport{
+	c.calls = http.Client{Timeout: session.Duration(liveness.CallTimeout), Transport: &http.Transport{
 		DialContext: dialFor, MaxIdleConnsPerHost: 4, IdleConnTimeout: 15 * time.Second}}
 	c.streams = http.Client{Transport: &http.Transport{DialContext: dialFor, DisableKeepAlives: true,
-		ResponseHeaderTimeout: session.Duration(liveness.CallFor)}}
+		ResponseHeaderTimeout: session.Duration(liveness.CallTimeout)}}
 	return c
 }
 
@@ -300,12 +300,12 @@
 			return
 		}
 		var err error
-		for try := range liveness.CallTries {
+		for try := range liveness.MaxCallAttempts {
 			if err = c.call(method, target, body); err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return
 			}
 			select {
-			case <-time.After(session.Duration(liveness.CallPause(try))):
+			case <-time.After(session.Duration(liveness.CallBackoff(try))):
 			case <-c.ctx.Done():
 				return
 			}
@@ -334,7 +334,7 @@
 // Probe asks a node for its load.
 func (c *Client) Probe(node int, address string) {
 	c.spawn(func() {
-		ctx, cancel := context.WithTimeout(c.ctx, session.Duration(liveness.ProbeFor))
+		ctx, cancel := context.WithTimeout(c.ctx, session.Duration(liveness.ProbeTimeout))
 		defer cancel()
 		how, load := c.probe(ctx, address)
 		c.runner.Post(func(now int64, core *session.Core) { core.ProbeEnded(now, node, how, load) })
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -137,7 +137,7 @@
 			failures = 0
 		}
 		l.Log.Warn().Err(err).Int64("version", version).Msg("list service out of reach; the last list holds")
-		pause := session.Duration(liveness.Pause(failures, rnd.Float()))
+		pause := session.Duration(liveness.Backoff(failures, rnd.Float()))
 		failures++
 		select {
 		case <-time.After(pause):
@@ -155,8 +155,8 @@
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
-	transport := &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: session.Duration(liveness.CallFor),
-		DialContext: (&net.Dialer{Timeout: session.Duration(liveness.ConnectFor)}).DialContext}
+	transport := &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: session.Duration(liveness.CallTimeout),
+		DialContext: (&net.Dialer{Timeout: session.Duration(liveness.ConnectTimeout)}).DialContext}
 	resp, err := (&http.Client{Transport: transport}).Do(req)
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
@@ -165,12 +165,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("list service: %s", resp.Status)
 	}
-	quiet := time.AfterFunc(session.Duration(liveness.SilentFor), cancel) // a dead peer says nothing, not even that
+	quiet := time.AfterFunc(session.Duration(liveness.SilenceTimeout), cancel) // a dead peer says nothing, not even that
 	defer quiet.Stop()
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, lineMost)
 	for lines.Scan() {
-		quiet.Reset(session.Duration(liveness.SilentFor))
+		quiet.Reset(session.Duration(liveness.SilenceTimeout))
 		c, listed, err := ParseChange(lines.Bytes(), l.Set, l.Runner.Clock())
 		if err != nil {
 			return err
@@ -184,7 +184,7 @@
 			return fmt.Errorf("list service: version %d came after %d", c.Version, have)
 		}
 		*version = c.Version
-		word := membership.Word{Source: membership.List, Version: c.Version, Whole: c.Whole, Lines: listed}
+		word := membership.Update{Source: membership.List, Version: c.Version, Full: c.Whole, Lines: listed}
 		l.Runner.Post(func(now int64, core *session.Core) { core.UpdateMembership(now, word) })
 	}
 	if err := lines.Err(); err != nil {
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -13,30 +13,30 @@
 // ended at its node, and what is over is never taken up again.
 package recovery
 
-// Standing is what the front holds of a play when a node speaks of it.
-type Standing uint8
+// State is what the front holds of a play when a node speaks of it.
+type State uint8
 
 const (
-	Unknown   Standing = iota // no record of it, and not in hand
-	Recorded                  // taken over by record, not yet confirmed by its node
-	Held                      // in hand at this node, with this allocation
-	Elsewhere                 // in hand, but with another allocation or at another node, or not placed now
-	Over                      // it ended, and this is remembered
+	Unknown   State = iota // no record of it, and not in hand
+	Recorded               // taken over by record, not yet confirmed by its node
+	Held                   // in hand at this node, with this allocation
+	Elsewhere              // in hand, but with another allocation or at another node, or not placed now
+	Over                   // it ended, and this is remembered
 )
 
-// Verdict is what to do about a play that a node runs.
-type Verdict uint8
+// Action is what to do about a play that a node runs.
+type Action uint8
 
 const (
-	Nothing Verdict = iota // it is as known
-	Confirm                // take the node's word for its life, rung and mark
-	Adopt                  // take it over: its seat counts from now on
-	End                    // end it at the node
+	Nothing Action = iota // it is as known
+	Confirm               // take the node's word for its life, rung and mark
+	Adopt                 // take it over: its seat counts from now on
+	End                   // end it at the node
 )
 
-// Told judges a play that a node says it runs. older: it was set up by an earlier life of this front. known: this
+// Reconcile judges a play that a node says it runs. older: it was set up by an earlier life of this front. known: this
 // front still has its product.
-func Told(s Standing, older, known bool) Verdict {
+func Reconcile(s State, older, known bool) Action {
 	switch s {
 	case Held:
 		return Nothing
@@ -52,26 +52,26 @@
 	return End
 }
 
-// Missing judges a play in hand that a node does not name among those it runs. sameLife: the process that was
+// MissingIsOver judges a play in hand that a node does not name among those it runs. sameLife: the process that was
 // to run it is the one that speaks. before: the node's count says that it was set up before it spoke, so that
 // its word covers the play. The play is over if the word covers it; a set-up that crossed with the word is not.
-func Missing(sameLife, before bool) (over bool) { return !sameLife || before }
+func MissingIsOver(sameLife, before bool) (over bool) { return !sameLife || before }
 
-// Right is what a viewer gets who asks, without a token, for what an unheard play of an earlier life is of.
-type Right uint8
+// Resolution is what a viewer gets who asks, without a token, for what an unheard play of an earlier life is of.
+type Resolution uint8
 
 const (
-	Fresh  Right = iota // a play of its own
-	Resume              // the play that runs already: its answer was lost with the earlier life
-	Wait                // come back soon: it may run, and giving another could give two
+	Fresh  Resolution = iota // a play of its own
+	Resume                   // the play that runs already: its answer was lost with the earlier life
+	Wait                     // come back soon: it may run, and giving another could give two
 )
 
-// Asked judges a viewer's fresh request for the same title and product as a play of an earlier life.
+// ResolveRequest judges a viewer's fresh request for the same title and product as a play of an earlier life.
 //
 // Guards against the crash between a set-up and its answer: the viewer, who was told nothing, asks again, and
 // would hold two seats and pay for two plays. Could harm a viewer who opens the same title on a second screen
 // within moments of a crash: it gets the same play, which the node delivers to both.
-func Asked(s Standing, heard, kept bool) Right {
+func ResolveRequest(s State, heard, kept bool) Resolution {
 	switch {
 	case heard || !kept: // its viewer has it, or it may be doubled without harm
 		return Fresh
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -17,20 +17,20 @@
 				case s == Unknown && older && known:
 					want = Adopt
 				}
-				if got := Told(s, older, known); got != want {
+				if got := Reconcile(s, older, known); got != want {
 					t.Errorf("standing %d, older %v, known %v: %d, want %d", s, older, known, got, want)
 				}
 			}
 		}
 	}
-	if Missing(true, false) || !Missing(true, true) || !Missing(false, false) {
+	if MissingIsOver(true, false) || !MissingIsOver(true, true) || !MissingIsOver(false, false) {
 		t.Error("only a word that covers the play ends it, or another process's")
 	}
 }
 
 func TestWhoAsksAgain(t *testing.T) {
 	for s := Unknown; s <= Over; s++ {
-		if Asked(s, true, true) != Fresh || Asked(s, false, false) != Fresh {
+		if ResolveRequest(s, true, true) != Fresh || ResolveRequest(s, false, false) != Fresh {
 			t.Errorf("standing %d: heard, or of no record", s)
 		}
 		want := Fresh
@@ -39,7 +39,7 @@
 		} else if s == Recorded {
 			want = Wait
 		}
-		if got := Asked(s, false, true); got != want {
+		if got := ResolveRequest(s, false, true); got != want {
 			t.Errorf("standing %d, unheard: %d, want %d", s, got, want)
 		}
 	}
--- a/session/core.go
+++ b/session/core.go
@@ -75,7 +75,7 @@
 }
 
 // NodeEntry is one line of the list of playout nodes, by name.
-type NodeEntry = membership.Line
+type NodeEntry = membership.Entry
 
 // Running is a play that a node reports as running for this front.
 type Running struct {
@@ -216,7 +216,7 @@
 	epoch    int64
 	mod      decision.Policy
 	out      Transport
-	watch    *liveness.Watch
+	watch    *liveness.Monitor
 	fleet    *membership.Fleet
 	fleetAt  int64 // when the fleet is to be asked again; 0 is not by itself
 	n        uint64
@@ -284,7 +284,7 @@
 			c.out.PlayFinished(e.Play, max(0, e.Product), playlog.Broken)
 		case c.plays[e.Play] == nil:
 			p := c.adopt(now, at, 0, 0, e.Running)
-			if recovery.Asked(recovery.Recorded, e.Answered, true) != recovery.Fresh {
+			if recovery.ResolveRequest(recovery.Recorded, e.Answered, true) != recovery.Fresh {
 				c.unheard[p.ask.key()] = p
 			}
 		}
@@ -308,7 +308,7 @@
 	if p == nil {
 		return false
 	}
-	switch recovery.Asked(c.standing(p.id, Ref{p.id, p.try, p.node}), false, true) {
+	switch recovery.ResolveRequest(c.standing(p.id, Ref{p.id, p.try, p.node}), false, true) {
 	case recovery.Resume:
 		p.follow(a.OnEvent)
 		if a.Reply.Resolve(c.answer(p, "plays already")) {
@@ -336,7 +336,7 @@
 }
 
 // standing is what is held of an allocation that a node speaks of.
-func (c *Core) standing(id string, r Ref) recovery.Standing {
+func (c *Core) standing(id string, r Ref) recovery.State {
 	switch p := c.plays[id]; {
 	case p == nil && c.ended[id].how != "":
 		return recovery.Over
@@ -604,17 +604,17 @@
 	if at >= len(c.nodes) || !c.nodes[at].followed {
 		return
 	}
-	c.fleet.Answered(now, c.nodes[at].name, calls)
+	c.fleet.Confirmed(now, c.nodes[at].name, calls)
 	defer c.learn(now)
 	if calls != "" && calls != c.nodes[at].name { // another node at its address: what that one runs is no business of this one's
 		return
 	}
-	c.watch.Hello(now, at)
+	c.watch.StreamOpened(now, at)
 	c.nodes[at].life = life
 	still := make(map[string]bool, len(runs))
 	for _, r := range runs {
 		still[r.Play] = true
-		switch recovery.Told(c.standing(r.Play, Ref{r.Play, r.Attempt, at}), r.Epoch < c.epoch, r.Product >= 0) {
+		switch recovery.Reconcile(c.standing(r.Play, Ref{r.Play, r.Attempt, at}), r.Epoch < c.epoch, r.Product >= 0) {
 		case recovery.Confirm:
 			p := c.plays[r.Play]
 			p.life, p.mark, p.seq, p.rung = life, mark, r.Seq, r.Rung
@@ -626,7 +626,7 @@
 		}
 	}
 	for _, p := range c.runningAt(at) {
-		if !still[p.id] && recovery.Missing(p.life == life, p.mark <= mark) {
+		if !still[p.id] && recovery.MissingIsOver(p.life == life, p.mark <= mark) {
 			c.PlayEnded(now, Ref{p.id, p.try, at}, decision.ConnectionLost)
 		}
 	}
@@ -657,7 +657,7 @@
 }
 
 // StreamActive says that something came on a node's stream.
-func (c *Core) StreamActive(now int64, at int) { c.watch.Heard(now, at) }
+func (c *Core) StreamActive(now int64, at int) { c.watch.StreamActive(now, at) }
 
 // StreamBroke says that a stream ended or could not be opened; gone, that the connection was refused
 // outright, so that no process is there.
@@ -665,9 +665,9 @@
 	if at >= len(c.nodes) || !c.nodes[at].followed {
 		return
 	}
-	c.fleet.Broke(now, c.nodes[at].name)
+	c.fleet.Disconnected(now, c.nodes[at].name)
 	defer c.learn(now)
-	dialAt, ended := c.watch.Broke(now, at, gone)
+	dialAt, ended := c.watch.StreamBroke(now, at, gone)
 	if ended {
 		c.loseAll(now, at)
 	}
@@ -705,24 +705,24 @@
 
 // UpdateList brings the whole list of nodes, or what changed of it, from a list service that counts no versions.
 func (c *Core) UpdateList(now int64, lines []NodeEntry, whole bool) {
-	c.UpdateMembership(now, membership.Word{Source: membership.List, Whole: whole, Lines: lines})
+	c.UpdateMembership(now, membership.Update{Source: membership.List, Full: whole, Lines: lines})
 }
 
 // UpdateMembership brings what a source says of the fleet, and tells whether it counts.
-func (c *Core) UpdateMembership(now int64, w membership.Word) bool {
-	counts := c.fleet.Hear(now, w)
+func (c *Core) UpdateMembership(now int64, w membership.Update) bool {
+	counts := c.fleet.Apply(now, w)
 	c.learn(now)
 	return counts
 }
 
 // NodeStates are what the front believes of its fleet.
-func (c *Core) NodeStates(now int64) []membership.Belief { return c.fleet.Beliefs(now) }
+func (c *Core) NodeStates(now int64) []membership.NodeState { return c.fleet.NodeStates(now) }
 
 // ListReceived tells that the list service has spoken in this life.
-func (c *Core) ListReceived() bool { return c.fleet.Spoke(membership.List) }
+func (c *Core) ListReceived() bool { return c.fleet.HasReported(membership.List) }
 
 // ListSnapshot is the list as it is worth writing down.
-func (c *Core) ListSnapshot() (version int64, lines []NodeEntry) { return c.fleet.Keep() }
+func (c *Core) ListSnapshot() (version int64, lines []NodeEntry) { return c.fleet.Snapshot() }
 
 // learn takes over what the roster believes now.
 func (c *Core) learn(now int64) {
@@ -754,7 +754,7 @@
 		}
 		n.address = l.Address
 		if !n.followed && n.listed {
-			c.follow(now, at, c.watch.First(now, len(lines)))
+			c.follow(now, at, c.watch.FirstDial(now, len(lines)))
 		}
 		c.list = append(c.list, decision.Node{Index: at, Phase: l.Phase, Kind: l.Kind, Zone: l.Zone, Cell: l.Cell,
 			Started: l.Started, Weight: l.Weight, Key: decision.Key(n.name)})
@@ -801,7 +801,7 @@
 		if n.followed && c.watch.Silent(now, at) {
 			c.out.CloseStream(at)
 		}
-		if c.watch.Expired(now, at) {
+		if c.watch.LeaseExpired(now, at) {
 			c.loseAll(now, at)
 		}
 		if !n.listed && n.plays == 0 && !n.probing {
@@ -828,7 +828,7 @@
 func (c *Core) BeginShutdown(now, end int64) {
 	c.parting = true
 	for _, p := range c.unanswered() {
-		c.giveUp(now, p, shutdown.Judge(now, end, c.request(p)))
+		c.giveUp(now, p, shutdown.Decide(now, end, c.request(p)))
 	}
 }
 
@@ -842,11 +842,11 @@
 
 // ReleasePlays lets the plays that play go, one by one up to a time, as nobody takes this front's place.
 func (c *Core) ReleasePlays(now, end int64) {
-	var plays []shutdown.Playing
+	var plays []shutdown.Play
 	var ids []string
 	for i, p := range c.places {
 		if p != nil && p.stage == playing {
-			plays = append(plays, shutdown.Playing{Importance: c.importance(p.ask.Product), Key: i})
+			plays = append(plays, shutdown.Play{Importance: c.importance(p.ask.Product), Key: i})
 			ids = append(ids, p.id)
 		}
 	}
@@ -877,7 +877,7 @@
 }
 
 func (c *Core) request(p *play) shutdown.Request {
-	return shutdown.Request{Limit: p.ask.Deadline, Paid: c.paid(p.ask.Product), Out: p.stage == settingUp, MayHave: p.mayHave}
+	return shutdown.Request{Deadline: p.ask.Deadline, Paid: c.paid(p.ask.Product), InFlight: p.stage == settingUp, MayHaveRun: p.mayHave}
 }
 
 func (c *Core) giveUp(now int64, p *play, v shutdown.Verdict) {
--- a/session/runner.go
+++ b/session/runner.go
@@ -42,7 +42,7 @@
 // Ticks turns a duration into the clock's ticks.
 func Ticks(d time.Duration) int64 { return int64(d / (100 * time.Microsecond)) }
 
-// Runner runs a Core on one goroutine. Requests come through the intake gate, all else as events;
+// Runner runs a Core on one goroutine. Requests come through the admission queue, all else as events;
 // events go first, as they free what requests wait for.
 type Runner struct {
 	clock  *Clock
@@ -52,15 +52,15 @@
 	done   chan struct{}
 
 	mu   sync.Mutex
-	gate *admission.Gate
+	gate *admission.Queue
 	shut bool
-	turn uint64 // requests turned away at the gate
+	turn uint64 // requests turned away at admission
 
 	busy atomic.Int64 // nanoseconds that the core worked
 }
 
 // NewRunner makes a runner; Run runs it. The core must not be used by anyone else.
-func NewRunner(clock *Clock, gate *admission.Gate) *Runner {
+func NewRunner(clock *Clock, gate *admission.Queue) *Runner {
 	return &Runner{clock: clock, gate: gate, events: make(chan func(int64, *Core), eventsHeld),
 		poke: make(chan struct{}, 1), done: make(chan struct{})}
 }
@@ -89,18 +89,18 @@
 // The result withdraws it: the caller must call it if it stops waiting before the answer.
 func (r *Runner) RequestPlay(a Request, client string, importance float64) (withdraw func()) {
 	now := r.clock.Now()
-	w := &admission.Ask{Importance: importance, Limit: a.Deadline, Client: client, Value: a}
+	w := &admission.Request{Importance: importance, Deadline: a.Deadline, Client: client, Value: a}
 	r.mu.Lock()
-	var turned []*admission.Turned
+	var turned []*admission.Rejection
 	if r.shut {
-		turned = append(turned, r.gate.Refuse(w, admission.Ending))
+		turned = append(turned, r.gate.Reject(w, admission.ShuttingDown))
 	} else {
 		v, back, gone := r.gate.Offer(now, w)
 		if gone != nil {
 			turned = append(turned, gone)
 		}
-		if v != admission.Waits {
-			turned = append(turned, &admission.Turned{Ask: w, Why: v, ComeBack: back})
+		if v != admission.Queued {
+			turned = append(turned, &admission.Rejection{Request: w, Reason: v, RetryAfter: back})
 		}
 	}
 	r.turn += uint64(len(turned))
@@ -122,18 +122,18 @@
 	}
 }
 
-func turnAway(t *admission.Turned) {
-	t.Ask.Value.(Request).Reply.Resolve(Answer{Verdict: Declined, Reason: t.Why.String(), RetryAfter: t.ComeBack})
+func turnAway(t *admission.Rejection) {
+	t.Request.Value.(Request).Reply.Resolve(Answer{Verdict: Declined, Reason: t.Reason.String(), RetryAfter: t.RetryAfter})
 }
 
-// Rejected is how many requests were turned away at the gate, and how many wait there.
+// Rejected is how many requests were turned away at admission, and how many wait there.
 func (r *Runner) Rejected() (turned uint64, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.turn, r.gate.Len()
 }
 
-// Run runs the core until the context ends, which it must at last, then turns away what still waits at the gate. The clock
+// Run runs the core until the context ends, which it must at last, then turns away what still waits for admission. The clock
 // is read once for each call on the core.
 func (r *Runner) Run(ctx context.Context, core *Core) error {
 	r.core = core
@@ -164,13 +164,13 @@
 	}
 }
 
-// beat tells the gate that the process runs, whatever the core is doing.
+// beat tells the admission queue that the process runs, whatever the core is doing.
 func (r *Runner) beat(ctx context.Context) {
-	every := time.NewTicker(Duration(admission.BeatEvery))
+	every := time.NewTicker(Duration(admission.HeartbeatInterval))
 	defer every.Stop()
 	for {
 		r.mu.Lock()
-		r.gate.Beat(r.clock.Now())
+		r.gate.Heartbeat(r.clock.Now())
 		r.mu.Unlock()
 		select {
 		case <-every.C:
@@ -208,7 +208,7 @@
 				turnAway(late)
 			case a != nil:
 				ask := a.Value.(Request)
-				ask.Deadline = admission.Limit(now, a.Limit)
+				ask.Deadline = admission.Deadline(now, a.Deadline)
 				r.core.RequestPlay(now, ask)
 			default:
 				return
@@ -220,12 +220,12 @@
 	}
 }
 
-// RejectAll turns away what waits at the gate and all that still comes, each with its advice when to come back.
+// RejectAll turns away what waits for admission and all that still comes, each with its advice when to come back.
 func (r *Runner) RejectAll() {
 	for {
 		r.mu.Lock()
 		r.shut = true
-		t := r.gate.TurnAway()
+		t := r.gate.RejectNext()
 		if t != nil {
 			r.turn++
 		}
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -27,24 +27,24 @@
 
 // Request is a request that is not yet answered.
 type Request struct {
-	Limit   int64 // when its client gives up
-	Paid    bool
-	Out     bool // an allocation is out
-	MayHave bool // an earlier one may have run
+	Deadline   int64 // when its client gives up
+	Paid       bool
+	InFlight   bool // an allocation is out
+	MayHaveRun bool // an earlier one may have run
 }
 
 // Deadline is until when a front that is to end at a time waits for the nodes' words.
 func Deadline(end int64) int64 { return end - lastWord }
 
-// Judge decides on a request at a time before the end. One whose set-up is out waits for its node: it may
+// Decide decides on a request at a time before the end. One whose set-up is out waits for its node: it may
 // play, and a paid one is paid for. One that waits for a node's turn is answered at once, as no new set-up
 // is begun.
-func Judge(now, end int64, r Request) Verdict {
-	last := min(Deadline(end), r.Limit)
+func Decide(now, end int64, r Request) Verdict {
+	last := min(Deadline(end), r.Deadline)
 	switch {
-	case r.Out && last-now >= atOnce && now < last:
+	case r.InFlight && last-now >= atOnce && now < last:
 		return Wait
-	case r.Paid && (r.Out || r.MayHave):
+	case r.Paid && (r.InFlight || r.MayHaveRun):
 		return Fail
 	}
 	return Decline
@@ -52,14 +52,14 @@
 
 // Expired decides on a request whose set-up is still out when the front can't wait longer.
 func Expired(r Request) Verdict {
-	if r.Paid && (r.Out || r.MayHave) {
+	if r.Paid && (r.InFlight || r.MayHaveRun) {
 		return Fail
 	}
 	return Decline
 }
 
-// Playing is a play that plays.
-type Playing struct {
+// Play is a play that plays.
+type Play struct {
 	Importance float64
 	Key        int // any number that tells plays apart, for a steady order
 }
@@ -67,7 +67,7 @@
 // Release is when each of some plays is let go by a front that nobody takes over from, least important
 // first, so that their viewers don't all come to the other fronts at once: evenly up to the end, and no faster than
 // the pace unless the end is too near for it. It returns the plays' order and their times.
-func Release(now, end int64, plays []Playing) (order []int, at []int64) {
+func Release(now, end int64, plays []Play) (order []int, at []int64) {
 	order = make([]int, len(plays))
 	for i := range order {
 		order[i] = i
--- a/shutdown/shutdown_test.go
+++ b/shutdown/shutdown_test.go
@@ -15,36 +15,36 @@
 		r    Request
 		want Verdict
 	}{
-		{"waits for a turn", Request{Limit: end}, Decline},
-		{"paid, waits for a turn, never out", Request{Limit: end, Paid: true}, Decline},
-		{"paid, may have run before", Request{Limit: end, Paid: true, MayHave: true}, Fail},
-		{"safe, may have run before", Request{Limit: end, MayHave: true}, Decline},
-		{"out", Request{Limit: end, Out: true}, Wait},
-		{"paid and out", Request{Limit: end, Paid: true, Out: true}, Wait},
-		{"paid and out, its client about to leave", Request{Limit: now + atOnce - 1, Paid: true, Out: true}, Fail},
-		{"out, its client about to leave", Request{Limit: now + atOnce - 1, Out: true}, Decline},
+		{"waits for a turn", Request{Deadline: end}, Decline},
+		{"paid, waits for a turn, never out", Request{Deadline: end, Paid: true}, Decline},
+		{"paid, may have run before", Request{Deadline: end, Paid: true, MayHaveRun: true}, Fail},
+		{"safe, may have run before", Request{Deadline: end, MayHaveRun: true}, Decline},
+		{"out", Request{Deadline: end, InFlight: true}, Wait},
+		{"paid and out", Request{Deadline: end, Paid: true, InFlight: true}, Wait},
+		{"paid and out, its client about to leave", Request{Deadline: now + atOnce - 1, Paid: true, InFlight: true}, Fail},
+		{"out, its client about to leave", Request{Deadline: now + atOnce - 1, InFlight: true}, Decline},
 	} {
-		if got := Judge(now, end, c.r); got != c.want {
+		if got := Decide(now, end, c.r); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
-	if got := Judge(end-lastWord, end, Request{Limit: end + 1, Paid: true, Out: true}); got != Fail {
+	if got := Decide(end-lastWord, end, Request{Deadline: end + 1, Paid: true, InFlight: true}); got != Fail {
 		t.Errorf("at the deadline: %v", got)
 	}
-	if Expired(Request{Out: true}) != Decline || Expired(Request{Out: true, Paid: true}) != Fail || Expired(Request{Paid: true}) != Decline {
+	if Expired(Request{InFlight: true}) != Decline || Expired(Request{InFlight: true, Paid: true}) != Fail || Expired(Request{Paid: true}) != Decline {
 		t.Error("a paid one that is out may have run, and nothing else")
 	}
 }
 
 func TestPlaysAreLetGoOneByOneTheLeastImportantFirst(t *testing.T) {
-	plays := []Playing{{2, 1}, {1, 2}, {1, 3}, {3, 4}}
+	plays := []Play{{2, 1}, {1, 2}, {1, 3}, {3, 4}}
 	order, at := Release(now, now+10*decision.Second, plays)
 	for i, want := range []int{1, 2, 0, 3} {
 		if order[i] != want || at[i] != now+int64(i)*pace {
 			t.Fatalf("order %v at %v", order, at)
 		}
 	}
-	many := make([]Playing, 1000)
+	many := make([]Play, 1000)
 	if _, at := Release(now, now+decision.Second, many); at[999] > Deadline(now+decision.Second) || at[999]-at[0] < decision.Second/2 {
 		t.Fatalf("the last goes at %d", at[999]-now)
 	}
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -600,7 +600,7 @@
 	if !send(hello) {
 		return
 	}
-	beat := time.NewTicker(session.Duration(liveness.Beat))
+	beat := time.NewTicker(session.Duration(liveness.HeartbeatInterval))
 	defer beat.Stop()
 	for {
 		note := nodes.Note{Kind: nodes.Beat}
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -323,7 +323,7 @@
 	number  int
 	name    string
 	core    *session.Core
-	gate    *admission.Gate
+	gate    *admission.Queue
 	life    int
 	up      bool
 	stopped bool
@@ -396,7 +396,7 @@
 			break
 		}
 		ask := a.Value.(session.Request)
-		ask.Deadline = admission.Limit(s.now, a.Limit)
+		ask.Deadline = admission.Deadline(s.now, a.Deadline)
 		f.core.RequestPlay(s.now, ask)
 	}
 	if at := f.core.WakeAt(); f.wakeDue == 0 || at < f.wakeDue {
@@ -412,13 +412,13 @@
 	}
 }
 
-func (f *simFront) turnAway(t *admission.Turned) {
-	t.Ask.Value.(session.Request).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: t.Why.String(), RetryAfter: t.ComeBack})
+func (f *simFront) turnAway(t *admission.Rejection) {
+	t.Request.Value.(session.Request).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: t.Reason.String(), RetryAfter: t.RetryAfter})
 }
 
 // beat is once a second: the beats of all streams that live, both ways.
 func (f *simFront) beat(life int) {
-	f.sim.after(liveness.Beat, func() {
+	f.sim.after(liveness.HeartbeatInterval, func() {
 		if !f.up || f.life != life {
 			return
 		}
@@ -433,7 +433,7 @@
 					f.core.StreamActive(f.sim.now, k)
 				}
 			}
-			f.gate.Beat(f.sim.now)
+			f.gate.Heartbeat(f.sim.now)
 		}
 		for _, n := range f.streams {
 			if !f.reaches(n) {
@@ -606,7 +606,7 @@
 		case !n.up || !f.reaches(n):
 			how = decision.NoConnect
 		case n.hushed > 0:
-			how, after = decision.NoAnswer, liveness.ProbeFor
+			how, after = decision.NoAnswer, liveness.ProbeTimeout
 		default:
 			load = n.load()
 		}
@@ -628,7 +628,7 @@
 		case !f.reaches(n):
 			f.call(hop, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 		case n.hushed > 0:
-			f.call(liveness.CallFor, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
+			f.call(liveness.CallTimeout, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 		default:
 			f.streams[node] = n
 			n.heard[f.number] = s.now
@@ -832,13 +832,13 @@
 	life := f.life
 	s.after(clientHop, func() {
 		f.run(life, func() {
-			w := &admission.Ask{Importance: v.Product.Importance, Limit: limit, Client: v.Name, Value: a}
+			w := &admission.Request{Importance: v.Product.Importance, Deadline: limit, Client: v.Name, Value: a}
 			verdict, back, gone := f.gate.Offer(s.now, w)
 			if gone != nil {
 				f.turnAway(gone)
 			}
-			if verdict != admission.Waits {
-				f.turnAway(&admission.Turned{Ask: w, Why: verdict, ComeBack: back})
+			if verdict != admission.Queued {
+				f.turnAway(&admission.Rejection{Request: w, Reason: verdict, RetryAfter: back})
 			}
 		})
 	})
