--- a/client/client.go
+++ b/client/client.go
@@ -47,46 +47,46 @@
 // Trace is a request or answer as it crossed the socket.
 type Trace struct {
 	Ticket, Front string
-	Want          Want   // of a request
-	Before        string // the play that its token names
+	Want          Request // of a request
+	Before        string  // the play that its token names
 	Broken        bool
 	Answer        *wsapi.Message // nil for a request
 	Lost          error          // the request has no answer: its front is gone
 }
 
-// Want is what a viewer asks for. Top below 0 is not told; Limit and Length 0 are not.
-type Want struct {
+// Request is what a viewer asks for. Top below 0 is not told; Limit and Length 0 are not.
+type Request struct {
 	Title, Product string
 	Top            int
 	Limit, Length  time.Duration
 	Tries          int // further tries after a decline or a failure
 }
 
-// What an event tells.
-type What uint8
+// EventKind an event tells.
+type EventKind uint8
 
 const (
-	Rung  What = iota // other rungs may be fetched from now on
-	Moved             // it plays elsewhere from now on
-	Away              // it plays nowhere; another place is being asked for
-	Ended             // it is over
+	Rung  EventKind = iota // other rungs may be fetched from now on
+	Moved                  // it plays elsewhere from now on
+	Away                   // it plays nowhere; another place is being asked for
+	Ended                  // it is over
 )
 
 // Event is a change of a play.
 type Event struct {
-	What  What
+	Kind  EventKind
 	Grant playapi.Grant // with Rung and Moved
 	Why   string
 }
 
-// Refused is the error of a request that was answered otherwise than with a play.
-type Refused struct {
+// RefusedError is the error of a request that was answered otherwise than with a play.
+type RefusedError struct {
 	Verdict  string // declined, failed or denied
 	Why      string
 	ComeBack time.Duration
 }
 
-func (r *Refused) Error() string { return r.Verdict + ": " + r.Why }
+func (r *RefusedError) Error() string { return r.Verdict + ": " + r.Why }
 
 // Why a request or play is over without the front's doing.
 var (
@@ -160,7 +160,7 @@
 // Play is one request and the play that comes of it.
 type Play struct {
 	c        *Client
-	want     Want
+	want     Request
 	state    state
 	ticket   string
 	front    int // where it was asked
@@ -178,8 +178,8 @@
 }
 
 // Ask asks for a play and waits until it plays, is refused for good, or the context ends, which withdraws it. The error of
-// a refusal is a *Refused.
-func (c *Client) Ask(ctx context.Context, w Want) (*Play, error) {
+// a refusal is a *RefusedError.
+func (c *Client) Ask(ctx context.Context, w Request) (*Play, error) {
 	p := &Play{c: c, want: w, first: make(chan error, 1), events: make(chan Event, eventsHeld), tries: w.Tries}
 	c.mu.Lock()
 	if c.ctx.Err() != nil {
@@ -189,7 +189,7 @@
 	for _, o := range c.plays {
 		if o.state <= asked && o.want.Title == w.Title && o.want.Product == w.Product {
 			c.mu.Unlock()
-			return nil, &Refused{Verdict: "denied", Why: "the same is being asked for"}
+			return nil, &RefusedError{Verdict: "denied", Why: "the same is being asked for"}
 		}
 	}
 	c.plays = append(c.plays, p)
@@ -236,7 +236,7 @@
 	if p.state == asked || p.state == plays {
 		p.c.say(wsapi.Message{Type: "bye", Ticket: p.ticket})
 	}
-	p.c.end(p, Event{What: Ended, Why: "left"}, ErrLeft)
+	p.c.end(p, Event{Kind: Ended, Why: "left"}, ErrLeft)
 	p.c.mu.Unlock()
 	p.c.wake()
 }
@@ -305,7 +305,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for len(c.plays) > 0 {
-			c.end(c.plays[0], Event{What: Ended, Why: "closed"}, ErrClosed)
+			c.end(c.plays[0], Event{Kind: Ended, Why: "closed"}, ErrClosed)
 		}
 	}()
 	failures := 0
@@ -473,7 +473,7 @@
 	for _, p := range c.plays {
 		if p.state == asked && p.front == at && time.Now().After(p.limitAt) {
 			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: err})
-			c.retry(p, &Refused{Verdict: "failed", Why: err.Error()})
+			c.retry(p, &RefusedError{Verdict: "failed", Why: err.Error()})
 		}
 	}
 }
@@ -584,27 +584,27 @@
 				p.ever = true
 				p.first <- nil
 			case moved:
-				p.emit(Event{What: Moved, Grant: p.grant})
+				p.emit(Event{Kind: Moved, Grant: p.grant})
 			default:
-				p.emit(Event{What: Rung, Grant: p.grant})
+				p.emit(Event{Kind: Rung, Grant: p.grant})
 			}
 			return
 		}
-		c.retry(p, &Refused{Verdict: m.Verdict, Why: m.Why, ComeBack: time.Duration(m.ComeBack) * time.Millisecond})
+		c.retry(p, &RefusedError{Verdict: m.Verdict, Why: m.Why, ComeBack: time.Duration(m.ComeBack) * time.Millisecond})
 	case "rung":
 		p.grant = *m.Grant
-		p.emit(Event{What: Rung, Grant: p.grant})
+		p.emit(Event{Kind: Rung, Grant: p.grant})
 	case "moved":
-		p.emit(Event{What: Away, Why: m.Why})
+		p.emit(Event{Kind: Away, Why: m.Why})
 		p.before, p.state, p.askAt = p.grant.Token, toAsk, time.Now()
 	case "ended":
-		c.end(p, Event{What: Ended, Why: m.Why}, &Refused{Verdict: "failed", Why: "ended"})
+		c.end(p, Event{Kind: Ended, Why: m.Why}, &RefusedError{Verdict: "failed", Why: "ended"})
 	case "taken":
-		c.end(p, Event{What: Ended, Why: "taken over by another socket"}, errors.New("client: taken over by another socket"))
+		c.end(p, Event{Kind: Ended, Why: "taken over by another socket"}, errors.New("client: taken over by another socket"))
 	case "unknown":
 		if p.state == plays { // its front died: another place, by its token
 			p.before = p.grant.Token
-			p.emit(Event{What: Away, Why: "its front is gone"})
+			p.emit(Event{Kind: Away, Why: "its front is gone"})
 		} else if p.state == asked {
 			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: errors.New("its request is not known any more")})
 		}
@@ -613,16 +613,16 @@
 		if p.state == asked {
 			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
 			p.before = "" // a token that is not taken
-			c.retry(p, &Refused{Verdict: "denied", Why: m.Why})
+			c.retry(p, &RefusedError{Verdict: "denied", Why: m.Why})
 		}
 	}
 }
 
 // retry asks again later, as advised, or gives up; the caller holds the lock.
-func (c *Client) retry(p *Play, r *Refused) {
+func (c *Client) retry(p *Play, r *RefusedError) {
 	p.state = toAsk // answered: nothing is on its way
 	if p.tries--; p.tries < 0 {
-		c.end(p, Event{What: Ended, Why: r.Error()}, r)
+		c.end(p, Event{Kind: Ended, Why: r.Error()}, r)
 		return
 	}
 	pause := drawn(min(pauseMost, pauseLeast<<min(p.want.Tries-p.tries, 8)))
--- a/client/manifest.go
+++ b/client/manifest.go
@@ -16,7 +16,7 @@
 const manifestMost = 1 << 20 // bytes
 
 // FirstManifest is the address of a title's manifest at a front, for a first request.
-func FirstManifest(scheme, front, viewer string, w Want) string {
+func FirstManifest(scheme, front, viewer string, w Request) string {
 	q := url.Values{"product": {w.Product}, "viewer": {viewer}}
 	if w.Top >= 0 {
 		q.Set("top", strconv.Itoa(w.Top))
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -55,7 +55,7 @@
 // terminal reaches the kit alone, which then ends it in order.
 func (s *started) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(s.self, append([]string{"kit", "member", "--dir", s.run.Folder}, args...)...)
-	cmd.Env = append(os.Environ(), rundir.Nonce+"="+s.run.Nonce)
+	cmd.Env = append(os.Environ(), rundir.NonceVariable+"="+s.run.Nonce)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd
 }
@@ -387,7 +387,7 @@
 	run, err := rundir.Open(v.Dir)
 	if errors.Is(err, rundir.ErrNoRun) {
 		fmt.Println("nothing to clean")
-		return rundir.Tidy(v.Dir)
+		return rundir.RemoveUnstarted(v.Dir)
 	}
 	if err != nil {
 		return wrong{err}
--- a/cmd/gullrail/kit_test.go
+++ b/cmd/gullrail/kit_test.go
@@ -68,7 +68,7 @@
 func runs(nonce string) (n int) {
 	files, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, f := range files {
-		if b, err := os.ReadFile(f); err == nil && nonce != "" && bytes.Contains(b, []byte(rundir.Nonce+"="+nonce)) {
+		if b, err := os.ReadFile(f); err == nil && nonce != "" && bytes.Contains(b, []byte(rundir.NonceVariable+"="+nonce)) {
 			n++
 		}
 	}
--- a/cmd/gullrail/store.go
+++ b/cmd/gullrail/store.go
@@ -38,7 +38,7 @@
 		return fmt.Errorf("%s: %w", v.Folder, err)
 	}
 	fmt.Printf("%s: whole: segment %d, %d records, %d bytes, the last acknowledged is number %d, %d plays open\n", v.Folder, c.Segment,
-		len(c.Records), c.Bytes, c.Acked, len(book.Open()))
+		len(c.Records), c.Bytes, c.Acked, len(book.OpenPlays()))
 	return nil
 }
 
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -139,7 +139,7 @@
 func TestAllMistakesInOneRun(t *testing.T) {
 	text := strings.NewReplacer(`"name": "f0"`, `"name": 1`, `"cells": 4`, `"cells": 0`, `"streams": 10`, `"streams": -1`).Replace(good)
 	_, err := ParseFront("f.jsonc", []byte(text))
-	var ms Mistakes
+	var ms Problems
 	if !errors.As(err, &ms) || len(ms) < 3 || ms[0].Line != 2 || ms[len(ms)-1].Line < 7 {
 		t.Fatalf("got %v", err)
 	}
--- a/config/doc.go
+++ b/config/doc.go
@@ -13,25 +13,25 @@
 	"github.com/tailscale/hujson"
 )
 
-// Mistake is one thing wrong in a file.
-type Mistake struct {
+// Problem is one thing wrong in a file.
+type Problem struct {
 	File  string
 	Line  int
 	Field string
 	What  string
 }
 
-func (m Mistake) String() string {
+func (m Problem) String() string {
 	if m.Field == "" {
 		return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.What)
 	}
 	return fmt.Sprintf("%s:%d: %s: %s", m.File, m.Line, m.Field, m.What)
 }
 
-// Mistakes is an error that lists them all, a line each.
-type Mistakes []Mistake
+// Problems is an error that lists them all, a line each.
+type Problems []Problem
 
-func (ms Mistakes) Error() string {
+func (ms Problems) Error() string {
 	lines := make([]string, len(ms))
 	for i, m := range ms {
 		lines[i] = m.String()
@@ -43,7 +43,7 @@
 type Doc struct {
 	file     string
 	text     []byte
-	mistakes Mistakes
+	mistakes Problems
 }
 
 // Value is one value of a file: an object, a list, a text, a number or a bool, or nothing at all.
@@ -65,7 +65,7 @@
 	return Parse(file, text)
 }
 
-// Parse reads text under a file's name. What is not JSON with comments is a single Mistake.
+// Parse reads text under a file's name. What is not JSON with comments is a single Problem.
 func Parse(file string, text []byte) (*Doc, Value, error) {
 	d := &Doc{file: file, text: text}
 	root, err := hujson.Parse(text)
@@ -79,7 +79,7 @@
 				}
 			}
 		}
-		return nil, Value{}, Mistakes{{file, line, "", "not JSON with comments: " + what}}
+		return nil, Value{}, Problems{{file, line, "", "not JSON with comments: " + what}}
 	}
 	return d, Value{doc: d, at: root.StartOffset, end: root.EndOffset, val: root.Value, known: map[string]bool{}}, nil
 }
@@ -99,7 +99,7 @@
 // Wrong notes a mistake at a value.
 func (v Value) Wrong(format string, args ...any) {
 	line := 1 + strings.Count(string(v.doc.text[:min(v.at, len(v.doc.text))]), "\n")
-	v.doc.mistakes = append(v.doc.mistakes, Mistake{v.doc.file, line, v.field, fmt.Sprintf(format, args...)})
+	v.doc.mistakes = append(v.doc.mistakes, Problem{v.doc.file, line, v.field, fmt.Sprintf(format, args...)})
 }
 
 // Given tells that the value is there.
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -23,13 +23,13 @@
 
 // Front serves DASH players of one front end. It keeps no state of its own.
 type Front struct {
-	desk *playapi.Desk
+	desk *playapi.Service
 	log  zerolog.Logger
 	mux  *http.ServeMux
 }
 
 // NewFront makes the handler.
-func NewFront(d *playapi.Desk, log zerolog.Logger) *Front {
+func NewFront(d *playapi.Service, log zerolog.Logger) *Front {
 	f := &Front{desk: d, log: log, mux: http.NewServeMux()}
 	f.mux.HandleFunc("GET /v1/titles/{title}/manifest.mpd", f.first)
 	f.mux.HandleFunc("GET /v1/plays/{token}/manifest.mpd", f.again)
@@ -47,20 +47,20 @@
 		return playapi.Request{}, err
 	}
 	w.Title, w.Product, w.Viewer = title, q.Get("product"), q.Get("viewer")
-	return playapi.First(set, w)
+	return playapi.NewRequest(set, w)
 }
 
-// ParseAgain reads a request by a token that was checked.
-func ParseAgain(set *config.Service, cl token.Claims, q url.Values) (playapi.Request, error) {
+// ParseReturn reads a request by a token that was checked.
+func ParseReturn(set *config.Service, cl token.Claims, q url.Values) (playapi.Request, error) {
 	w, err := read(q)
 	if err != nil {
 		return playapi.Request{}, err
 	}
-	return playapi.Again(set, cl, w)
+	return playapi.NewReturnRequest(set, cl, w)
 }
 
-func read(q url.Values) (w playapi.Want, err error) {
-	if w.Top, err = whole(q, "top", -1, 0, 1000); err != nil {
+func read(q url.Values) (w playapi.Params, err error) {
+	if w.MaxRung, err = whole(q, "top", -1, 0, 1000); err != nil {
 		return w, err
 	}
 	if w.LimitMs, err = whole(q, "limit_ms", 0, 1, 1<<31-1); err != nil {
@@ -72,9 +72,9 @@
 	switch q.Get("broken") {
 	case "", "0":
 	case "1":
-		w.Broken = true
+		w.NotDelivered = true
 	default:
-		return w, playapi.BadRequest{Field: "broken", What: "0 or 1 is needed"}
+		return w, playapi.BadRequest{Field: "broken", Problem: "0 or 1 is needed"}
 	}
 	return w, nil
 }
@@ -86,14 +86,14 @@
 	}
 	n, err := strconv.Atoi(s)
 	if err != nil || n < least || n > most {
-		return 0, playapi.BadRequest{Field: name, What: fmt.Sprintf("a whole number from %d is needed, not %.20q", least, s)}
+		return 0, playapi.BadRequest{Field: name, Problem: fmt.Sprintf("a whole number from %d is needed, not %.20q", least, s)}
 	}
 	return n, nil
 }
 
 // first answers a request for a title, with or without a token of an earlier play.
 func (f *Front) first(w http.ResponseWriter, r *http.Request) {
-	req, err := ParseFirst(f.desk.Set, r.PathValue("title"), r.URL.Query())
+	req, err := ParseFirst(f.desk.Config, r.PathValue("title"), r.URL.Query())
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
@@ -103,11 +103,11 @@
 		if !ok {
 			return
 		}
-		if !playapi.Fits(f.desk.Set, cl, req) {
+		if !playapi.TokenMatches(f.desk.Config, cl, req) {
 			refuse(w, http.StatusForbidden, "token: made for another title, viewer or product")
 			return
 		}
-		req.Back = &session.Previous{Play: cl.Play, NotDelivered: req.Broken}
+		req.Previous = &session.Previous{Play: cl.Play, NotDelivered: req.NotDelivered}
 	}
 	f.ask(w, r, req)
 }
@@ -118,7 +118,7 @@
 	if !ok {
 		return
 	}
-	req, err := ParseAgain(f.desk.Set, cl, r.URL.Query())
+	req, err := ParseReturn(f.desk.Config, cl, r.URL.Query())
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
@@ -129,7 +129,7 @@
 // leave ends a play whose viewer is done.
 func (f *Front) leave(w http.ResponseWriter, r *http.Request) {
 	if cl, ok := f.check(w, r.PathValue("token")); ok {
-		f.desk.Abandon(cl.Play)
+		f.desk.EndPlay(cl.Play)
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
@@ -158,7 +158,7 @@
 func (f *Front) ask(w http.ResponseWriter, r *http.Request, req playapi.Request) {
 	began := time.Now()
 	got := make(chan session.Answer, 1)
-	pending := f.desk.Begin(req, nil, func(ans session.Answer) { got <- ans })
+	pending := f.desk.RequestPlay(req, nil, func(ans session.Answer) { got <- ans })
 	var ans session.Answer
 	select {
 	case ans = <-got:
@@ -202,7 +202,7 @@
 		}
 		if err != nil { // the viewer never learns of its play
 			f.log.Warn().Err(err).Str("play", ans.Play).Msg("answer not delivered")
-			f.desk.Abandon(ans.Play)
+			f.desk.EndPlay(ans.Play)
 		}
 	}
 }
--- a/dash/dash_test.go
+++ b/dash/dash_test.go
@@ -48,7 +48,7 @@
 func TestTimeLimitCanOnlyBeShortened(t *testing.T) {
 	for q, want := range map[string]time.Duration{"": 4 * time.Second, "limit_ms=9999": 4 * time.Second, "limit_ms=300": 300 * time.Millisecond} {
 		v, _ := url.ParseQuery("product=p&viewer=v&" + q)
-		if r, err := ParseFirst(service(), "t", v); err != nil || r.Limit != want || r.Top != 1 {
+		if r, err := ParseFirst(service(), "t", v); err != nil || r.Timeout != want || r.MaxRung != 1 {
 			t.Errorf("%q: %+v %v", q, r, err)
 		}
 	}
@@ -64,7 +64,7 @@
 			return
 		}
 		r, err := ParseFirst(set, title, q)
-		if err == nil && (r.Title != "t" || r.Product != 0 || r.Top != 1 || r.Limit <= 0 || r.Limit > 4*time.Second || r.Viewer == "" || r.Length < 0) {
+		if err == nil && (r.Title != "t" || r.Product != 0 || r.MaxRung != 1 || r.Timeout <= 0 || r.Timeout > 4*time.Second || r.Viewer == "" || r.Length < 0) {
 			t.Fatalf("taken: %+v", r)
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
--- a/dash/mpd.go
+++ b/dash/mpd.go
@@ -71,8 +71,8 @@
 // RepresentationID is the id of a rung's Representation.
 func RepresentationID(rung int) string { return playapi.RungID(rung) }
 
-// RungOf reads a Representation's id.
-func RungOf(id string) (int, error) {
+// ParseRepresentationID reads a Representation's id.
+func ParseRepresentationID(id string) (int, error) {
 	if len(id) < 2 || id[0] != 'r' {
 		return 0, fmt.Errorf("representation %.20q: not one of ours", id)
 	}
@@ -132,7 +132,7 @@
 		}
 	}
 	for _, r := range doc.Period.Set.Representations {
-		rung, err := RungOf(r.ID)
+		rung, err := ParseRepresentationID(r.ID)
 		if err != nil {
 			return Manifest{}, fmt.Errorf("MPD: %w", err)
 		}
--- a/frontend/history_test.go
+++ b/frontend/history_test.go
@@ -203,7 +203,7 @@
 			t.Fatal(err)
 		}
 		var open [historyPlays]int
-		for _, p := range book.Open() {
+		for _, p := range book.OpenPlays() {
 			var k int
 			fmt.Sscan(p.Play, &k)
 			open[k] = 1
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -21,7 +21,7 @@
 // PlaysFolder is where a front's store is, in its state folder.
 const PlaysFolder = "plays"
 
-// journal is the carrier of a front that keeps records: what playlog.Before says is durable before it leaves.
+// journal is the transport of a front that keeps records: what playlog.LogFirst says is durable before it leaves.
 // While the store is broken such allocations are not sent at all, and their plays are declined.
 type journal struct {
 	*nodes.Client
@@ -33,7 +33,7 @@
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	book    *playlog.Book
+	book    *playlog.State
 	waiting map[session.Ref]bool // not durable yet; false once recalled
 	broken  bool
 }
@@ -41,7 +41,7 @@
 // earlier is what the records of a front's earlier lives come to.
 type earlier struct {
 	open []session.Expected
-	past []playlog.Past
+	past []playlog.EndedPlay
 	lost uint64 // records that are missing
 }
 
@@ -69,15 +69,15 @@
 		return nil, earlier{}, err
 	}
 	book.Expire(time.Now().UnixMilli())
-	was := earlier{past: book.Past(), lost: book.Lost()}
-	for _, r := range book.Open() {
+	was := earlier{past: book.EndedPlays(), lost: book.Lost()}
+	for _, r := range book.OpenPlays() {
 		product, ok := set.ProductNumber(r.Product)
 		home, copies, known := set.Title(r.Title)
 		if !ok || !known {
 			product = -1
 		}
-		was.open = append(was.open, session.Expected{Node: r.Node, Answered: r.Heard, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
-			Attempt: r.Try, Product: product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.Top}})
+		was.open = append(was.open, session.Expected{Node: r.Node, Answered: r.Answered, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
+			Attempt: r.Attempt, Product: product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.MaxRung}})
 	}
 	if was.lost > 0 {
 		say.Warn().Uint64("records", was.lost).Msg("records are missing since a salvage: plays are taken once every node has told or its lease has passed")
@@ -87,7 +87,7 @@
 }
 
 func (j *journal) keeps(product int) bool {
-	return playlog.Before(j.set.Products[product].Paid, j.set.Products[product].Seats)
+	return playlog.LogFirst(j.set.Products[product].Paid, j.set.Products[product].Seats)
 }
 
 // SetUp records an allocation where that comes first, and then sends it.
@@ -96,8 +96,8 @@
 		j.Client.SetUp(a)
 		return
 	}
-	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Try: a.Attempt, Product: j.set.Product(a.Product),
-		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, Top: a.MaxRung})
+	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Attempt: a.Attempt, Product: j.set.Product(a.Product),
+		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, MaxRung: a.MaxRung})
 	j.mu.Lock()
 	j.waiting[a.Ref] = true
 	j.mu.Unlock()
@@ -138,16 +138,16 @@
 	if !j.keeps(product) {
 		return
 	}
-	j.later(playlog.Record{Kind: playlog.Started, Play: r.Play, Try: r.Attempt})
+	j.later(playlog.Record{Kind: playlog.Started, Play: r.Play, Attempt: r.Attempt})
 	if back != "" {
 		j.later(playlog.Record{Kind: playlog.Token, Play: back, At: time.Now().UnixMilli()})
 	}
 }
 
 // PlayFinished records a play's end; nobody waits for it.
-func (j *journal) PlayFinished(play string, product int, how playlog.How) {
+func (j *journal) PlayFinished(play string, product int, how playlog.EndReason) {
 	if j.keeps(product) {
-		r := playlog.Record{Kind: playlog.Ended, Play: play, How: how}
+		r := playlog.Record{Kind: playlog.Ended, Play: play, EndReason: how}
 		if how != "" {
 			r.At = time.Now().UnixMilli()
 		}
@@ -162,7 +162,7 @@
 	j.mu.Unlock()
 	if lost > 0 {
 		j.say.Info().Uint64("records", lost).Msg("the nodes have made up for the records that were missing")
-		j.later(playlog.Record{Kind: playlog.Whole})
+		j.later(playlog.Record{Kind: playlog.Recovered})
 	}
 }
 
@@ -171,7 +171,7 @@
 	j.spawn(func() { j.wait(done) })
 }
 
-// write puts a record into the log and the book in one step, so that a compaction to what the book holds
+// write puts a record into the log and the state in one step, so that a compaction to what the state holds
 // leaves out nothing that the log has, and in the order of the core's calls. It never waits for the disk: where
 // the log is too far behind, the record is not taken, which is as good as a failed write.
 func (j *journal) write(r playlog.Record) <-chan error {
@@ -186,13 +186,13 @@
 	if err := j.book.Apply(r); err != nil {
 		j.say.Error().Err(err).Msg("a record out of order")
 	}
-	if j.book.Compact() {
+	if j.book.NeedsCompaction() {
 		j.compact()
 	}
 	return done
 }
 
-// compact brings the log down to what the book needs; the caller holds the lock.
+// compact brings the log down to what the state needs; the caller holds the lock.
 func (j *journal) compact() {
 	j.book.Expire(time.Now().UnixMilli())
 	records := encode(j.book)
@@ -201,7 +201,7 @@
 	}
 }
 
-func encode(b *playlog.Book) (out [][]byte) {
+func encode(b *playlog.State) (out [][]byte) {
 	for _, r := range b.Records() {
 		out = append(out, r.Encode())
 	}
--- a/frontend/journal_test.go
+++ b/frontend/journal_test.go
@@ -31,7 +31,7 @@
 		r := playlog.Record{Kind: playlog.Ended, Play: fmt.Sprintf("f0-18ed25f932a30537-%d", i/2)}
 		if i%2 == 0 {
 			r = playlog.Record{Kind: playlog.Allocated, Play: r.Play, Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7",
-				Node: "n0", Rung: 1, Top: 2}
+				Node: "n0", Rung: 1, MaxRung: 2}
 		} else if i/2%5 == 0 { // one play in five stays open
 			r = playlog.Record{Kind: playlog.Ended, Play: "another"}
 		}
@@ -51,10 +51,10 @@
 	}
 	defer log.Close()
 	book, err := playlog.Read(c.Records)
-	if err != nil || len(c.Records) != n || len(book.Open()) != (n/2+4)/5 {
-		t.Fatalf("%d records, %d open, %v", len(c.Records), len(book.Open()), err)
+	if err != nil || len(c.Records) != n || len(book.OpenPlays()) != (n/2+4)/5 {
+		t.Fatalf("%d records, %d open, %v", len(c.Records), len(book.OpenPlays()), err)
 	}
-	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, wrote, syncs, len(book.Open()), time.Since(began))
+	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, wrote, syncs, len(book.OpenPlays()), time.Since(began))
 }
 
 // weekPlays asks for a measurement: go test ./serve -run Week -week 7000000 -v
@@ -78,7 +78,7 @@
 		if err := j.book.Apply(r); err != nil {
 			t.Fatal(err)
 		}
-		if j.book.Compact() {
+		if j.book.NeedsCompaction() {
 			j.book.Expire(clock)
 			records := encode(j.book)
 			last = j.log.Compact(records)
@@ -88,10 +88,10 @@
 	for i := range *weekPlays {
 		play := func(k int) string { return fmt.Sprintf("f0-18ed25f932a30537-%d", k) }
 		add(playlog.Record{Kind: playlog.Allocated, Play: play(i), Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7", Node: "n0",
-			Rung: 1, Top: 2})
+			Rung: 1, MaxRung: 2})
 		add(playlog.Record{Kind: playlog.Started, Play: play(i)})
 		if i >= open {
-			add(playlog.Record{Kind: playlog.Ended, Play: play(i - open), How: playlog.Served, At: clock})
+			add(playlog.Record{Kind: playlog.Ended, Play: play(i - open), EndReason: playlog.Served, At: clock})
 		}
 		clock += 86 // 33 plays a second, 35 in 100 recorded
 		if i%5000 == 4999 {
--- a/frontend/offline.go
+++ b/frontend/offline.go
@@ -80,14 +80,14 @@
 		return Salvaged{}, fmt.Errorf("%s: %w", dir, err)
 	}
 	out := Salvaged{Lost: found.Lost, Gaps: found.Gaps}
-	book := playlog.NewBook()
+	book := playlog.NewState()
 	for _, raw := range found.Records {
 		r, err := playlog.Decode(raw)
 		if err != nil { // its checksum holds and its text does not: not one that a front wrote
 			out.Lost++
 			continue
 		}
-		// Out of order is what a gap leaves; the book then keeps to the later allocation, which is the safe side.
+		// Out of order is what a gap leaves; the state then keeps to the later allocation, which is the safe side.
 		_ = book.Apply(r)
 		out.Records++
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		return out, fmt.Errorf("%s: %w", into, err)
 	}
-	out.Open = len(book.Open())
+	out.Open = len(book.OpenPlays())
 	if err := errors.Join(<-log.Compact(encode(book)), log.Close()); err != nil {
 		return out, fmt.Errorf("%s: %w", into, err)
 	}
--- a/internal/benchproto/benchproto_test.go
+++ b/internal/benchproto/benchproto_test.go
@@ -96,19 +96,19 @@
 }
 
 func TestSettingsOfLiveTitlesMessagesAndReports(t *testing.T) {
-	t0, err := convert.Read(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
+	t0, err := convert.Parse(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
 		`"rate-factor":[1]`, `"rate-factor":[1],"is-live":[true],"join-adds":0.3`).Replace(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := t0.Set
+	set := t0.PolicySettings
 	for name, want := range map[string]float64{"peers": 1, "reports.answers": 1, "product.live": 1, "join": 0.3} {
 		if v := set[name]; len(v) != 1 || v[0] != want {
 			t.Errorf("%s is %v", name, v)
 		}
 	}
-	if plain, _ := convert.Read(config); plain.Set["reports.answers"][0] != 0 || plain.Set["peers"] != nil || plain.Set["join"] != nil {
-		t.Errorf("not given, yet there: %v", plain.Set)
+	if plain, _ := convert.Parse(config); plain.PolicySettings["reports.answers"][0] != 0 || plain.PolicySettings["peers"] != nil || plain.PolicySettings["join"] != nil {
+		t.Errorf("not given, yet there: %v", plain.PolicySettings)
 	}
 }
 
--- a/internal/benchproto/codec.go
+++ b/internal/benchproto/codec.go
@@ -130,7 +130,7 @@
 }
 
 // load reads a report by the columns of the settings; columns that no call uses are passed over.
-func (ln *line) load(t *convert.Terms) decision.Load {
+func (ln *line) load(t *convert.Settings) decision.Load {
 	row, ok := ln.find("report")
 	if !ok || row == "" || row == "-" {
 		return decision.UnknownLoad
--- a/internal/benchproto/host.go
+++ b/internal/benchproto/host.go
@@ -17,7 +17,7 @@
 // instance is one front end: its module and the numbers that stand for the wire's names.
 type instance struct {
 	mod     decision.Policy
-	terms   *convert.Terms
+	terms   *convert.Settings
 	nodes   map[string]int
 	addr    []string
 	titles  map[string]int
@@ -154,11 +154,11 @@
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", wrong("random-seed", "not a whole number"))
 	}
-	t, err := convert.Read(h.ln.text("config"))
+	t, err := convert.Parse(h.ln.text("config"))
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", err)
 	}
-	h.at[h.who] = &instance{mod: placement.New(t.Set, seed), terms: t, nodes: map[string]int{},
+	h.at[h.who] = &instance{mod: placement.New(t.PolicySettings, seed), terms: t, nodes: map[string]int{},
 		titles: map[string]int{}, viewers: map[string]int{}, plays: map[int64]decision.Handle{}}
 	return nil
 }
@@ -272,7 +272,7 @@
 }
 
 func (in *instance) update(ln *line, now int64, hd decision.Handle) *decision.Result {
-	return convert.Note(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
+	return convert.ApplyNote(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
 }
 
 func (in *instance) bind(job int64, hd decision.Handle) {
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -41,9 +41,9 @@
 	{"objective-ms", "product.target"}, {"worth", "product.importance"},
 }
 
-// Terms are an instance's settings in the module's words, and the names that become small numbers.
-type Terms struct {
-	Set                    map[string][]float64 // for the module
+// Settings are an instance's settings in the module's words, and the names that become small numbers.
+type Settings struct {
+	PolicySettings         map[string][]float64 // for the module
 	Products, Kinds, Zones map[string]int
 	Columns                []string // of a load report
 	root                   map[string]any
@@ -119,8 +119,8 @@
 	return at, nil
 }
 
-// Read reads the settings, a JSON object. An error is a FieldError.
-func Read(text string) (*Terms, error) {
+// Parse reads the settings, a JSON object. An error is a FieldError.
+func Parse(text string) (*Settings, error) {
 	var root map[string]any
 	if err := json.Unmarshal([]byte(text), &root); err != nil {
 		return nil, FieldError{"config", "not a JSON object: " + err.Error()}
@@ -142,7 +142,7 @@
 	if len(lanes) == 0 {
 		return nil, FieldError{"config.lanes", "missing"}
 	}
-	nm := &Terms{Set: out, Products: map[string]int{}, root: root}
+	nm := &Settings{PolicySettings: out, Products: map[string]int{}, root: root}
 	for i, l := range lanes {
 		lane, _ := l.(map[string]any)
 		name, _ := lane["name"].(string)
@@ -200,7 +200,7 @@
 }
 
 // Number is a setting that the module has no use for, by its path, or what stands in for one not given.
-func (t *Terms) Number(path string, or float64) float64 {
+func (t *Settings) Number(path string, or float64) float64 {
 	v, _ := lookup(t.root, path)
 	if n, ok := v.(float64); ok {
 		return n
@@ -208,8 +208,8 @@
 	return or
 }
 
-// Longest is the longest time limit of a product, milliseconds.
-func (t *Terms) Longest() (longest float64) {
+// LongestLimit is the longest time limit of a product, milliseconds.
+func (t *Settings) LongestLimit() (longest float64) {
 	lanes, _ := t.root["lanes"].([]any)
 	for _, l := range lanes {
 		lane, _ := l.(map[string]any)
@@ -250,7 +250,7 @@
 
 // Load is a report of which a field is told by its column and that column's place; fields that no call uses are
 // passed over.
-func (t *Terms) Load(value func(i int, column string) (float64, bool)) decision.Load {
+func (t *Settings) Load(value func(i int, column string) (float64, bool)) decision.Load {
 	l := decision.UnknownLoad
 	for i, col := range t.Columns {
 		v, ok := value(i, col)
@@ -273,8 +273,8 @@
 	return l
 }
 
-// Note is a note of one of the kinds that nodes send while a play plays, by its number.
-func Note(mod decision.Policy, now int64, h decision.Handle, kind int, level float64) *decision.Result {
+// ApplyNote is a note of one of the kinds that nodes send while a play plays, by its number.
+func ApplyNote(mod decision.Policy, now int64, h decision.Handle, kind int, level float64) *decision.Result {
 	switch kind {
 	case 1:
 		return mod.DeliveryReported(now, h, level)
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -1,9 +1,9 @@
 // Package intern gives names small numbers.
 package intern
 
-// Numbers gives names small numbers, and gives a number back once nothing refers to it and
+// Table gives names small numbers, and gives a number back once nothing refers to it and
 // may forget says so. Guards against tables that grow with every name ever met.
-type Numbers struct {
+type Table struct {
 	at    map[string]int
 	names []string
 	refs  []int
@@ -12,10 +12,10 @@
 }
 
 // New makes a table that knows no name.
-func New() *Numbers { return &Numbers{at: map[string]int{}} }
+func New() *Table { return &Table{at: map[string]int{}} }
 
 // Hold returns a name's number and counts one reference.
-func (n *Numbers) Hold(name string) int {
+func (n *Table) Hold(name string) int {
 	i, ok := n.at[name]
 	if !ok {
 		if k := len(n.free); k > 0 {
@@ -32,7 +32,7 @@
 }
 
 // Release takes a reference away.
-func (n *Numbers) Release(i int) {
+func (n *Table) Release(i int) {
 	if n.refs[i]--; n.refs[i] == 0 {
 		n.idle = append(n.idle, i)
 	}
@@ -40,7 +40,7 @@
 
 // Sweep gives back idle numbers that may be forgotten, looking at so many at most; the others
 // come round again.
-func (n *Numbers) Sweep(most int, forget func(i int) bool) {
+func (n *Table) Sweep(most int, forget func(i int) bool) {
 	looked := min(most, len(n.idle))
 	for _, i := range n.idle[:looked] {
 		switch {
@@ -57,4 +57,4 @@
 }
 
 // Len is how many names have a number.
-func (n *Numbers) Len() int { return len(n.at) }
+func (n *Table) Len() int { return len(n.at) }
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -34,8 +34,8 @@
 	graceLeast = 20 * time.Millisecond // a dial gets that long whatever the grace
 )
 
-// Catalogue names what the core numbers: products, and where a title lies.
-type Catalogue interface {
+// Catalog names what the core numbers: products, and where a title lies.
+type Catalog interface {
 	Product(number int) string
 	ProductNumber(name string) (int, bool)
 	Title(name string) (home, copies int, ok bool)
@@ -47,7 +47,7 @@
 	name    string
 	epoch   int64
 	report  bool // load reports come in answers to set-ups too
-	names   Catalogue
+	names   Catalog
 	runner  *session.Runner
 	log     zerolog.Logger
 	calls   http.Client // rungs, ends and probes, which may be repeated without harm
@@ -74,7 +74,7 @@
 // in which work may still reach a node that drains, is not sent: the order came before the front heard of a drain,
 // so what goes out goes out in time. Secure, if not nil, is asked before each dial for what
 // TLS towards the nodes goes by.
-func NewClient(name string, epoch int64, report bool, grace time.Duration, names Catalogue, r *session.Runner, secure func() (*tls.Config, error),
+func NewClient(name string, epoch int64, report bool, grace time.Duration, names Catalog, r *session.Runner, secure func() (*tls.Config, error),
 	log zerolog.Logger) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{name: name, epoch: epoch, report: report, names: names, runner: r, secure: secure, log: log,
@@ -400,7 +400,7 @@
 }
 
 // PlayFinished is for who keeps records of plays; the client keeps none.
-func (c *Client) PlayFinished(string, int, playlog.How) {}
+func (c *Client) PlayFinished(string, int, playlog.EndReason) {}
 
 // PlayStarted does nothing, nor does Settled: the client keeps no records.
 func (c *Client) PlayStarted(session.Ref, int, string) {}
--- a/playapi/playapi.go
+++ b/playapi/playapi.go
@@ -18,41 +18,41 @@
 	"gullrail/token"
 )
 
-// Asker is the core as the protocol fronts see it: session.Runner.
-type Asker interface {
+// Core is the core as the protocol fronts see it: session.Runner.
+type Core interface {
 	RequestPlay(a session.Request, client string, importance float64) (withdraw func())
 	Post(ev func(now int64, c *session.Core))
 	Clock() *session.Clock
 }
 
-// Want is a request as a protocol front read it.
-type Want struct {
+// Params is a request as a protocol front read it.
+type Params struct {
 	Title, Product, Viewer string
-	Top                    int // best rung that the viewer can use; below 0 is not told
+	MaxRung                int // best rung that the viewer can use; below 0 is not told
 	LimitMs                int // 0 is not told
 	LengthMs               int // 0 is not told
-	Broken                 bool
+	NotDelivered           bool
 }
 
 // Request is a request that was checked.
 type Request struct {
-	Product int
-	Title   string
-	Viewer  string
-	Top     int
-	Limit   time.Duration
-	Length  time.Duration
-	Broken  bool
-	Back    *session.Previous // the play whose token came with it; nil for a first try
+	Product      int
+	Title        string
+	Viewer       string
+	MaxRung      int
+	Timeout      time.Duration
+	Length       time.Duration
+	NotDelivered bool
+	Previous     *session.Previous // the play whose token came with it; nil for a first try
 }
 
 // BadRequest is a mistake of the client's, told in one line.
-type BadRequest struct{ Field, What string }
+type BadRequest struct{ Field, Problem string }
 
-func (b BadRequest) Error() string { return b.Field + ": " + b.What }
+func (b BadRequest) Error() string { return b.Field + ": " + b.Problem }
 
-// First checks a request for a title. The time limit can be made shorter than the product's, not longer.
-func First(set *config.Service, w Want) (Request, error) {
+// NewRequest checks a request for a title. The time limit can be made shorter than the product's, not longer.
+func NewRequest(set *config.Service, w Params) (Request, error) {
 	r := Request{Title: w.Title, Viewer: w.Viewer}
 	if _, _, ok := set.Title(w.Title); !ok {
 		return r, BadRequest{"title", fmt.Sprintf("%.40q is not known", w.Title)}
@@ -64,19 +64,19 @@
 	if r.Product, ok = set.ProductNumber(w.Product); !ok {
 		return r, BadRequest{"product", fmt.Sprintf("%.40q is not known", w.Product)}
 	}
-	r.Top = len(set.RatesKB) - 1
-	if w.Top >= 0 {
-		r.Top = min(w.Top, r.Top)
+	r.MaxRung = len(set.RatesKB) - 1
+	if w.MaxRung >= 0 {
+		r.MaxRung = min(w.MaxRung, r.MaxRung)
 	}
-	if r.Top < set.Products[r.Product].Floor {
+	if r.MaxRung < set.Products[r.Product].Floor {
 		return r, BadRequest{"top", "lies under the product's floor"}
 	}
 	return r, r.rest(set, w)
 }
 
-// Again checks a request for what a token names; the token itself was checked before.
-func Again(set *config.Service, cl token.Claims, w Want) (Request, error) {
-	r := Request{Title: cl.Title, Viewer: cl.Viewer, Top: min(cl.Top, len(set.RatesKB)-1), Back: &session.Previous{Play: cl.Play, NotDelivered: w.Broken}}
+// NewReturnRequest checks a request for what a token names; the token itself was checked before.
+func NewReturnRequest(set *config.Service, cl token.Claims, w Params) (Request, error) {
+	r := Request{Title: cl.Title, Viewer: cl.Viewer, MaxRung: min(cl.Top, len(set.RatesKB)-1), Previous: &session.Previous{Play: cl.Play, NotDelivered: w.NotDelivered}}
 	var ok bool
 	if r.Product, ok = set.ProductNumber(cl.Product); !ok {
 		return r, BadRequest{"product", fmt.Sprintf("%.40q is not known any more", cl.Product)}
@@ -87,7 +87,7 @@
 	return r, r.rest(set, w)
 }
 
-func (r *Request) rest(set *config.Service, w Want) error {
+func (r *Request) rest(set *config.Service, w Params) error {
 	most := int(set.Products[r.Product].LimitMs)
 	if w.LimitMs < 0 {
 		return BadRequest{"limit_ms", "a whole number from 1 is needed"}
@@ -99,14 +99,14 @@
 	if w.LimitMs > 0 {
 		limit = min(w.LimitMs, most)
 	}
-	r.Limit = time.Duration(limit) * time.Millisecond
+	r.Timeout = time.Duration(limit) * time.Millisecond
 	r.Length = time.Duration(w.LengthMs) * time.Millisecond
-	r.Broken = w.Broken
+	r.NotDelivered = w.NotDelivered
 	return nil
 }
 
-// Fits tells whether a token was made for what a request asks.
-func Fits(set *config.Service, cl token.Claims, r Request) bool {
+// TokenMatches tells whether a token was made for what a request asks.
+func TokenMatches(set *config.Service, cl token.Claims, r Request) bool {
 	return cl.Title == r.Title && cl.Viewer == r.Viewer && cl.Product == set.Products[r.Product].Name
 }
 
@@ -122,28 +122,28 @@
 	return true
 }
 
-// Desk serves the protocol fronts of one front end. It keeps no state of its own.
-type Desk struct {
-	Set    *config.Service
+// Service serves the protocol fronts of one front end. It keeps no state of its own.
+type Service struct {
+	Config *config.Service
 	Tokens *token.Minter
-	asker  Asker
+	asker  Core
 	name   string
 	media  string        // scheme of the nodes' addresses for players
 	life   time.Duration // of a token
 	log    zerolog.Logger
 }
 
-// New makes a desk. Tokens live for life; name is the front's own; media is http or https, as players reach
+// New makes a service. Tokens live for life; name is the front's own; media is http or https, as players reach
 // the nodes.
-func New(name, media string, set *config.Service, tokens *token.Minter, life time.Duration, a Asker, log zerolog.Logger) *Desk {
-	return &Desk{Set: set, Tokens: tokens, asker: a, name: name, media: media, life: life, log: log}
+func New(name, media string, set *config.Service, tokens *token.Minter, life time.Duration, a Core, log zerolog.Logger) *Service {
+	return &Service{Config: set, Tokens: tokens, asker: a, name: name, media: media, life: life, log: log}
 }
 
 // Post brings an event to the core.
-func (d *Desk) Post(ev func(now int64, c *session.Core)) { d.asker.Post(ev) }
+func (d *Service) Post(ev func(now int64, c *session.Core)) { d.asker.Post(ev) }
 
-// Abandon ends a play whose viewer is done, or who never learned of it.
-func (d *Desk) Abandon(play string) {
+// EndPlay ends a play whose viewer is done, or who never learned of it.
+func (d *Service) EndPlay(play string) {
 	d.asker.Post(func(now int64, c *session.Core) { c.EndPlay(now, play) })
 }
 
@@ -156,17 +156,17 @@
 	then     func(session.Answer)
 }
 
-// Begin asks the core. Then is called exactly once with the one answer: the core's, or that the time limit passed,
+// RequestPlay asks the core. Then is called exactly once with the one answer: the core's, or that the time limit passed,
 // or that the request was withdrawn; on any goroutine, and it must neither block nor call the core. Follow, which may
 // be nil, hears of the play's changes from its answer on, on the core's goroutine, under the same terms.
-func (d *Desk) Begin(r Request, follow func(session.Event), then func(session.Answer)) *Pending {
-	home, copies, _ := d.Set.Title(r.Title)
+func (d *Service) RequestPlay(r Request, follow func(session.Event), then func(session.Answer)) *Pending {
+	home, copies, _ := d.Config.Title(r.Title)
 	p := &Pending{then: then}
 	p.reply = session.NewReplyFunc(func(ans session.Answer) { p.settle(ans) })
-	a := session.Request{Product: r.Product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Deadline: d.asker.Clock().Now() + session.Ticks(r.Limit),
-		Length: session.Ticks(r.Length), MaxRung: r.Top, Previous: r.Back, OnEvent: follow, Reply: p.reply}
-	p.withdraw = d.asker.RequestPlay(a, r.Viewer, d.Set.Products[r.Product].Importance)
-	late := time.AfterFunc(r.Limit, func() { p.cancel(session.Answer{Verdict: session.Failed, TimedOut: true, Reason: "time limit"}) })
+	a := session.Request{Product: r.Product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Deadline: d.asker.Clock().Now() + session.Ticks(r.Timeout),
+		Length: session.Ticks(r.Length), MaxRung: r.MaxRung, Previous: r.Previous, OnEvent: follow, Reply: p.reply}
+	p.withdraw = d.asker.RequestPlay(a, r.Viewer, d.Config.Products[r.Product].Importance)
+	late := time.AfterFunc(r.Timeout, func() { p.cancel(session.Answer{Verdict: session.Failed, TimedOut: true, Reason: "time limit"}) })
 	p.once.Do(func() { p.late = late }) // unless the answer came meanwhile
 	if p.late == nil {
 		late.Stop()
@@ -176,10 +176,10 @@
 
 // Log writes down what became of a request; the protocol front calls it when it has answered, as the core must not
 // wait for a log.
-func (d *Desk) Log(r Request, ans session.Answer, protocol string, took time.Duration) {
+func (d *Service) Log(r Request, ans session.Answer, protocol string, took time.Duration) {
 	d.log.Info().Str("play", ans.Play).Str("viewer", r.Viewer).Str("title", r.Title).Str("by", protocol).
-		Str("product", d.Set.Products[r.Product].Name).Str("verdict", ans.Verdict.String()).Str("why", ans.Reason).
-		Str("node", ans.Node).Int("rung", ans.Rung).Bool("again", r.Back != nil).Dur("took", took).Msg("asked")
+		Str("product", d.Config.Products[r.Product].Name).Str("verdict", ans.Verdict.String()).Str("why", ans.Reason).
+		Str("node", ans.Node).Int("rung", ans.Rung).Bool("again", r.Previous != nil).Dur("took", took).Msg("asked")
 }
 
 // settle gives the answer on.
@@ -225,20 +225,20 @@
 }
 
 // Grant mints the token of a play and says where it is fetched. The answer's verdict is Plays.
-func (d *Desk) Grant(ans session.Answer) (Grant, error) {
-	p := &d.Set.Products[ans.Product]
+func (d *Service) Grant(ans session.Answer) (Grant, error) {
+	p := &d.Config.Products[ans.Product]
 	raw, err := d.Tokens.Mint(token.Claims{Play: ans.Play, Front: d.name, Title: ans.Title, Product: p.Name,
 		Viewer: ans.Viewer, Node: ans.Node, Rung: ans.Rung, Top: ans.MaxRung}, time.Now(), d.life)
 	if err != nil {
 		return Grant{}, fmt.Errorf("token of %s: %w", ans.Play, err)
 	}
 	g := Grant{Play: ans.Play, Token: raw, Base: d.media + "://" + ans.Address + "/v1/media/" + raw + "/" + url.PathEscape(ans.Title) + "/",
-		Title: ans.Title, Segment: d.Set.SegmentMs}
-	if t, ok := d.Set.Lookup(ans.Title); ok {
+		Title: ans.Title, Segment: d.Config.SegmentMs}
+	if t, ok := d.Config.Lookup(ans.Title); ok {
 		g.Seconds = t.Length
 	}
 	for rung := p.Floor; rung <= ans.Rung; rung++ {
-		g.Rungs = append(g.Rungs, Rung{rung, RungID(rung), d.Set.RatesKB[rung] * p.Rate * 8000})
+		g.Rungs = append(g.Rungs, Rung{rung, RungID(rung), d.Config.RatesKB[rung] * p.Rate * 8000})
 	}
 	return g, nil
 }
--- a/playlog/playlog.go
+++ b/playlog/playlog.go
@@ -22,37 +22,37 @@
 	Ended     Kind = "ended"     // the play is over, whatever became of its allocations
 	Token     Kind = "token"     // the play's token was used to come back: it is good no more
 	Lost      Kind = "lost"      // salvage found no records where acknowledged ones must have been
-	Whole     Kind = "whole"     // the nodes' words have made up for what was lost
+	Recovered Kind = "whole"     // the nodes' words have made up for what was lost
 )
 
-// How a play ended, for those who come back with its token. A play that never played has none.
-type How string
+// EndReason a play ended, for those who come back with its token. A play that never played has none.
+type EndReason string
 
 const (
-	Served   How = "served"
-	Moved    How = "moved"    // to be placed anew
-	Broken   How = "broken"   // its node was lost
-	Returned How = "returned" // its viewer came back already
+	Served   EndReason = "served"
+	Moved    EndReason = "moved"    // to be placed anew
+	Broken   EndReason = "broken"   // its node was lost
+	Returned EndReason = "returned" // its viewer came back already
 )
 
-var hows = map[How]bool{"": true, Served: true, Moved: true, Broken: true, Returned: true}
+var hows = map[EndReason]bool{"": true, Served: true, Moved: true, Broken: true, Returned: true}
 
-// Record is one line of the ledger.
+// Record is one record of the play log.
 type Record struct {
-	Kind    Kind   `json:"kind"`
-	Play    string `json:"play"`
-	Epoch   int64  `json:"epoch,omitempty"` // of the front's life that took the play
-	Try     int    `json:"try,omitempty"`
-	Product string `json:"product,omitempty"`
-	Title   string `json:"title,omitempty"`
-	Viewer  string `json:"viewer,omitempty"`
-	Node    string `json:"node,omitempty"`
-	Rung    int    `json:"rung,omitempty"`
-	Top     int    `json:"top,omitempty"`
-	Back    string `json:"back,omitempty"`  // the play whose token brought the viewer
-	How     How    `json:"how,omitempty"`   // it ended
-	At      int64  `json:"at,omitempty"`    // Unix milliseconds, of an end of a play that played
-	Count   uint64 `json:"count,omitempty"` // records lost
+	Kind      Kind      `json:"kind"`
+	Play      string    `json:"play"`
+	Epoch     int64     `json:"epoch,omitempty"` // of the front's life that took the play
+	Attempt   int       `json:"try,omitempty"`
+	Product   string    `json:"product,omitempty"`
+	Title     string    `json:"title,omitempty"`
+	Viewer    string    `json:"viewer,omitempty"`
+	Node      string    `json:"node,omitempty"`
+	Rung      int       `json:"rung,omitempty"`
+	MaxRung   int       `json:"top,omitempty"`
+	Previous  string    `json:"back,omitempty"`  // the play whose token brought the viewer
+	EndReason EndReason `json:"how,omitempty"`   // it ended
+	At        int64     `json:"at,omitempty"`    // Unix milliseconds, of an end of a play that played
+	Count     uint64    `json:"count,omitempty"` // records lost
 }
 
 // Encode writes a record for the store.
@@ -71,47 +71,47 @@
 		return Record{}, fmt.Errorf("ledger: %w", err)
 	}
 	switch {
-	case r.Kind == Lost && r.Count > 0 || r.Kind == Whole:
+	case r.Kind == Lost && r.Count > 0 || r.Kind == Recovered:
 	case r.Play == "":
 		return Record{}, fmt.Errorf("ledger: a record without a play")
-	case !hows[r.How] || r.At < 0:
+	case !hows[r.EndReason] || r.At < 0:
 		return Record{}, fmt.Errorf("ledger: end of %.40q is malformed", r.Play)
 	case r.Kind == Ended || r.Kind == Started || r.Kind == Token:
 	case r.Kind != Allocated:
 		return Record{}, fmt.Errorf("ledger: kind %.20q is unknown", r.Kind)
-	case r.Product == "" || r.Title == "" || r.Viewer == "" || r.Node == "" || r.Epoch <= 0 || r.Try < 0 || r.Rung < 0 || r.Top < 0:
+	case r.Product == "" || r.Title == "" || r.Viewer == "" || r.Node == "" || r.Epoch <= 0 || r.Attempt < 0 || r.Rung < 0 || r.MaxRung < 0:
 		return Record{}, fmt.Errorf("ledger: allocation of %.40q is malformed", r.Play)
 	}
 	return r, nil
 }
 
-// Before tells whether a product's allocations are written down before they are sent. Paid ones, as they must
+// LogFirst tells whether a product's allocations are written down before they are sent. Paid ones, as they must
 // not be doubled; those with seats, as a seat must not be given twice. Others may be set up again without
 // harm, so that they don't wait for a disk.
-func Before(paid bool, seats int) bool { return paid || seats > 0 }
+func LogFirst(paid bool, seats int) bool { return paid || seats > 0 }
 
-// TokenFor is how long the end of a play is kept for those who come back with its token, in milliseconds: no
+// TokenRetentionMs is how long the end of a play is kept for those who come back with its token, in milliseconds: no
 // token lives longer after its play's end, as it is made anew with each manifest.
-const TokenFor = 600_000
+const TokenRetentionMs = 600_000
 
 const pastMost = 1 << 16 // endings kept at most: 30 minutes at 33 recorded plays a second
 
 // Play is a play that may still run.
 type Play struct {
-	Record      // its last allocation
-	Heard  bool // its viewer was told that it plays
+	Record        // its last allocation
+	Answered bool // its viewer was told that it plays
 }
 
-// Past is a play that is over and whose token may still be shown.
-type Past struct {
-	Play string
-	How  How
-	At   int64 // Unix milliseconds
+// EndedPlay is a play that is over and whose token may still be shown.
+type EndedPlay struct {
+	Play      string
+	EndReason EndReason
+	At        int64 // Unix milliseconds
 }
 
-// Book is what a ledger's records come to: the plays that may still run, each with its last allocation; the
+// State is what a play log's records come to: the plays that may still run, each with its last allocation; the
 // tokens that are good no more; and whether anything is missing.
-type Book struct {
+type State struct {
 	open    map[string]Play
 	past    map[string]ended
 	order   []ended // in the order of their ends; one written over stands twice
@@ -122,54 +122,54 @@
 
 // ended is an end with its number among all ends, which tells the last of a play's.
 type ended struct {
-	Past
+	EndedPlay
 	number uint64
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book { return &Book{open: map[string]Play{}, past: map[string]ended{}} }
+// NewState makes an empty state.
+func NewState() *State { return &State{open: map[string]Play{}, past: map[string]ended{}} }
 
 // Apply takes a record in. Every record has its place in every state: an end of a play that is not open is
 // one written twice, and an allocation of an open play is its next one. The error tells of an order that a front
 // never writes; the safe side is kept: the play stays open, at the node of its latest allocation.
-func (b *Book) Apply(r Record) error {
+func (b *State) Apply(r Record) error {
 	b.records++
 	switch r.Kind {
 	case Ended:
 		delete(b.open, r.Play)
-		if r.How != "" {
-			b.remember(Past{r.Play, r.How, r.At})
+		if r.EndReason != "" {
+			b.remember(EndedPlay{r.Play, r.EndReason, r.At})
 		}
 		return nil
 	case Started:
-		if p, ok := b.open[r.Play]; ok && p.Try == r.Try {
-			p.Heard = true
+		if p, ok := b.open[r.Play]; ok && p.Attempt == r.Attempt {
+			p.Answered = true
 			b.open[r.Play] = p
 		}
 		return nil
 	case Token:
-		b.remember(Past{r.Play, Returned, r.At})
+		b.remember(EndedPlay{r.Play, Returned, r.At})
 		return nil
 	case Lost:
 		b.lost += r.Count
 		return nil
-	case Whole:
+	case Recovered:
 		b.lost = 0
 		return nil
 	}
 	last, ok := b.open[r.Play]
-	if ok && r.Try < last.Try {
-		return fmt.Errorf("ledger: allocation %d of %s follows allocation %d", r.Try, r.Play, last.Try)
+	if ok && r.Attempt < last.Attempt {
+		return fmt.Errorf("ledger: allocation %d of %s follows allocation %d", r.Attempt, r.Play, last.Attempt)
 	}
 	b.open[r.Play] = Play{Record: r}
-	if ok && r.Try == last.Try && r.Node != last.Node {
-		return fmt.Errorf("ledger: allocation %d of %s is written at two nodes", r.Try, r.Play)
+	if ok && r.Attempt == last.Attempt && r.Node != last.Node {
+		return fmt.Errorf("ledger: allocation %d of %s is written at two nodes", r.Attempt, r.Play)
 	}
 	return nil
 }
 
-func (b *Book) remember(p Past) {
-	if was, ok := b.past[p.Play]; ok && was.How == Returned { // used up stays used up, whatever is told of its play
+func (b *State) remember(p EndedPlay) {
+	if was, ok := b.past[p.Play]; ok && was.EndReason == Returned { // used up stays used up, whatever is told of its play
 		return
 	}
 	b.ends++
@@ -177,7 +177,7 @@
 	b.order = append(b.order, b.past[p.Play])
 	// The oldest go as new ones come, so that what is needed, by which a compaction is due, does not grow with
 	// every play that ever ended.
-	for len(b.order) > 1 && (p.At-b.order[0].At > TokenFor || len(b.order) > 2*pastMost) {
+	for len(b.order) > 1 && (p.At-b.order[0].At > TokenRetentionMs || len(b.order) > 2*pastMost) {
 		if first := b.order[0]; b.past[first.Play] == first {
 			delete(b.past, first.Play)
 		}
@@ -186,12 +186,12 @@
 }
 
 // Expire forgets ends whose tokens can't be good any more.
-func (b *Book) Expire(nowMs int64) {
+func (b *State) Expire(nowMs int64) {
 	kept := b.order[:0]
 	for i, p := range b.order {
 		switch {
 		case b.past[p.Play] != p: // written over
-		case nowMs-p.At > TokenFor || len(b.order)-i > pastMost:
+		case nowMs-p.At > TokenRetentionMs || len(b.order)-i > pastMost:
 			delete(b.past, p.Play)
 		default:
 			kept = append(kept, p)
@@ -201,8 +201,8 @@
 	b.order = kept
 }
 
-// Open lists the plays that may still run, by their ids.
-func (b *Book) Open() []Play {
+// OpenPlays lists the plays that may still run, by their ids.
+func (b *State) OpenPlays() []Play {
 	out := make([]Play, 0, len(b.open))
 	for _, r := range b.open {
 		out = append(out, r)
@@ -211,43 +211,43 @@
 	return out
 }
 
-// Past lists the plays whose tokens are good no more, in the order of their ends.
-func (b *Book) Past() (out []Past) {
+// EndedPlays lists the plays whose tokens are good no more, in the order of their ends.
+func (b *State) EndedPlays() (out []EndedPlay) {
 	for _, p := range b.order {
 		if b.past[p.Play] == p {
-			out = append(out, p.Past)
+			out = append(out, p.EndedPlay)
 		}
 	}
 	return out
 }
 
 // Lost counts the records that were acknowledged and that a salvage did not find. While there are any, plays
-// that this book does not have may run: the front must wait until every node has told or its lease has passed.
-func (b *Book) Lost() uint64 { return b.lost }
+// that this state does not have may run: the front must wait until every node has told or its lease has passed.
+func (b *State) Lost() uint64 { return b.lost }
 
-// Records are the fewest records that come to the same book.
-func (b *Book) Records() (out []Record) {
+// Records are the fewest records that come to the same state.
+func (b *State) Records() (out []Record) {
 	if b.lost > 0 {
 		out = append(out, Record{Kind: Lost, Count: b.lost})
 	}
-	for _, p := range b.Past() {
-		if p.How == Returned {
+	for _, p := range b.EndedPlays() {
+		if p.EndReason == Returned {
 			out = append(out, Record{Kind: Token, Play: p.Play, At: p.At})
 		} else {
-			out = append(out, Record{Kind: Ended, Play: p.Play, How: p.How, At: p.At})
+			out = append(out, Record{Kind: Ended, Play: p.Play, EndReason: p.EndReason, At: p.At})
 		}
 	}
-	for _, p := range b.Open() {
+	for _, p := range b.OpenPlays() {
 		out = append(out, p.Record)
-		if p.Heard {
-			out = append(out, Record{Kind: Started, Play: p.Play, Try: p.Try})
+		if p.Answered {
+			out = append(out, Record{Kind: Started, Play: p.Play, Attempt: p.Attempt})
 		}
 	}
 	return out
 }
 
 // Seats counts the open plays of a title and product.
-func (b *Book) Seats(product, title string) (n int) {
+func (b *State) Seats(product, title string) (n int) {
 	for _, r := range b.open {
 		if r.Product == product && r.Title == title {
 			n++
@@ -261,20 +261,20 @@
 	compactTimes = 4    // as many records as are needed: then three in four are of no use
 )
 
-// needed is how many records the book comes to, about.
-func (b *Book) needed() int { return 2*len(b.open) + len(b.past) }
+// needed is how many records the state comes to, about.
+func (b *State) needed() int { return 2*len(b.open) + len(b.past) }
 
-// Compact tells whether the store should be compacted to what is needed now.
-func (b *Book) Compact() bool {
+// NeedsCompaction tells whether the store should be compacted to what is needed now.
+func (b *State) NeedsCompaction() bool {
 	return b.records >= compactLeast && b.records >= compactTimes*b.needed()
 }
 
 // Compacted says that the store now holds just so many records.
-func (b *Book) Compacted(records int) { b.records = records }
+func (b *State) Compacted(records int) { b.records = records }
 
-// Read makes a book of a store's records. It stops at the first that does not hold.
-func Read(records [][]byte) (*Book, error) {
-	b := NewBook()
+// Read makes a state of a store's records. It stops at the first that does not hold.
+func Read(records [][]byte) (*State, error) {
+	b := NewState()
 	for i, raw := range records {
 		r, err := Decode(raw)
 		if err == nil {
--- a/playlog/playlog_test.go
+++ b/playlog/playlog_test.go
@@ -10,11 +10,11 @@
 )
 
 func alloc(play string, try int, node string) Record {
-	return Record{Kind: Allocated, Play: play, Epoch: 1, Try: try, Product: "p", Title: "t", Viewer: "v", Node: node, Rung: 1, Top: 2}
+	return Record{Kind: Allocated, Play: play, Epoch: 1, Attempt: try, Product: "p", Title: "t", Viewer: "v", Node: node, Rung: 1, MaxRung: 2}
 }
 
 func TestOnlyWhatMustNotBeDoubledWaits(t *testing.T) {
-	if !Before(true, 0) || !Before(false, 1) || Before(false, 0) {
+	if !LogFirst(true, 0) || !LogFirst(false, 1) || LogFirst(false, 0) {
 		t.Fatal("paid or seated, and no other")
 	}
 }
@@ -34,10 +34,10 @@
 	}
 }
 
-// The book against a naive model: a list of all that was ever written, searched from the end.
+// The state against a naive model: a list of all that was ever written, searched from the end.
 func TestBookAgainstANaiveModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook()
+		b := NewState()
 		var written []Record
 		tries := map[string]int{}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -48,14 +48,14 @@
 				r = alloc(play, tries[play], fmt.Sprint("n", rapid.IntRange(0, 2).Draw(t, "node")))
 				tries[play]++
 			case 2:
-				r = Record{Kind: Started, Play: play, Try: max(0, tries[play]-1)}
+				r = Record{Kind: Started, Play: play, Attempt: max(0, tries[play]-1)}
 			case 3:
 				r = Record{Kind: Token, Play: play, At: 5}
 			case 4:
-				r.How, r.At = rapid.SampledFrom([]How{Served, Moved, Broken}).Draw(t, "how"), 5
+				r.EndReason, r.At = rapid.SampledFrom([]EndReason{Served, Moved, Broken}).Draw(t, "how"), 5
 			case 5:
 				if r = (Record{Kind: Lost, Count: 3}); rapid.Bool().Draw(t, "whole") {
-					r = Record{Kind: Whole}
+					r = Record{Kind: Recovered}
 				}
 			}
 			back, err := Decode(r.Encode())
@@ -77,18 +77,18 @@
 			}
 		}
 		var want []Play
-		past := map[string]How{}
+		past := map[string]EndReason{}
 		lost := uint64(0)
 		for _, r := range written {
 			switch {
 			case r.Kind == Lost:
 				lost += r.Count
-			case r.Kind == Whole:
+			case r.Kind == Recovered:
 				lost = 0
 			case r.Kind == Token:
 				past[r.Play] = Returned
-			case r.Kind == Ended && r.How != "" && past[r.Play] != Returned:
-				past[r.Play] = r.How
+			case r.Kind == Ended && r.EndReason != "" && past[r.Play] != Returned:
+				past[r.Play] = r.EndReason
 			}
 		}
 		for i := range 6 {
@@ -100,34 +100,34 @@
 					continue
 				}
 				if r.Kind == Started {
-					heard = max(heard, r.Try)
+					heard = max(heard, r.Attempt)
 					continue
 				}
 				if r.Kind == Allocated {
-					want = append(want, Play{r, heard == r.Try})
+					want = append(want, Play{r, heard == r.Attempt})
 				}
 				break
 			}
 		}
-		if got := b.Open(); !slices.Equal(got, want) {
+		if got := b.OpenPlays(); !slices.Equal(got, want) {
 			t.Fatalf("open %v, want %v", got, want)
 		}
 		if n := b.Seats("p", "t"); n != len(want) || b.Lost() != lost {
 			t.Fatalf("%d seats for %d open plays; %d lost of %d", n, len(want), b.Lost(), lost)
 		}
-		got := map[string]How{}
-		for _, p := range b.Past() {
-			got[p.Play] = p.How
+		got := map[string]EndReason{}
+		for _, p := range b.EndedPlays() {
+			got[p.Play] = p.EndReason
 		}
 		if !maps.Equal(got, past) {
 			t.Fatalf("past %v, want %v", got, past)
 		}
-		b.Expire(5 + TokenFor)
-		if len(b.Past()) != len(past) {
+		b.Expire(5 + TokenRetentionMs)
+		if len(b.EndedPlays()) != len(past) {
 			t.Fatal("forgotten while a token may be good")
 		}
-		b.Expire(6 + TokenFor)
-		if len(b.Past()) != 0 || len(b.past) != 0 {
+		b.Expire(6 + TokenRetentionMs)
+		if len(b.EndedPlays()) != 0 || len(b.past) != 0 {
 			t.Fatal("kept longer than any token")
 		}
 	})
@@ -138,7 +138,7 @@
 	f.Add([]byte(`{"kind":"ended","play":"p"}`))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := Decode(b)
-		if err == nil && (r.Play == "" || r.Kind == Allocated && (r.Node == "" || r.Try < 0)) {
+		if err == nil && (r.Play == "" || r.Kind == Allocated && (r.Node == "" || r.Attempt < 0)) {
 			t.Fatalf("taken: %+v", r)
 		}
 	})
--- a/rundir/folder_test.go
+++ b/rundir/folder_test.go
@@ -33,7 +33,7 @@
 func member(t *testing.T, r *Run, name string, env ...string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), Nonce+"="+r.Nonce, "KIT_TEST_FOLDER="+r.Folder, "KIT_TEST_NAME="+name), env...)
+	cmd.Env = append(append(os.Environ(), NonceVariable+"="+r.Nonce, "KIT_TEST_FOLDER="+r.Folder, "KIT_TEST_NAME="+name), env...)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 
 func TestWhoRegistersAfterTheEndLeaves(t *testing.T) {
 	r := create(t)
-	t.Setenv(Nonce, r.Nonce)
+	t.Setenv(NonceVariable, r.Nonce)
 	if err := r.Join("early", nil); err != nil {
 		t.Fatal(err)
 	}
--- a/rundir/rundir.go
+++ b/rundir/rundir.go
@@ -27,8 +27,8 @@
 	"time"
 )
 
-// Nonce is the environment variable that names a process's run.
-const Nonce = "GULLRAIL_RUN"
+// NonceVariable is the environment variable that names a process's run.
+const NonceVariable = "GULLRAIL_RUN"
 
 // Errors of a run folder, for errors.Is.
 var (
@@ -99,7 +99,7 @@
 		return false
 	}
 	for _, v := range strings.Split(string(b), "\x00") {
-		if v == Nonce+"="+nonce {
+		if v == NonceVariable+"="+nonce {
 			return true
 		}
 	}
@@ -205,7 +205,7 @@
 // Join registers this process in the run that its environment names, and tells whether it may go on.
 // The info is for the others of the run; Join may be called again when it changes.
 func (r *Run) Join(name string, info any) error {
-	if os.Getenv(Nonce) != r.Nonce {
+	if os.Getenv(NonceVariable) != r.Nonce {
 		return fmt.Errorf("kit: this process is not of the run in %s", r.Folder)
 	}
 	start, err := startTime(os.Getpid())
@@ -320,8 +320,8 @@
 	}
 }
 
-// Tidy takes away what a run that never began left in a folder.
-func Tidy(folder string) error {
+// RemoveUnstarted takes away what a run that never began left in a folder.
+func RemoveUnstarted(folder string) error {
 	abs, err := filepath.Abs(folder)
 	if err != nil {
 		return fmt.Errorf("kit: %w", err)
--- a/session/core.go
+++ b/session/core.go
@@ -62,7 +62,7 @@
 	// and is used up, if any. Nothing comes of it, nor of the following two.
 	PlayStarted(r Ref, product int, back string)
 	// PlayFinished says that a play of which allocations were sent is over, and how, if it ever played.
-	PlayFinished(play string, product int, how playlog.How)
+	PlayFinished(play string, product int, how playlog.EndReason)
 	// RecoveryDone says, once, that what may run of earlier lives of this front is known from the nodes alone.
 	RecoveryDone()
 }
@@ -110,8 +110,8 @@
 
 // Event is a change of a play that plays, for who follows it.
 type Event struct {
-	Ended  playlog.How // empty while it plays
-	Answer Answer      // as it is now; of an ended play only its id
+	Ended  playlog.EndReason // empty while it plays
+	Answer Answer            // as it is now; of an ended play only its id
 }
 
 // key tells requests for the same play apart from others.
@@ -175,7 +175,7 @@
 type finished struct {
 	id  string
 	at  int64
-	how playlog.How
+	how playlog.EndReason
 }
 
 // node is a playout node that the front knows.
@@ -223,8 +223,8 @@
 	plays    map[string]*play
 	places   []*play // by place of the handle
 	asking   map[string]*play
-	titles   *intern.Numbers
-	viewers  *intern.Numbers
+	titles   *intern.Table
+	viewers  *intern.Table
 	nodes    []node
 	nodeAt   map[string]int
 	freed    []int // node numbers that may name another
@@ -268,10 +268,10 @@
 // comes before anything else. With the first list the open plays are taken over at their nodes, so that their
 // seats count from then on; the nodes' words then settle which of them still run. A front whose records are
 // whole need not wait for all nodes; lost counts those that are missing.
-func (c *Core) Recover(now int64, open []Expected, past []playlog.Past, lost uint64) {
+func (c *Core) Recover(now int64, open []Expected, past []playlog.EndedPlay, lost uint64) {
 	c.expected, c.atOnce = open, recovery.Ready(true, lost)
 	for _, p := range past {
-		c.remember(now, p.Play, p.How)
+		c.remember(now, p.Play, p.EndReason)
 	}
 }
 
@@ -420,7 +420,7 @@
 
 // Subscribe lets a viewer who was away hear of its play again, in place of who did. It returns the play as it is now,
 // if it plays, or how it ended, if that is remembered; neither if this front does not know it.
-func (c *Core) Subscribe(id string, f func(Event)) (ans Answer, plays bool, how playlog.How) {
+func (c *Core) Subscribe(id string, f func(Event)) (ans Answer, plays bool, how playlog.EndReason) {
 	how, p := c.recall(id)
 	if p == nil || p.stage != playing {
 		return Answer{}, false, how
@@ -474,7 +474,7 @@
 }
 
 // endAt ends a playing play at its node and for the module.
-func (c *Core) endAt(now int64, p *play, why string, how decision.Outcome, as playlog.How) {
+func (c *Core) endAt(now int64, p *play, why string, how decision.Outcome, as playlog.EndReason) {
 	c.out.End(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, why)
 	res := c.mod.AttemptEnded(now, p.h, p.number(), how, true, decision.UnknownLoad)
 	c.finish(now, p, as)
@@ -985,7 +985,7 @@
 }
 
 // finish drops a play that the module has dropped.
-func (c *Core) finish(now int64, p *play, how playlog.How) {
+func (c *Core) finish(now int64, p *play, how playlog.EndReason) {
 	if c.plays[p.id] != p {
 		return
 	}
@@ -1014,7 +1014,7 @@
 }
 
 // remember keeps how a play ended for those who come back with its token, as long as one is good.
-func (c *Core) remember(now int64, id string, how playlog.How) {
+func (c *Core) remember(now int64, id string, how playlog.EndReason) {
 	f := finished{id, now, how}
 	c.ended[id] = f
 	c.endings = append(c.endings, f)
@@ -1038,7 +1038,7 @@
 }
 
 // recall is what is known of a play by its id.
-func (c *Core) recall(id string) (playlog.How, *play) { return c.ended[id].how, c.plays[id] }
+func (c *Core) recall(id string) (playlog.EndReason, *play) { return c.ended[id].how, c.plays[id] }
 
 // ownLife tells that a play was taken by this life of this front.
 func (c *Core) ownLife(id string) bool {
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -34,7 +34,7 @@
 func (r *recorder) OpenStream(node int, _ string, at int64) { r.dials[node] = at }
 func (r *recorder) PlayStarted(x Ref, _ int, back string)   { r.begun = append(r.begun, x) }
 func (r *recorder) RecoveryDone()                           { r.settled++ }
-func (r *recorder) PlayFinished(play string, _ int, _ playlog.How) {
+func (r *recorder) PlayFinished(play string, _ int, _ playlog.EndReason) {
 	r.finished = append(r.finished, play)
 }
 func (r *recorder) CloseStream(node int) { r.hung = append(r.hung, node) }
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -35,7 +35,7 @@
 		lost := uint64(rapid.IntRange(0, 1).Draw(t, "lost"))
 		var plays []*truth
 		var open []Expected
-		var past []playlog.Past
+		var past []playlog.EndedPlay
 		for i := range rapid.IntRange(0, 8).Draw(t, "plays") {
 			p := &truth{Running: Running{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Attempt: rapid.IntRange(0, 2).Draw(t, "try"),
 				Product: 1, Title: fmt.Sprint("t", i), CellCount: 4, Viewer: fmt.Sprint("v", i), Rung: 1, MaxRung: 2}, node: rapid.IntRange(0, nodes-1).Draw(t, "node")}
@@ -49,7 +49,7 @@
 			case p.booked:
 				open = append(open, Expected{p.Running, fmt.Sprint("n", p.node), p.heard})
 			case !p.runs:
-				past = append(past, playlog.Past{Play: p.Play, How: playlog.Served})
+				past = append(past, playlog.EndedPlay{Play: p.Play, EndReason: playlog.Served})
 			}
 		}
 		c.Recover(now, open, past, lost)
@@ -170,7 +170,7 @@
 
 func TestTokensEndedStayEndedOverACrash(t *testing.T) {
 	c := NewCore(start, "f", 2, placement.New(terms(), 1), &recorder{dials: map[int]int64{}}, products{}, 1)
-	c.Recover(start, nil, []playlog.Past{{Play: "f-1-1", How: playlog.Returned}, {Play: "f-1-2", How: playlog.Served}, {Play: "f-1-3", How: playlog.Moved}}, 0)
+	c.Recover(start, nil, []playlog.EndedPlay{{Play: "f-1-1", EndReason: playlog.Returned}, {Play: "f-1-2", EndReason: playlog.Served}, {Play: "f-1-3", EndReason: playlog.Moved}}, 0)
 	c.UpdateList(start, []NodeEntry{{Name: "n0", Address: "a0", Weight: 1}}, true)
 	c.StreamOpened(start, 0, "", 7, 0, nil)
 	for play, why := range map[string]string{"f-1-1": "the token was used to come back already", "f-1-2": "the play has ended"} {
--- a/sockets/box.go
+++ b/sockets/outbox.go
@@ -17,24 +17,24 @@
 	Value   any // the caller's own
 }
 
-// Box keeps what a viewer was not seen to receive, in order. Each message has a cursor; the viewer says up to
-// which it has them. The zero Box is empty. One goroutine at a time.
+// Outbox keeps what a viewer was not seen to receive, in order. Each message has a cursor; the viewer says up to
+// which it has them. The zero Outbox is empty. One goroutine at a time.
 //
-// The bound: at most BoxMost messages are kept. One more leaves out the oldest change of rung, which a later one
+// The bound: at most MaxOutbox messages are kept. One more leaves out the oldest change of rung, which a later one
 // replaces; the next message that is kept says how many were left out. The answer and the end, of which there is
 // one each, are never left out.
-type Box struct {
+type Outbox struct {
 	kept  []Message
 	last  uint64
 	acked uint64
 }
 
-// Begun makes an empty box whose messages go on after a cursor that was given elsewhere.
-func Begun(cursor uint64) Box { return Box{last: cursor, acked: cursor} }
+// NewOutboxAt makes an empty box whose messages go on after a cursor that was given elsewhere.
+func NewOutboxAt(cursor uint64) Outbox { return Outbox{last: cursor, acked: cursor} }
 
 // Put adds a message and returns its cursor.
-func (b *Box) Put(k Kind, value any) uint64 {
-	if len(b.kept) >= BoxMost {
+func (b *Outbox) Put(k Kind, value any) uint64 {
+	if len(b.kept) >= MaxOutbox {
 		for i, m := range b.kept {
 			if m.Kind == Rung {
 				b.kept = append(b.kept[:i], b.kept[i+1:]...)
@@ -55,7 +55,7 @@
 }
 
 // Next is the first message kept after a cursor.
-func (b *Box) Next(cursor uint64) (Message, bool) {
+func (b *Outbox) Next(cursor uint64) (Message, bool) {
 	for _, m := range b.kept {
 		if m.Cursor > cursor {
 			return m, true
@@ -65,7 +65,7 @@
 }
 
 // Ack says that the viewer has all up to a cursor. One that was never given, or that goes back, does nothing.
-func (b *Box) Ack(cursor uint64) {
+func (b *Outbox) Ack(cursor uint64) {
 	if cursor > b.last || cursor <= b.acked {
 		return
 	}
@@ -80,7 +80,7 @@
 }
 
 // Acked is up to where the viewer has said that it has all.
-func (b *Box) Acked() uint64 { return b.acked }
+func (b *Outbox) Acked() uint64 { return b.acked }
 
 // Len is how many messages are kept.
-func (b *Box) Len() int { return len(b.kept) }
+func (b *Outbox) Len() int { return len(b.kept) }
--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	Grace       = 10 * decision.Second // what a broken socket leaves is kept so long: a phone changes its network in a few
-	BoxMost     = 16                   // messages kept for one play: rungs change every few seconds at most
-	MessageMost = 8 << 10              // bytes of a player's message: a token and a few words
-	PlaysMost   = 4                    // requests and plays on one socket: a screen, a preview and room to change
-	PingEvery   = 15 * decision.Second // longer than the common idle times of a phone's radio would be of no use
-	PongFor     = 5 * decision.Second  // a live peer answers in a round trip
-	WriteFor    = 3 * decision.Second  // a peer that takes nothing for so long doesn't read
-	HelloFor    = 10 * decision.Second // a socket on which nothing was asked or resumed for so long is closed
-	AdviceLeast = 1 * decision.Second
+	Grace           = 10 * decision.Second // what a broken socket leaves is kept so long: a phone changes its network in a few
+	MaxOutbox       = 16                   // messages kept for one play: rungs change every few seconds at most
+	MaxMessageBytes = 8 << 10              // bytes of a player's message: a token and a few words
+	MaxPlays        = 4                    // requests and plays on one socket: a screen, a preview and room to change
+	PingInterval    = 15 * decision.Second // longer than the common idle times of a phone's radio would be of no use
+	PongTimeout     = 5 * decision.Second  // a live peer answers in a round trip
+	WriteTimeout    = 3 * decision.Second  // a peer that takes nothing for so long doesn't read
+	HelloTimeout    = 10 * decision.Second // a socket on which nothing was asked or resumed for so long is closed
+	MinRetryAfter   = 1 * decision.Second
 
 	paceRate    = 400.0                // sockets let in a second: a handshake and a first request cost about 1 ms of CPU
 	paceBurst   = 200.0                // at once, on top: a half second's
@@ -40,31 +40,31 @@
 	slowPenalty = 2 * decision.Second  // of waiting bytes: a reader that far behind goes before one that keeps up
 )
 
-// Most is how many sockets a front may hold that may hold so many connections: a quarter is left for those who ask by
+// MaxSockets is how many sockets a front may hold that may hold so many connections: a quarter is left for those who ask by
 // single requests, and for probes of its health.
-func Most(connections int) int { return max(1, connections*3/4) }
+func MaxSockets(connections int) int { return max(1, connections*3/4) }
 
 // Refusal is why a socket is not let in, or is let go.
 type Refusal uint8
 
 const (
-	Welcome Refusal = iota
-	Full            // as many sockets as the front may hold, and none is worth less
-	Pace            // too many come at once
-	Barred          // the player was cut off a moment ago
+	Admitted    Refusal = iota
+	Full                // as many sockets as the front may hold, and none is worth less
+	RateLimited         // too many come at once
+	Banned              // the player was cut off a moment ago
 )
 
 func (r Refusal) String() string {
 	return [...]string{"welcome", "the front holds as many sockets as it may", "too many come at once", "this player was cut off"}[r]
 }
 
-// Door lets sockets in.
+// Admission lets sockets in.
 //
 // Guards against the herd that comes when another front dies: thousands of players dial the fronts that are left
 // in the same second, and each handshake takes from those that play. Each one over the pace is given a time of its
 // own, one after the other, so that those who heed it come evenly. Could harm the first second after a quiet
 // start, which lets in no more than the burst.
-type Door struct {
+type Admission struct {
 	most   int
 	rnd    pcg.Source
 	tokens float64
@@ -73,20 +73,20 @@
 	barred *simplelru.LRU[string, int64]
 }
 
-// NewDoor makes a door of a front that may hold so many sockets.
-func NewDoor(now int64, most int, seed uint64) *Door {
+// NewAdmission makes the admission of a front that may hold so many sockets.
+func NewAdmission(now int64, most int, seed uint64) *Admission {
 	barred, err := simplelru.NewLRU[string, int64](barredMost, nil)
 	if err != nil {
 		panic(err) // the size is a constant above 0
 	}
-	return &Door{most: most, rnd: pcg.New(seed), tokens: paceBurst, at: now, barred: barred}
+	return &Admission{most: most, rnd: pcg.New(seed), tokens: paceBurst, at: now, barred: barred}
 }
 
-// Knock judges a new socket of a client, while so many are open, and says when to come back if it is not let in.
-func (d *Door) Knock(now int64, client string, open int) (Refusal, int64) {
+// Admit judges a new socket of a client, while so many are open, and says when to come back if it is not let in.
+func (d *Admission) Admit(now int64, client string, open int) (Refusal, int64) {
 	if until, ok := d.barred.Get(client); ok {
 		if now < until {
-			return Barred, max(AdviceLeast, until-now)
+			return Banned, max(MinRetryAfter, until-now)
 		}
 		d.barred.Remove(client)
 	}
@@ -96,34 +96,34 @@
 	d.tokens = min(paceBurst, d.tokens+float64(now-d.at)/float64(decision.Second)*paceRate)
 	d.at = now
 	if d.tokens < 1 {
-		return Pace, d.slot(now)
+		return RateLimited, d.slot(now)
 	}
 	d.tokens--
-	return Welcome, 0
+	return Admitted, 0
 }
 
 // slot gives the next free time away, as a pause from now, a little moved by chance.
-func (d *Door) slot(now int64) int64 {
+func (d *Admission) slot(now int64) int64 {
 	each := int64(float64(decision.Second) / paceRate)
-	d.next = max(d.next, now+AdviceLeast) + each
+	d.next = max(d.next, now+MinRetryAfter) + each
 	if d.next > now+paceAhead { // more wait than come in that time: begin again, mixed by chance
-		d.next = now + AdviceLeast
+		d.next = now + MinRetryAfter
 	}
 	return d.next - now + int64(d.rnd.Float()*float64(each))
 }
 
-// Bar keeps a client out for a while.
-func (d *Door) Bar(now int64, client string) { d.barred.Add(client, now+barredFor) }
+// Ban keeps a client out for a while.
+func (d *Admission) Ban(now int64, client string) { d.barred.Add(client, now+barredFor) }
 
-// Leave spreads those who are told to go: of so many, each gets a pause drawn from the time that their return
+// SpreadReturns spreads those who are told to go: of so many, each gets a pause drawn from the time that their return
 // takes at the pace of one front.
-func (d *Door) Leave(sockets int) int64 {
-	window := max(AdviceLeast, int64(float64(sockets)/paceRate*float64(decision.Second)))
-	return AdviceLeast + int64(d.rnd.Float()*float64(min(window, paceAhead)))
+func (d *Admission) SpreadReturns(sockets int) int64 {
+	window := max(MinRetryAfter, int64(float64(sockets)/paceRate*float64(decision.Second)))
+	return MinRetryAfter + int64(d.rnd.Float()*float64(min(window, paceAhead)))
 }
 
-// Standing is a socket as the shedding sees it.
-type Standing struct {
+// SocketState is a socket as the shedding sees it.
+type SocketState struct {
 	Importance float64 // the highest of its plays; 0 without any
 	Playing    bool
 	Behind     int64 // how long its oldest message waits to be taken
@@ -136,7 +136,7 @@
 //
 // Guards against a front that fills up with idle screens while players who want to watch are turned away. A socket that
 // plays is let go for another only if that one matters more, which the caller says by worth; one that plays nothing for anyone.
-func Shed(now int64, all []Standing, worth float64) []int {
+func Shed(now int64, all []SocketState, worth float64) []int {
 	order := make([]int, 0, len(all))
 	for i, s := range all {
 		if s.Behind < slowPenalty && s.Playing && s.Importance >= worth {
@@ -146,13 +146,13 @@
 	}
 	slices.SortFunc(order, func(i, j int) int {
 		a, b := all[i], all[j]
-		slow := func(s Standing) int {
+		slow := func(s SocketState) int {
 			if s.Behind >= slowPenalty {
 				return 0
 			}
 			return 1
 		}
-		playing := func(s Standing) int {
+		playing := func(s SocketState) int {
 			if s.Playing {
 				return 1
 			}
@@ -167,22 +167,22 @@
 	return order[:min(len(order), max(1, len(all)/shedSlice))]
 }
 
-// Fate is what becomes of a request or play whose socket broke.
-type Fate uint8
+// Disposition is what becomes of a request or play whose socket broke.
+type Disposition uint8
 
 const (
-	Keep     Fate = iota // until its time comes
-	Withdraw             // nobody waits for the answer any more
-	Abandon              // it plays and its viewer never said that it knows: end it, its seat is free
-	Forget               // the viewer has its play, and may come back by its token; nothing more is kept for it
+	Keep     Disposition = iota // until its time comes
+	Withdraw                    // nobody waits for the answer any more
+	Abandon                     // it plays and its viewer never said that it knows: end it, its seat is free
+	Forget                      // the viewer has its play, and may come back by its token; nothing more is kept for it
 )
 
-// Left judges what a broken socket left: answered, and then whether the answer was that it plays, and whether the
+// AfterDisconnect judges what a broken socket left: answered, and then whether the answer was that it plays, and whether the
 // viewer has said that it has that answer. limit is the request's time limit, brokeAt when the socket broke. It returns when to judge again.
 //
 // Guards against an answer that is decided while nobody listens: it waits for its viewer until the time limit
 // and no longer, so that a seat is not held for somebody who was told nothing.
-func Left(now, limit, brokeAt int64, answered, plays, has bool) (Fate, int64) {
+func AfterDisconnect(now, limit, brokeAt int64, answered, plays, has bool) (Disposition, int64) {
 	over := brokeAt + Grace
 	if !answered || plays && !has {
 		over = min(over, limit)
@@ -198,8 +198,8 @@
 	return Forget, 0
 }
 
-// Conduct judges what one player says on one socket.
-type Conduct struct {
+// Behavior judges what one player says on one socket.
+type Behavior struct {
 	tokens float64
 	at     int64
 	warned int
@@ -208,49 +208,49 @@
 	next   int
 }
 
-// Word is what to do about a message.
-type Word uint8
+// Response is what to do about a message.
+type Response uint8
 
 const (
-	Take   Word = iota
-	Ignore      // told off, and not acted upon
-	Cut         // the socket is closed, and the player kept out for a while
+	Accept     Response = iota
+	Ignore              // told off, and not acted upon
+	Disconnect          // the socket is closed, and the player kept out for a while
 )
 
-// NewConduct begins with all a player may have saved up.
-func NewConduct(now int64) Conduct { return Conduct{tokens: sayBurst, at: now} }
+// NewBehavior begins with all a player may have saved up.
+func NewBehavior(now int64) Behavior { return Behavior{tokens: sayBurst, at: now} }
 
 // Message judges one more message. Guards against a player in a loop: it costs itself its socket, and others nothing, as what
 // is over the rate is not looked at.
-func (c *Conduct) Message(now int64) Word {
+func (c *Behavior) Message(now int64) Response {
 	c.tokens = min(sayBurst, c.tokens+float64(now-c.at)/float64(decision.Second)*sayRate)
 	c.at = now
 	if c.tokens >= 1 {
 		c.tokens--
-		return Take
+		return Accept
 	}
 	if c.warned++; c.warned > warnings {
-		return Cut
+		return Disconnect
 	}
 	return Ignore
 }
 
 // Malformed judges a message that does not hold.
-func (c *Conduct) Malformed() Word {
+func (c *Behavior) Malformed() Response {
 	if c.bad++; c.bad >= malformed {
-		return Cut
+		return Disconnect
 	}
 	return Ignore
 }
 
-// Claim judges a player's word that its node does not deliver. Each ends the play there and asks for another place. Guards against a
+// NotDelivered judges a player's word that its node does not deliver. Each ends the play there and asks for another place. Guards against a
 // player whose own line is broken, or who lies, and would be moved from node to node.
-func (c *Conduct) Claim(now int64) Word {
+func (c *Behavior) NotDelivered(now int64) Response {
 	oldest := c.claims[c.next]
 	if oldest != 0 && now-oldest < claimsOver {
 		return Ignore
 	}
 	c.claims[c.next] = now
 	c.next = (c.next + 1) % claimsMost
-	return Take
+	return Accept
 }
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -15,7 +15,7 @@
 func TestBoxGivesInOrderOnceAndTellsWhatIsLeftOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := rapid.Uint64Range(0, 50).Draw(t, "from")
-		b := Begun(from)
+		b := NewOutboxAt(from)
 		put, have, told := 0, from, 0
 		answered, ended := false, false
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -55,7 +55,7 @@
 				b.Ack(have + uint64(put) + 100)
 				b.Ack(rapid.Uint64Range(0, have).Draw(t, "old"))
 			}
-			if b.Len() > BoxMost || b.Acked() != have {
+			if b.Len() > MaxOutbox || b.Acked() != have {
 				t.Fatalf("%d kept, acknowledged %d of %d", b.Len(), b.Acked(), have)
 			}
 		}
@@ -72,17 +72,17 @@
 }
 
 func TestDoorSpreadsAHerd(t *testing.T) {
-	d := NewDoor(now, 100_000, 1)
+	d := NewAdmission(now, 100_000, 1)
 	in, slots := 0, map[int64]int{}
 	var backs []int64
 	const herd = 6000
 	for range herd {
-		r, back := d.Knock(now, "v", in)
-		if r == Welcome {
+		r, back := d.Admit(now, "v", in)
+		if r == Admitted {
 			in++
 			continue
 		}
-		if r != Pace || back < AdviceLeast || back > paceAhead+AdviceLeast {
+		if r != RateLimited || back < MinRetryAfter || back > paceAhead+MinRetryAfter {
 			t.Fatalf("%v, %d", r, back)
 		}
 		slots[back/decision.Second]++
@@ -100,32 +100,32 @@
 	refused := 0
 	slices.Sort(backs)
 	for _, back := range backs {
-		if r, _ := d.Knock(now+back, "v", in); r != Welcome {
+		if r, _ := d.Admit(now+back, "v", in); r != Admitted {
 			refused++
 		}
 	}
 	if refused > 0 {
 		t.Errorf("%d came as told and were turned away again", refused)
 	}
-	if r, back := d.Knock(now, "v", 100_000); r != Full || back < AdviceLeast {
+	if r, back := d.Admit(now, "v", 100_000); r != Full || back < MinRetryAfter {
 		t.Errorf("full: %v %d", r, back)
 	}
 }
 
 func TestBarredForAWhile(t *testing.T) {
-	d := NewDoor(now, 10, 1)
-	d.Bar(now, "bad")
-	if r, back := d.Knock(now+1, "bad", 0); r != Barred || back != barredFor-1 {
+	d := NewAdmission(now, 10, 1)
+	d.Ban(now, "bad")
+	if r, back := d.Admit(now+1, "bad", 0); r != Banned || back != barredFor-1 {
 		t.Fatalf("%v %d", r, back)
 	}
-	if r, _ := d.Knock(now+1, "good", 0); r != Welcome {
+	if r, _ := d.Admit(now+1, "good", 0); r != Admitted {
 		t.Fatal(r)
 	}
-	if r, _ := d.Knock(now+barredFor, "bad", 0); r != Welcome {
+	if r, _ := d.Admit(now+barredFor, "bad", 0); r != Admitted {
 		t.Fatal("kept out for ever")
 	}
 	for i := range 3 * barredMost {
-		d.Bar(now, string(rune('a'+i%20))+string(rune(i)))
+		d.Ban(now, string(rune('a'+i%20))+string(rune(i)))
 	}
 	if d.barred.Len() > barredMost {
 		t.Fatal("a table that grows with every name")
@@ -133,14 +133,14 @@
 }
 
 func TestShedding(t *testing.T) {
-	all := []Standing{
+	all := []SocketState{
 		{Importance: 3, Playing: true, Since: 1},
 		{Importance: 1, Playing: true, Since: 2},
 		{Since: 5},
 		{Since: 3},
 		{Importance: 3, Playing: true, Since: 4, Behind: slowPenalty},
 	}
-	left := append([]Standing{}, all...)
+	left := append([]SocketState{}, all...)
 	var order []int64
 	for len(left) > 0 {
 		gone := Shed(now, left, 3)
@@ -166,7 +166,7 @@
 	if gone := Shed(now, all[:2], 0); len(gone) != 0 {
 		t.Fatal("one that plays went for one that plays nothing")
 	}
-	if gone := Shed(now, make([]Standing, 640), 0); len(gone) != 10 {
+	if gone := Shed(now, make([]SocketState, 640), 0); len(gone) != 10 {
 		t.Fatalf("%d of 640", len(gone))
 	}
 }
@@ -177,7 +177,7 @@
 	for _, c := range []struct {
 		at                   int64
 		answered, plays, has bool
-		want                 Fate
+		want                 Disposition
 	}{
 		{limit - 1, false, false, false, Keep},
 		{limit, false, false, false, Withdraw},
@@ -189,7 +189,7 @@
 		{broke + Grace - 1, true, false, false, Keep}, // a refusal waits to be fetched
 		{broke + Grace, true, false, false, Forget},
 	} {
-		got, again := Left(c.at, limit, broke, c.answered, c.plays, c.has)
+		got, again := AfterDisconnect(c.at, limit, broke, c.answered, c.plays, c.has)
 		if got != c.want || got == Keep && again <= c.at {
 			t.Errorf("%+v: %d, again at %d", c, got, again)
 		}
@@ -197,14 +197,14 @@
 }
 
 func TestConduct(t *testing.T) {
-	c := NewConduct(now)
+	c := NewBehavior(now)
 	taken, ignored := 0, 0
 	for {
 		w := c.Message(now)
-		if w == Cut {
+		if w == Disconnect {
 			break
 		}
-		if w == Take {
+		if w == Accept {
 			taken++
 		} else {
 			ignored++
@@ -213,21 +213,21 @@
 	if taken != sayBurst || ignored != warnings {
 		t.Fatalf("%d taken, %d told off", taken, ignored)
 	}
-	c = NewConduct(now)
+	c = NewBehavior(now)
 	for i := range 600 { // a report each second and an ack each two for ten minutes
-		if c.Message(now+int64(i)*decision.Second) != Take || i%2 == 0 && c.Message(now+int64(i)*decision.Second) != Take {
+		if c.Message(now+int64(i)*decision.Second) != Accept || i%2 == 0 && c.Message(now+int64(i)*decision.Second) != Accept {
 			t.Fatal("a player that behaves was told off")
 		}
 	}
-	if c.Malformed() != Ignore || c.Malformed() != Ignore || c.Malformed() != Cut {
+	if c.Malformed() != Ignore || c.Malformed() != Ignore || c.Malformed() != Disconnect {
 		t.Fatal("three that do not hold")
 	}
 	for i := range claimsMost {
-		if c.Claim(now+int64(i)) != Take {
+		if c.NotDelivered(now+int64(i)) != Accept {
 			t.Fatal("a broken node")
 		}
 	}
-	if c.Claim(now+claimsOver-1) != Ignore || c.Claim(now+claimsOver) != Take {
+	if c.NotDelivered(now+claimsOver-1) != Ignore || c.NotDelivered(now+claimsOver) != Accept {
 		t.Fatal("claims are counted over a time")
 	}
 }
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -522,7 +522,7 @@
 		http.Error(w, "token: made for another node or title", http.StatusForbidden)
 		return
 	}
-	rung, err := dash.RungOf(r.PathValue("rep"))
+	rung, err := dash.ParseRepresentationID(r.PathValue("rep"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -95,7 +95,7 @@
 
 // firstURL asks for the title anew.
 func (p *Players) firstURL(v *Viewer, at int, left time.Duration) string {
-	return client.FirstManifest("http", v.Fronts[at], v.Name, client.Want{Title: v.Title, Product: v.Product.Name, Top: v.Top, Length: left})
+	return client.FirstManifest("http", v.Fronts[at], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, Top: v.Top, Length: left})
 }
 
 // Watch lives through one viewer's wish: asks, fetches, retries, returns after breaks and moves, and
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -654,9 +654,9 @@
 }
 
 // PlayFinished is for records on disk, which a simulated front does not keep.
-func (f *simFront) PlayFinished(string, int, playlog.How) {}
-func (f *simFront) PlayStarted(session.Ref, int, string)  {}
-func (f *simFront) RecoveryDone()                         {}
+func (f *simFront) PlayFinished(string, int, playlog.EndReason) {}
+func (f *simFront) PlayStarted(session.Ref, int, string)        {}
+func (f *simFront) RecoveryDone()                               {}
 
 // nodeDied cuts what the front has to do with a node whose process ended.
 func (f *simFront) nodeDied(n *simNode) {
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -78,7 +78,7 @@
 	}})
 	defer c.Close()
 	for tries := 0; ctx.Err() == nil && time.Since(began) < v.Watch && tries <= v.Tries; tries++ {
-		play, err := c.Ask(ctx, client.Want{Title: v.Title, Product: v.Product.Name, Top: v.Top, Limit: time.Duration(v.Product.LimitMs) * time.Millisecond,
+		play, err := c.Ask(ctx, client.Request{Title: v.Title, Product: v.Product.Name, Top: v.Top, Limit: time.Duration(v.Product.LimitMs) * time.Millisecond,
 			Length: v.Watch - time.Since(began), Tries: v.Tries})
 		if err != nil {
 			return // its tries are used up
@@ -115,14 +115,14 @@
 		for waiting := true; waiting; {
 			select {
 			case e, ok := <-play.Events():
-				if !ok || e.What == client.Ended {
+				if !ok || e.Kind == client.Ended {
 					return false
 				}
-				if e.What == client.Moved || e.What == client.Rung {
+				if e.Kind == client.Moved || e.Kind == client.Rung {
 					waiting = away // it fetches there at once
 					away = false
 				}
-				if e.What == client.Away {
+				if e.Kind == client.Away {
 					away = true
 				}
 			case <-tick:
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -24,7 +24,7 @@
 
 func (r *rig) asks(c *client.Client, title, product string, tries int) *client.Play {
 	r.t.Helper()
-	p, err := c.Ask(r.t.Context(), client.Want{Title: title, Product: product, Top: -1, Limit: time.Second, Tries: tries})
+	p, err := c.Ask(r.t.Context(), client.Request{Title: title, Product: product, Top: -1, Limit: time.Second, Tries: tries})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 	return r.getAt(g.Base + g.Rungs[len(g.Rungs)-1].ID + "/1.m4s").status
 }
 
-func (r *rig) event(p *client.Play, want client.What) client.Event {
+func (r *rig) event(p *client.Play, want client.EventKind) client.Event {
 	r.t.Helper()
 	late := time.After(15 * time.Second)
 	for {
@@ -45,7 +45,7 @@
 			if !ok {
 				r.t.Fatalf("it ended before event %d", want)
 			}
-			if e.What == want {
+			if e.Kind == want {
 				return e
 			}
 		case <-late:
@@ -118,8 +118,8 @@
 			ok := false
 			if i%2 == 0 {
 				c := r.viewer(fmt.Sprint("v", i))
-				_, err := c.Ask(t.Context(), client.Want{Title: "clip", Product: "paid", Top: -1, Limit: time.Second})
-				var no *client.Refused
+				_, err := c.Ask(t.Context(), client.Request{Title: "clip", Product: "paid", Top: -1, Limit: time.Second})
+				var no *client.RefusedError
 				if ok = err == nil; !ok && !errors.As(err, &no) {
 					t.Error(err)
 				}
@@ -147,12 +147,12 @@
 	c := r.viewer("v")
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := c.Ask(ctx, client.Want{Title: "clip", Product: "safe", Top: -1, Limit: time.Second, Tries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := c.Ask(ctx, client.Request{Title: "clip", Product: "safe", Top: -1, Limit: time.Second, Tries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
 	r.eventually("its end", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
 	c.Close()
-	if _, err := c.Ask(t.Context(), client.Want{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
+	if _, err := c.Ask(t.Context(), client.Request{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
 		t.Fatalf("after its end: %v", err)
 	}
 }
--- a/wsapi/line.go
+++ b/wsapi/line.go
@@ -19,7 +19,7 @@
 	began   time.Time
 
 	mu       sync.Mutex
-	box      sockets.Box
+	box      sockets.Outbox
 	sent     uint64  // cursor up to which the socket in force was sent
 	socket   *socket // nil while there is none
 	brokeAt  int64
@@ -41,7 +41,7 @@
 	l.over = !l.plays
 	l.answerAt = l.box.Put(sockets.Answer, ans)
 	if l.dropped && l.plays { // its viewer is past waiting; a goroutine, as the core must not be called from here
-		go l.front.desk.Abandon(ans.Play)
+		go l.front.desk.EndPlay(ans.Play)
 		return
 	}
 	l.poke()
@@ -97,7 +97,7 @@
 			g, err := l.front.desk.Grant(v)
 			if err != nil { // the viewer never learns of its play
 				l.front.log.Error().Err(err).Msg("grant")
-				l.front.desk.Abandon(v.Play)
+				l.front.desk.EndPlay(v.Play)
 				return Message{Type: "error", Ticket: l.ticket, Why: "the answer could not be given"}, true
 			}
 			out.Grant = &g
@@ -141,7 +141,7 @@
 		return
 	}
 	now := l.front.now()
-	fate, again := sockets.Left(now, l.limit, l.brokeAt, l.answered, l.plays && !l.over, l.box.Acked() >= l.answerAt)
+	fate, again := sockets.AfterDisconnect(now, l.limit, l.brokeAt, l.answered, l.plays && !l.over, l.box.Acked() >= l.answerAt)
 	if fate == sockets.Keep {
 		l.judge = time.AfterFunc(session.Duration(again-now)+time.Millisecond, l.left)
 		l.mu.Unlock()
@@ -157,7 +157,7 @@
 			pending.Withdraw()
 		}
 	case sockets.Abandon:
-		l.front.desk.Abandon(play)
+		l.front.desk.EndPlay(play)
 	case sockets.Forget:
 		l.front.desk.Post(func(_ int64, c *session.Core) { c.Unsubscribe(play) })
 	}
@@ -178,7 +178,7 @@
 		pending.Withdraw()
 	}
 	if plays {
-		l.front.desk.Abandon(play)
+		l.front.desk.EndPlay(play)
 	}
 }
 
@@ -202,5 +202,5 @@
 func (l *line) standing() (playing bool, importance float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.plays && !l.over, l.front.desk.Set.Products[l.request.Product].Importance
+	return l.plays && !l.over, l.front.desk.Config.Products[l.request.Product].Importance
 }
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -21,7 +21,7 @@
 
 // Front serves the sockets of one front end.
 type Front struct {
-	desk  *playapi.Desk
+	desk  *playapi.Service
 	clock *session.Clock
 	log   zerolog.Logger
 	ctx   context.Context // ends with the front
@@ -29,7 +29,7 @@
 	wg    sync.WaitGroup
 
 	mu      sync.Mutex
-	door    *sockets.Door
+	door    *sockets.Admission
 	open    map[*socket]bool
 	opening int       // let in, with the handshake under way
 	order   []*socket // as they opened; those that are closed are swept out now and then
@@ -45,9 +45,9 @@
 }
 
 // New makes the sockets' front of a front end that may hold so many connections. Close ends it.
-func New(d *playapi.Desk, clock *session.Clock, connections int, seed uint64, log zerolog.Logger) *Front {
+func New(d *playapi.Service, clock *session.Clock, connections int, seed uint64, log zerolog.Logger) *Front {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Front{desk: d, clock: clock, log: log, ctx: ctx, stop: stop, door: sockets.NewDoor(clock.Now(), sockets.Most(connections), seed),
+	return &Front{desk: d, clock: clock, log: log, ctx: ctx, stop: stop, door: sockets.NewAdmission(clock.Now(), sockets.MaxSockets(connections), seed),
 		open: map[*socket]bool{}, lines: map[string]*line{}}
 }
 
@@ -64,16 +64,16 @@
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	client := r.URL.Query().Get("viewer") // only to tell the barred apart; nothing is granted by it
 	f.mu.Lock()
-	refused, back := f.door.Knock(f.now(), client, len(f.open)+f.opening)
-	if refused == sockets.Welcome {
-		f.opening++ // from here on, or thousands in mid-handshake would pass a door that is full
+	refused, back := f.door.Admit(f.now(), client, len(f.open)+f.opening)
+	if refused == sockets.Admitted {
+		f.opening++ // from here on, or thousands in mid-handshake would pass an admission that is full
 	}
 	var shed []*socket
 	if refused == sockets.Full {
 		shed = f.shed()
 	}
 	shut := f.shut
-	if shut && refused == sockets.Welcome {
+	if shut && refused == sockets.Admitted {
 		f.opening--
 	}
 	f.mu.Unlock()
@@ -81,7 +81,7 @@
 		f.counts.Shed.Add(1)
 		s.end(websocket.StatusTryAgainLater, "the front holds as many sockets as it may")
 	}
-	if shut || refused != sockets.Welcome {
+	if shut || refused != sockets.Admitted {
 		f.counts.Refused.Add(1)
 		h := w.Header()
 		h.Set("Cache-Control", "no-store")
@@ -106,10 +106,10 @@
 		conn.Close(websocket.StatusPolicyViolation, "subprotocol "+Subprotocol+" is needed")
 		return
 	}
-	conn.SetReadLimit(sockets.MessageMost)
+	conn.SetReadLimit(sockets.MaxMessageBytes)
 	ctx, cancel := context.WithCancel(f.ctx)
 	now := f.now()
-	s := &socket{front: f, conn: conn, client: client, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1), conduct: sockets.NewConduct(now), since: now}
+	s := &socket{front: f, conn: conn, client: client, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1), conduct: sockets.NewBehavior(now), since: now}
 	f.mu.Lock()
 	f.opening--
 	if f.shut {
@@ -149,7 +149,7 @@
 func (f *Front) shed() (gone []*socket) {
 	now := f.now()
 	var all []*socket
-	var standing []sockets.Standing
+	var standing []sockets.SocketState
 	for _, s := range f.order {
 		if f.open[s] {
 			all = append(all, s)
@@ -178,7 +178,7 @@
 	var all []*socket
 	for _, s := range f.order {
 		if f.open[s] {
-			s.advice = f.door.Leave(len(f.open))
+			s.advice = f.door.SpreadReturns(len(f.open))
 			all = append(all, s)
 		}
 	}
@@ -235,8 +235,8 @@
 	ctx     context.Context
 	cancel  context.CancelFunc
 	wake    chan struct{}
-	conduct sockets.Conduct // the reader's
-	advice  int64           // when to come back, once it is told to go
+	conduct sockets.Behavior // the reader's
+	advice  int64            // when to come back, once it is told to go
 
 	mu      sync.Mutex
 	lines   []*line
@@ -296,9 +296,9 @@
 	}
 }
 
-func (s *socket) standing(now int64) sockets.Standing {
+func (s *socket) standing(now int64) sockets.SocketState {
 	s.mu.Lock()
-	lines, st := append([]*line(nil), s.lines...), sockets.Standing{Since: s.since}
+	lines, st := append([]*line(nil), s.lines...), sockets.SocketState{Since: s.since}
 	if s.behind > 0 {
 		st.Behind = now - s.behind
 	}
@@ -315,7 +315,7 @@
 
 func (s *socket) write() {
 	defer s.cancel()
-	ping := time.NewTimer(session.Duration(sockets.PingEvery))
+	ping := time.NewTimer(session.Duration(sockets.PingInterval))
 	defer ping.Stop()
 	var pings sync.WaitGroup
 	defer pings.Wait()
@@ -329,13 +329,13 @@
 			pings.Add(1)
 			go func() { // it waits for the pong; a peer that is gone gives none
 				defer pings.Done()
-				ctx, cancel := context.WithTimeout(s.ctx, session.Duration(sockets.PongFor))
+				ctx, cancel := context.WithTimeout(s.ctx, session.Duration(sockets.PongTimeout))
 				defer cancel()
 				if s.conn.Ping(ctx) != nil {
 					s.cancel()
 				}
 			}()
-			ping.Reset(session.Duration(sockets.PingEvery))
+			ping.Reset(session.Duration(sockets.PingInterval))
 		case <-s.ctx.Done():
 			s.conn.CloseNow()
 			return
@@ -379,7 +379,7 @@
 			s.front.mu.Lock()
 			advice := s.advice
 			if advice == 0 {
-				advice = s.front.door.Leave(1)
+				advice = s.front.door.SpreadReturns(1)
 			}
 			s.front.mu.Unlock()
 			s.send(Message{Type: "bye", Why: why, ComeBack: session.Duration(advice).Milliseconds()})
@@ -399,7 +399,7 @@
 	s.mu.Lock()
 	s.behind = s.front.now()
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(s.ctx, session.Duration(sockets.WriteFor))
+	ctx, cancel := context.WithTimeout(s.ctx, session.Duration(sockets.WriteTimeout))
 	defer cancel()
 	if err := s.conn.Write(ctx, websocket.MessageText, text); err != nil {
 		s.conn.CloseNow()
@@ -424,7 +424,7 @@
 			l.detach(s)
 		}
 	}()
-	idle := time.AfterFunc(session.Duration(sockets.HelloFor), func() {
+	idle := time.AfterFunc(session.Duration(sockets.HelloTimeout), func() {
 		s.mu.Lock()
 		used := s.viewer != ""
 		s.mu.Unlock()
@@ -439,7 +439,7 @@
 			return // closed, broken, or longer than its limit, which the library answers with 1009
 		}
 		switch s.conduct.Message(s.front.now()) {
-		case sockets.Cut:
+		case sockets.Disconnect:
 			s.cut("too many messages")
 			continue
 		case sockets.Ignore:
@@ -451,7 +451,7 @@
 			err = errors.New("message: text is needed")
 		}
 		if err != nil {
-			if s.conduct.Malformed() == sockets.Cut {
+			if s.conduct.Malformed() == sockets.Disconnect {
 				s.cut("messages that do not hold")
 				continue
 			}
@@ -475,7 +475,7 @@
 	s.front.counts.Cut.Add(1)
 	s.front.mu.Lock()
 	if s.client != "" {
-		s.front.door.Bar(s.front.now(), s.client)
+		s.front.door.Ban(s.front.now(), s.client)
 	}
 	s.front.mu.Unlock()
 	s.end(websocket.StatusPolicyViolation, why)
@@ -509,7 +509,7 @@
 			return "it does not play"
 		}
 		if m.Broken {
-			if s.conduct.Claim(s.front.now()) != sockets.Take {
+			if s.conduct.NotDelivered(s.front.now()) != sockets.Accept {
 				return "too many broken nodes in a short time: look at the player's own line"
 			}
 			s.front.desk.Post(func(now int64, c *session.Core) { c.NotDelivered(now, play) })
@@ -533,7 +533,7 @@
 func (s *socket) hold(l *line, viewer string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.lines) >= sockets.PlaysMost {
+	if len(s.lines) >= sockets.MaxPlays {
 		return "too many requests and plays on one socket"
 	}
 	if s.viewer != "" && s.viewer != viewer {
@@ -546,11 +546,11 @@
 
 func (s *socket) ask(m Message) string {
 	f := s.front
-	w := playapi.Want{Title: m.Title, Product: m.Product, Viewer: m.Viewer, Top: -1, LimitMs: m.LimitMs, LengthMs: m.LengthMs, Broken: m.Broken}
+	w := playapi.Params{Title: m.Title, Product: m.Product, Viewer: m.Viewer, MaxRung: -1, LimitMs: m.LimitMs, LengthMs: m.LengthMs, NotDelivered: m.Broken}
 	if m.Top != nil {
-		w.Top = *m.Top
+		w.MaxRung = *m.Top
 	}
-	r, err := playapi.First(f.desk.Set, w)
+	r, err := playapi.NewRequest(f.desk.Config, w)
 	if err != nil {
 		return err.Error()
 	}
@@ -559,15 +559,15 @@
 		if err != nil {
 			return err.Error()
 		}
-		if !playapi.Fits(f.desk.Set, cl, r) {
+		if !playapi.TokenMatches(f.desk.Config, cl, r) {
 			return "token: made for another title, viewer or product"
 		}
-		r.Back = &session.Previous{Play: cl.Play, NotDelivered: m.Broken}
-		if m.Broken && s.conduct.Claim(f.now()) != sockets.Take {
+		r.Previous = &session.Previous{Play: cl.Play, NotDelivered: m.Broken}
+		if m.Broken && s.conduct.NotDelivered(f.now()) != sockets.Accept {
 			return "too many broken nodes in a short time: look at the player's own line"
 		}
 	}
-	l := &line{front: f, ticket: m.Ticket, request: r, limit: f.now() + session.Ticks(r.Limit), began: time.Now(), socket: s}
+	l := &line{front: f, ticket: m.Ticket, request: r, limit: f.now() + session.Ticks(r.Timeout), began: time.Now(), socket: s}
 	f.mu.Lock()
 	taken, shut := f.lines[m.Ticket] != nil, f.shut
 	if !taken && !shut {
@@ -584,7 +584,7 @@
 		f.drop(l)
 		return why
 	}
-	p := f.desk.Begin(r, l.event, l.hear)
+	p := f.desk.RequestPlay(r, l.event, l.hear)
 	l.mu.Lock()
 	if !l.answered {
 		l.pending = p
@@ -621,11 +621,11 @@
 		s.unknown(m.Ticket, err.Error())
 		return ""
 	}
-	r, err := playapi.Again(f.desk.Set, cl, playapi.Want{})
+	r, err := playapi.NewReturnRequest(f.desk.Config, cl, playapi.Params{})
 	if err != nil {
 		return err.Error()
 	}
-	l = &line{front: f, ticket: m.Ticket, request: r, limit: f.now() + session.Ticks(r.Limit), began: time.Now(), play: cl.Play}
+	l = &line{front: f, ticket: m.Ticket, request: r, limit: f.now() + session.Ticks(r.Timeout), began: time.Now(), play: cl.Play}
 	f.mu.Lock()
 	taken := f.lines[m.Ticket] != nil
 	if !taken {
@@ -643,7 +643,7 @@
 		ans, plays, how := c.Subscribe(cl.Play, l.event)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.box = sockets.Begun(m.Cursor) // what it has is another ticket's, or another front's: cursors go on from there
+		l.box = sockets.NewOutboxAt(m.Cursor) // what it has is another ticket's, or another front's: cursors go on from there
 		l.socket, l.sent = s, m.Cursor
 		l.answered, l.plays = true, plays
 		switch {
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -433,7 +433,7 @@
 		t.Fatalf("code %d, %+v", code, last)
 	}
 	p = b.dial(t)
-	p.conn.Write(t.Context(), websocket.MessageText, bytes.Repeat([]byte("a"), sockets.MessageMost+1))
+	p.conn.Write(t.Context(), websocket.MessageText, bytes.Repeat([]byte("a"), sockets.MaxMessageBytes+1))
 	if code, _ := p.closed(); code != websocket.StatusMessageTooBig {
 		t.Fatalf("over its limit: %d", code)
 	}
@@ -505,7 +505,7 @@
 	l.mu.Lock()
 	kept := l.box.Len()
 	l.mu.Unlock()
-	if kept > sockets.BoxMost {
+	if kept > sockets.MaxOutbox {
 		t.Fatalf("%d messages are kept for it", kept)
 	}
 	// It comes back, reads, and is told how much was left out.
@@ -531,7 +531,7 @@
 		if _, open, _ := b.front.Counts(); open == 0 {
 			break
 		}
-		if time.Since(began) > session.Duration(sockets.PingEvery+sockets.PongFor)+5*time.Second {
+		if time.Since(began) > session.Duration(sockets.PingInterval+sockets.PongTimeout)+5*time.Second {
 			t.Fatal("a peer that is gone is still held")
 		}
 		time.Sleep(50 * time.Millisecond)
