--- a/cmd/gullrail/compare.go
+++ b/cmd/gullrail/compare.go
@@ -19,14 +19,14 @@
 
 func (v *compareVerb) Run(ctx context.Context) error {
 	side := func(file, module, build string) (testbed.Side, error) {
-		day, err := testbed.ReadDay(file)
+		day, err := testbed.ReadScenario(file)
 		if err != nil {
 			return nil, wrong{err}
 		}
 		if build != "" {
 			return testbed.BuildSide(ctx, build, file, module), nil
 		}
-		return testbed.DaySide(day, module), nil
+		return testbed.ScenarioSide(day, module), nil
 	}
 	a, err := side(v.A, v.ModuleA, v.BuildA)
 	if err != nil {
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -44,10 +44,10 @@
 // started is a run that goes on, as the one who started it holds it.
 type started struct {
 	run   *rundir.Run
-	day   *testbed.Day
+	day   *testbed.Scenario
 	self  string
 	stage *testbed.Rehearsal // the fronts' side
-	tape  *trace.Tape
+	tape  *trace.Recorder
 	ended map[string]chan struct{} // closed once a member's process has ended
 }
 
@@ -104,7 +104,7 @@
 
 // start begins a run and brings it up. What it started is to be ended by Clean, also when it fails.
 func start(ctx context.Context, folder, file string, seed uint64, say func(string, ...any)) (*started, error) {
-	day, err := testbed.ReadDay(file)
+	day, err := testbed.ReadScenario(file)
 	if err != nil {
 		return nil, wrong{err}
 	}
@@ -154,7 +154,7 @@
 	if err := s.await(ctx, "list", &list); err != nil {
 		return s, err
 	}
-	s.stage = &testbed.Rehearsal{Day: day, Folder: run.Folder, Say: say, Command: func(name, file string) *exec.Cmd {
+	s.stage = &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Say: say, Command: func(name, file string) *exec.Cmd {
 		return s.command("--file", file, name)
 	}}
 	if err := s.stage.StartFronts(ctx, list.Players, s.tape); err != nil {
@@ -222,7 +222,7 @@
 	return report(out.Report, out.Short, time.Since(began), v.JSON)
 }
 
-// played plays the day and leaves its tape and page in the run folder.
+// played plays the day and leaves its trace and page in the run folder.
 func (v *kitRun) played(ctx context.Context, say io.Writer) (*testbed.Outcome, error) {
 	s, err := start(ctx, v.Dir, v.File, v.Seed, func(format string, args ...any) { fmt.Fprintf(say, "  "+format+"\n", args...) })
 	if s == nil {
@@ -242,7 +242,7 @@
 	if err != nil {
 		return nil, err
 	}
-	tapes := [][]trace.Line{s.tape.Lines()}
+	tapes := [][]trace.Event{s.tape.Events()}
 	for _, file := range files {
 		f, err := os.Open(file)
 		if err != nil {
@@ -278,14 +278,14 @@
 		var out *testbed.Outcome
 		name := strings.TrimSuffix(filepath.Base(file), ".jsonc")
 		if v.Sim {
-			day, err := testbed.ReadDay(file)
+			day, err := testbed.ReadScenario(file)
 			if err != nil {
 				return wrong{err}
 			}
 			if v.Seed != 0 {
 				day.Seed = v.Seed
 			}
-			out = (&testbed.Sim{Day: day}).Run()
+			out = (&testbed.Sim{Scenario: day}).Run()
 		} else {
 			run := kitRun{kitFolder: kitFolder{filepath.Join(v.Dir, name)}, File: file, Seed: v.Seed}
 			if out, err = run.played(ctx, io.Discard); err != nil {
@@ -427,21 +427,21 @@
 		run.Leave(v.Name + ".starting")
 		return (&serveVerb{File: v.File}).Run(ctx)
 	}
-	day, err := testbed.ReadDay(run.Day)
+	day, err := testbed.ReadScenario(run.Day)
 	if err != nil {
 		return err
 	}
 	day.Seed = run.Seed
 	t := trace.NewAt(time.Duration(run.BaseNs))
-	part := &testbed.Rehearsal{Day: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
-	defer part.Down()
-	var lines []trace.Line
+	part := &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
+	defer part.Stop()
+	var lines []trace.Event
 	if v.Name == "viewers" {
 		if err := run.Join(v.Name, nil); err != nil {
 			return err
 		}
 		run.Leave(v.Name + ".starting")
-		var fronts []testbed.Reached
+		var fronts []testbed.FrontAddress
 		if err := readJSON(filepath.Join(run.Folder, "fronts.json"), &fronts); err != nil {
 			return err
 		}
@@ -497,7 +497,7 @@
 		}
 		part.Script(ctx, start)
 	}
-	lines = t.Lines()
+	lines = t.Events()
 	return writeTape(filepath.Join(run.Folder, "tapes", v.Name+".jsonl"), lines)
 }
 
--- a/cmd/gullrail/kit_test.go
+++ b/cmd/gullrail/kit_test.go
@@ -86,7 +86,7 @@
 	for _, l := range lines {
 		addrs = append(addrs, l.Address)
 	}
-	var fronts []testbed.Reached
+	var fronts []testbed.FrontAddress
 	readJSON(filepath.Join(folder, "fronts.json"), &fronts)
 	for _, f := range fronts {
 		addrs = append(addrs, f.Address)
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -114,7 +114,7 @@
 	if err == nil {
 		switch {
 		case root.At("day").Given():
-			_, err = testbed.ReadDay(v.File)
+			_, err = testbed.ReadScenario(v.File)
 		case root.At("known").Given() || root.At("channel").Given():
 			_, err = platform.ReadOptions(v.File)
 		default:
@@ -139,7 +139,7 @@
 }
 
 func (v *rehearseVerb) Run(ctx context.Context) error {
-	day, err := testbed.ReadDay(v.File)
+	day, err := testbed.ReadScenario(v.File)
 	if err != nil {
 		return wrong{err}
 	}
@@ -149,10 +149,10 @@
 	if v.Sockets > 1 {
 		return wrong{fmt.Errorf("--sockets: a share up to 1 is needed, not %v", v.Sockets)}
 	} else if v.Sockets >= 0 {
-		day.Sockets = v.Sockets
+		day.SocketShare = v.Sockets
 	}
 	if v.Sim {
-		out := (&testbed.Sim{Day: day, Module: testbed.Baseline(v.Module)}).Run()
+		out := (&testbed.Sim{Scenario: day, Policy: testbed.Baseline(v.Module)}).Run()
 		if !v.JSON {
 			fmt.Printf("%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (simulated, module %s)\n", filepath.Base(v.File), day.Seed,
 				day.Service.Fronts, day.Nodes, day.Rate, day.Seconds, v.Module)
@@ -189,7 +189,7 @@
 	}
 	fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback)\n", filepath.Base(v.File), day.Seed,
 		day.Service.Fronts, day.Nodes, day.Rate, day.Seconds)
-	run := &testbed.Rehearsal{Day: day, Program: self, Folder: folder, Say: func(format string, args ...any) {
+	run := &testbed.Rehearsal{Scenario: day, Program: self, Folder: folder, Say: func(format string, args ...any) {
 		fmt.Fprintf(say, "  "+format+"\n", args...)
 	}}
 	out, err := run.Run(ctx)
@@ -204,8 +204,8 @@
 	return report(out.Report, out.Short, out.Took, v.JSON)
 }
 
-// keep writes a run's tape and its page into a folder.
-func keep(folder, file string, day *testbed.Day, out *testbed.Outcome) error {
+// keep writes a run's trace and its page into a folder.
+func keep(folder, file string, day *testbed.Scenario, out *testbed.Outcome) error {
 	if err := writeTape(filepath.Join(folder, "tape.jsonl"), out.Lines); err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 	return f.Close()
 }
 
-func writeTape(file string, lines []trace.Line) error {
+func writeTape(file string, lines []trace.Event) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
@@ -239,7 +239,7 @@
 }
 
 func (v *auditVerb) Run() error {
-	day, err := testbed.ReadDay(v.Day)
+	day, err := testbed.ReadScenario(v.Day)
 	if err != nil {
 		return wrong{err}
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -32,7 +32,7 @@
 	if f.Waiting != 256 || s.Tries != 4 || s.Products[0].Top != 1 || s.Products[0].Rate != 1 || s.BudgetOverMs != 0 {
 		t.Fatalf("%+v", f)
 	}
-	terms := s.Terms(1, "z")
+	terms := s.PolicySettings(1, "z")
 	if terms["front"][0] != 1 || terms["product.target"][0] != 10000 || terms["cold.lasts"][0] != 100000 || terms["zone"][0] != 0 {
 		t.Fatalf("%v", terms)
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := f.Terms(); !reflect.DeepEqual(got, beforeMove) {
+	if got := f.PolicySettings(); !reflect.DeepEqual(got, beforeMove) {
 		t.Fatalf("got %v", got)
 	}
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := f.Terms()
+	terms := f.PolicySettings()
 	for name, want := range map[string]float64{"peers": 1, "join": 0.3, "product.live": 1} {
 		if v := terms[name]; len(v) != 1 || v[0] != want {
 			t.Errorf("%s is %v", name, v)
--- a/config/service.go
+++ b/config/service.go
@@ -158,9 +158,9 @@
 	return s
 }
 
-// Terms is the map of settings that the module reads; docs/design.md names them. Times become tenths
+// PolicySettings is the map of settings that the module reads; docs/design.md names them. Times become tenths
 // of a millisecond.
-func (s *Service) Terms(front int, zone string) map[string][]float64 {
+func (s *Service) PolicySettings(front int, zone string) map[string][]float64 {
 	one := func(x float64) []float64 { return []float64{x} }
 	yes := func(b bool) []float64 {
 		if b {
@@ -278,9 +278,9 @@
 	Secret []byte   // 32 bytes that all fronts share
 }
 
-// Terms is the map of settings that the module of this front reads.
-func (f *Front) Terms() map[string][]float64 {
-	out := f.Service.Terms(f.Number, f.Zone)
+// PolicySettings is the map of settings that the module of this front reads.
+func (f *Front) PolicySettings() map[string][]float64 {
+	out := f.Service.PolicySettings(f.Number, f.Zone)
 	if f.Peers.Listen != "" {
 		out["peers"] = []float64{1}
 	}
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -80,7 +80,7 @@
 	service := &f.set.Service
 	f.client = nodes.NewClient(set.Name, epoch, service.Reports == "answers",
 		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, secure, log)
-	module := placement.New(set.Terms(), seed)
+	module := placement.New(set.PolicySettings(), seed)
 	carrier := session.Transport(f.client)
 	var was earlier
 	if set.State != "" {
--- a/internal/benchproto/host.go
+++ b/internal/benchproto/host.go
@@ -209,7 +209,7 @@
 	if bits&1 != 0 {
 		r.HintMs = ln.numberOr("hint-ms", 0)
 	}
-	return r.Want(now)
+	return r.PolicyRequest(now)
 }
 
 func (h *host) event() error {
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -228,8 +228,8 @@
 	Moved, Again           bool
 }
 
-// Want is a request in the module's words.
-func (r Request) Want(now int64) decision.Request {
+// PolicyRequest is a request in the module's words.
+func (r Request) PolicyRequest(now int64) decision.Request {
 	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.Key(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
 		Length: Ticks(r.HintMs), FirstCell: r.Home, CellCount: r.Copies, MaxRung: r.Top, Moved: r.Moved, Retry: r.Again}
 }
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -255,8 +255,8 @@
 }
 
 func (c *Client) request(a session.Allocation, until time.Time) ([]byte, error) {
-	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Try: a.Attempt, Product: c.names.Product(a.Product),
-		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, Top: a.MaxRung, Seq: a.Seq,
+	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Attempt: a.Attempt, Product: c.names.Product(a.Product),
+		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, MaxRung: a.MaxRung, Seq: a.Seq,
 		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / decision.Millisecond})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a set-up: %w", err)
@@ -279,7 +279,7 @@
 // SetRung tells a node the rung of a play. What is lost is made good by the next, as numbers tell
 // their order.
 func (c *Client) SetRung(r session.Ref, address string, rung, seq int) {
-	body, _ := json.Marshal(SetRung{Front: c.name, Epoch: c.epoch, Try: r.Attempt, Rung: rung, Seq: seq})
+	body, _ := json.Marshal(SetRung{Front: c.name, Epoch: c.epoch, Attempt: r.Attempt, Rung: rung, Seq: seq})
 	c.repeat(http.MethodPut, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"/rung", body, r)
 }
 
@@ -451,7 +451,7 @@
 
 // note tells the core what a note says.
 func (c *Client) note(node int, n Note) {
-	ref := session.Ref{Play: n.Play, Attempt: n.Try, Node: node}
+	ref := session.Ref{Play: n.Play, Attempt: n.Attempt, Node: node}
 	switch n.Kind {
 	case Hello:
 		runs := make([]session.Running, len(n.Plays))
@@ -461,8 +461,8 @@
 			if !ok || !known {
 				product = -1
 			}
-			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Try, Product: product, Title: p.Title,
-				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.Top, Left: p.LeftMs * decision.Millisecond}
+			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Attempt, Product: product, Title: p.Title,
+				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, Left: p.LeftMs * decision.Millisecond}
 		}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, runs) })
 	case Beat:
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -38,7 +38,7 @@
 // or neither, to show that it lives.
 type Change struct {
 	Version int64  `json:"version"`
-	Whole   bool   `json:"whole,omitempty"`
+	Full    bool   `json:"whole,omitempty"`
 	Beat    bool   `json:"beat,omitempty"`
 	Nodes   []Line `json:"nodes,omitempty"`
 }
@@ -178,13 +178,13 @@
 		if c.Beat {
 			continue
 		}
-		if !c.Whole && c.Version != *version+1 {
+		if !c.Full && c.Version != *version+1 {
 			have := *version
 			*version = 0
 			return fmt.Errorf("list service: version %d came after %d", c.Version, have)
 		}
 		*version = c.Version
-		word := membership.Update{Source: membership.List, Version: c.Version, Full: c.Whole, Lines: listed}
+		word := membership.Update{Source: membership.List, Version: c.Version, Full: c.Full, Lines: listed}
 		l.Runner.Post(func(now int64, core *session.Core) { core.UpdateMembership(now, word) })
 	}
 	if err := lines.Err(); err != nil {
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -24,12 +24,12 @@
 type SetUp struct {
 	Front    string `json:"front"`
 	Epoch    int64  `json:"epoch"` // of the front's life; a node refuses one older than it has met
-	Try      int    `json:"try"`
+	Attempt  int    `json:"try"`
 	Product  string `json:"product"`
 	Title    string `json:"title"`
 	Viewer   string `json:"viewer"`
 	Rung     int    `json:"rung"`
-	Top      int    `json:"top"`
+	MaxRung  int    `json:"top"`
 	Seq      int    `json:"seq"`
 	UntilMs  int64  `json:"until_ms"`  // the front waits so long from now
 	LengthMs int64  `json:"length_ms"` // guessed; 0 is not told
@@ -50,24 +50,24 @@
 
 // SetRung is the body of PUT /v1/plays/{play}/rung.
 type SetRung struct {
-	Front string `json:"front"`
-	Epoch int64  `json:"epoch"`
-	Try   int    `json:"try"`
-	Rung  int    `json:"rung"`
-	Seq   int    `json:"seq"` // one not above the last heard is old and does nothing
+	Front   string `json:"front"`
+	Epoch   int64  `json:"epoch"`
+	Attempt int    `json:"try"`
+	Rung    int    `json:"rung"`
+	Seq     int    `json:"seq"` // one not above the last heard is old and does nothing
 }
 
 // Play is one play in a Note's Plays.
 type Play struct {
 	Play    string `json:"play"`
 	Epoch   int64  `json:"epoch"`
-	Try     int    `json:"try"`
+	Attempt int    `json:"try"`
 	Product string `json:"product"`
 	Title   string `json:"title"`
 	Viewer  string `json:"viewer"`
 	Rung    int    `json:"rung"`
 	Seq     int    `json:"seq"`
-	Top     int    `json:"top"`
+	MaxRung int    `json:"top"`
 	LeftMs  int64  `json:"left_ms"` // 0 is not told
 }
 
@@ -88,17 +88,17 @@
 
 // Note is one line of a node's stream to a front.
 type Note struct {
-	Kind   string  `json:"kind"`
-	Node   string  `json:"node,omitempty"`
-	Life   int64   `json:"life,omitempty"`
-	Mark   int64   `json:"mark,omitempty"`
-	Plays  []Play  `json:"plays,omitempty"`
-	Play   string  `json:"play,omitempty"`
-	Try    int     `json:"try,omitempty"`
-	How    string  `json:"how,omitempty"`
-	Share  float64 `json:"share,omitempty"`
-	Link   float64 `json:"link,omitempty"`
-	Uplink float64 `json:"uplink,omitempty"`
+	Kind    string  `json:"kind"`
+	Node    string  `json:"node,omitempty"`
+	Life    int64   `json:"life,omitempty"`
+	Mark    int64   `json:"mark,omitempty"`
+	Plays   []Play  `json:"plays,omitempty"`
+	Play    string  `json:"play,omitempty"`
+	Attempt int     `json:"try,omitempty"`
+	How     string  `json:"how,omitempty"`
+	Share   float64 `json:"share,omitempty"`
+	Link    float64 `json:"link,omitempty"`
+	Uplink  float64 `json:"uplink,omitempty"`
 }
 
 // ParseNote reads a line of a stream.
@@ -113,13 +113,13 @@
 			return Note{}, fmt.Errorf("note hello: without node or life")
 		}
 		for _, p := range n.Plays {
-			if p.Play == "" || p.Title == "" || p.Viewer == "" || p.Rung < 0 || p.Top < 0 || p.Try < 0 || p.LeftMs < 0 {
+			if p.Play == "" || p.Title == "" || p.Viewer == "" || p.Rung < 0 || p.MaxRung < 0 || p.Attempt < 0 || p.LeftMs < 0 {
 				return Note{}, fmt.Errorf("note hello: play %.40q is malformed", p.Play)
 			}
 		}
 	case Beat:
 	case Ended, Share, Load:
-		if n.Play == "" || n.Try < 0 {
+		if n.Play == "" || n.Attempt < 0 {
 			return Note{}, fmt.Errorf("note %s: without play", n.Kind)
 		}
 		if n.Kind == Ended && n.How != Over && n.How != Lost {
--- a/testbed/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -1,4 +1,4 @@
-// Package audit checks the six rules of the brief from tapes and settings alone: nothing of a front's
+// Package audit checks the six rules of the brief from traces and settings alone: nothing of a front's
 // inside is known to it.
 package audit
 
@@ -28,10 +28,10 @@
 // Rule is the verdict on one of the six.
 type Rule struct {
 	Name   string   `json:"name"`
-	Breaks []string `json:"breaks"` // each with the lines of the tape that show it
+	Breaks []string `json:"breaks"` // each with the events of the trace that show it
 }
 
-// Report is what a tape came to.
+// Report is what a trace came to.
 type Report struct {
 	Rules       []Rule  `json:"rules"`
 	Requests    int     `json:"requests"`
@@ -63,7 +63,7 @@
 
 type audit struct {
 	set     *config.Service
-	lines   []trace.Line
+	lines   []trace.Event
 	crossed map[int]bool // ends that a node read before the set-ups they end, and these set-ups
 	rep     *Report
 	breaks  [6][]string
@@ -73,8 +73,8 @@
 	a.breaks[rule-1] = append(a.breaks[rule-1], fmt.Sprintf(format, args...))
 }
 
-// Check audits a tape. Lines must be in the order of their times, as a Tape records them.
-func Check(set *config.Service, lines []trace.Line) *Report {
+// Check audits a trace. Events must be in the order of their times, as a Recorder records them.
+func Check(set *config.Service, lines []trace.Event) *Report {
 	a := &audit{set: set, lines: lines, crossed: crossed(lines), rep: &Report{}}
 	a.answers()
 	a.allocations()
@@ -91,16 +91,16 @@
 }
 
 // crossed finds set-ups whose end their node read first, as it came on another connection: such a set-up was sent before
-// its end, wherever it stands on the tape, and is no further attempt. Each end stands for one set-up only.
-func crossed(lines []trace.Line) map[int]bool {
+// its end, wherever it stands on the trace, and is no further attempt. Each end stands for one set-up only.
+func crossed(lines []trace.Event) map[int]bool {
 	type attempt struct {
 		play, node string
 		try        int
 	}
 	both, ends, seen := map[int]bool{}, map[attempt]int{}, map[attempt]bool{}
 	for i, l := range lines {
-		this := attempt{l.Play, l.Node, l.Try}
-		switch l.What {
+		this := attempt{l.Play, l.Node, l.Attempt}
+		switch l.Kind {
 		case trace.End:
 			if !seen[this] {
 				ends[this] = i
@@ -145,8 +145,8 @@
 	wanted, earned := 0.0, 0.0
 	products := map[string]*config.Product{} // of plays
 	for i, l := range a.lines {
-		switch l.What {
-		case trace.Killed:
+		switch l.Kind {
+		case trace.FrontKilled:
 			killed[l.Front] = append(killed[l.Front], l.T)
 		case trace.Ask:
 			asks[l.ID] = &ask{line: i}
@@ -240,13 +240,13 @@
 	}
 }
 
-// down tells that a front's process did not run at a line of the tape.
+// down tells that a front's process did not run at an event of the trace.
 func (a *audit) down(front string, line int) bool {
 	down := false
 	for _, l := range a.lines[:line] {
-		if l.Front == front && l.What == trace.Killed {
+		if l.Front == front && l.Kind == trace.FrontKilled {
 			down = true
-		} else if l.Front == front && l.What == trace.Up {
+		} else if l.Front == front && l.Kind == trace.FrontStarted {
 			down = false
 		}
 	}
@@ -261,10 +261,10 @@
 		if l.Front != front {
 			continue
 		}
-		switch l.What {
-		case trace.Stopped:
+		switch l.Kind {
+		case trace.FrontStopped:
 			stopped = l.T
-		case trace.Goes:
+		case trace.Continued:
 			if stopped >= 0 && stopped <= limit && limit <= l.T && answered <= l.T+wakes {
 				return true
 			}
@@ -274,7 +274,7 @@
 	return false
 }
 
-// ended tells that the tape goes on past a time.
+// ended tells that the trace goes on past a time.
 func (a *audit) ended(t int64) bool {
 	return len(a.lines) > 0 && a.lines[len(a.lines)-1].T >= t
 }
@@ -290,20 +290,20 @@
 	}
 	plays := map[string]*state{}
 	for i, l := range a.lines {
-		switch l.What {
+		switch l.Kind {
 		case trace.SetUp:
 			if a.crossed[i] { // entered with its end
 				continue
 			}
 			s := plays[l.Play]
 			if s == nil {
-				plays[l.Play] = &state{line: i, try: l.Try, node: l.Node, out: true}
+				plays[l.Play] = &state{line: i, try: l.Attempt, node: l.Node, out: true}
 				continue
 			}
 			a.rep.Retried++
 			switch {
-			case l.Try <= s.try:
-				a.broken(2, "lines %d and %d: play %s has allocation %d twice", s.line+1, i+1, l.Play, l.Try)
+			case l.Attempt <= s.try:
+				a.broken(2, "lines %d and %d: play %s has allocation %d twice", s.line+1, i+1, l.Play, l.Attempt)
 				a.rep.Doubled++
 			case s.out && !a.closedSoon(i, s.node, l.Play, s.try):
 				a.broken(2, "lines %d and %d: play %s has two allocations out", s.line+1, i+1, l.Play)
@@ -315,18 +315,18 @@
 				a.broken(2, "lines %d and %d: paid play %s is set up again though it is not known to have never run", s.line+1, i+1, l.Play)
 				a.rep.Doubled++
 			}
-			s.line, s.try, s.node, s.out = i, l.Try, l.Node, true
+			s.line, s.try, s.node, s.out = i, l.Attempt, l.Node, true
 		case trace.Started, trace.Errored, trace.Dropped, trace.End:
-			if s := plays[l.Play]; a.crossed[i] && (s == nil || s.try < l.Try) {
-				plays[l.Play] = &state{line: i, try: l.Try, node: l.Node, mayHave: i + 1}
-			} else if s != nil && s.try == l.Try {
+			if s := plays[l.Play]; a.crossed[i] && (s == nil || s.try < l.Attempt) {
+				plays[l.Play] = &state{line: i, try: l.Attempt, node: l.Node, mayHave: i + 1}
+			} else if s != nil && s.try == l.Attempt {
 				s.out, s.mayHave = false, i+1
 			}
 		case trace.Refused:
-			if s := plays[l.Play]; s != nil && s.try == l.Try {
+			if s := plays[l.Play]; s != nil && s.try == l.Attempt {
 				s.out = false
 			}
-		case trace.Crash, trace.Fell:
+		case trace.Crash, trace.Overloaded:
 			for _, s := range plays {
 				if s.out && s.node == l.Node {
 					s.out, s.mayHave = false, i+1
@@ -346,8 +346,8 @@
 		if l.T > a.lines[from].T+skew {
 			return false
 		}
-		if l.Node == node && (l.What == trace.Crash || l.What == trace.Fell || l.Play == play && l.Try == try &&
-			(l.What == trace.Dropped || l.What == trace.Refused || l.What == trace.Errored || l.What == trace.End)) {
+		if l.Node == node && (l.Kind == trace.Crash || l.Kind == trace.Overloaded || l.Play == play && l.Attempt == try &&
+			(l.Kind == trace.Dropped || l.Kind == trace.Refused || l.Kind == trace.Errored || l.Kind == trace.End)) {
 			return true
 		}
 	}
@@ -360,14 +360,14 @@
 	told := map[key]int{} // line, from 1, since when a front knows
 	for i, l := range a.lines {
 		k := key{l.Front, l.Node}
-		switch l.What {
-		case trace.Told:
+		switch l.Kind {
+		case trace.ListSent:
 			if l.Note == "ready" {
 				delete(told, k)
 			} else if told[k] == 0 {
 				told[k] = i + 1
 			}
-		case trace.Killed:
+		case trace.FrontKilled:
 			for t := range told {
 				if t.front == l.Front {
 					delete(told, t)
@@ -389,14 +389,14 @@
 	}
 	recent := map[string][]int64{}
 	for i, l := range a.lines {
-		switch l.What {
+		switch l.Kind {
 		case trace.Life:
 			delete(started, l.Node)
 			delete(recent, l.Node)
 			if l.Note == "cold" {
 				started[l.Node] = l.T
 			}
-		case trace.Fell:
+		case trace.Overloaded:
 			a.broken(4, "line %d: %s was pushed over", i+1, l.Node)
 		case trace.SetUp:
 			began, ok := started[l.Node]
@@ -452,16 +452,16 @@
 	}
 	for i, l := range a.lines {
 		p := a.product(l.Product)
-		switch l.What {
+		switch l.Kind {
 		case trace.SetUp, trace.Rung:
 			if l.Rung < p.Floor {
 				a.broken(5, "line %d: play %s of %s at rung %d, under its floor of %d", i+1, l.Play, l.Product, l.Rung, p.Floor)
 			}
-			if l.What == trace.Rung || a.crossed[i] {
+			if l.Kind == trace.Rung || a.crossed[i] {
 				continue
 			}
 			free(l.Play)
-			h := hold{seat{l.Front, l.Product, l.Title}, l.Node, l.Try}
+			h := hold{seat{l.Front, l.Product, l.Title}, l.Node, l.Attempt}
 			held[l.Play] = h
 			count[h.seat]++
 			if n := count[h.seat]; p.Seats > 0 && n > p.Seats {
@@ -470,12 +470,12 @@
 				}
 			}
 		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
-			if h, ok := held[l.Play]; ok && h.try == l.Try && h.node == l.Node {
+			if h, ok := held[l.Play]; ok && h.try == l.Attempt && h.node == l.Node {
 				free(l.Play)
 			}
-		case trace.Crash, trace.Fell:
+		case trace.Crash, trace.Overloaded:
 			freeAll(func(h hold) bool { return h.node == l.Node })
-		case trace.Killed: // its plays are handed over to its next life, or end
+		case trace.FrontKilled: // its plays are handed over to its next life, or end
 		case trace.Leave: // its front frees a seat as it sends the end of the play, which its node may read much later
 			free(l.Play)
 		case trace.Ask: // a viewer who comes back to the same front as its node does not deliver ends what it had
@@ -490,7 +490,7 @@
 func (a *audit) freedSoon(from int, front, product, title string, held func(play string) bool) (n int) {
 	seat := map[string]bool{}
 	for _, l := range a.lines[:from+1] {
-		if l.What == trace.SetUp && l.Front == front && l.Product == product && l.Title == title && held(l.Play) {
+		if l.Kind == trace.SetUp && l.Front == front && l.Product == product && l.Title == title && held(l.Play) {
 			seat[l.Play] = true
 		}
 	}
@@ -498,7 +498,7 @@
 		if l.T > a.lines[from].T+skew {
 			break
 		}
-		switch l.What {
+		switch l.Kind {
 		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
 			if seat[l.Play] {
 				delete(seat, l.Play)
@@ -515,16 +515,16 @@
 		return
 	}
 	over := int64(a.set.BudgetOverMs * 1000)
-	answers := map[int64]trace.Line{}
+	answers := map[int64]trace.Event{}
 	for _, l := range a.lines {
-		if l.What == trace.Answer {
+		if l.Kind == trace.Answer {
 			answers[l.ID] = l
 		}
 	}
 	type span struct{ from, to int64 } // a play was taken some time between its request and its answer
 	taken, further := map[string][]span{}, map[string][]int64{}
 	for _, l := range a.lines {
-		if l.What != trace.Ask {
+		if l.Kind != trace.Ask {
 			continue
 		}
 		ans, ok := answers[l.ID]
@@ -540,11 +540,11 @@
 	}
 	began := map[string]int64{} // of a front's present life: each counts from nothing
 	for i, l := range a.lines {
-		if l.What == trace.Killed {
+		if l.Kind == trace.FrontKilled {
 			began[l.Front] = l.T
 			delete(further, l.Front)
 		}
-		if l.What != trace.SetUp || l.Try == 0 {
+		if l.Kind != trace.SetUp || l.Attempt == 0 {
 			continue
 		}
 		further[l.Front] = append(further[l.Front], l.T)
--- a/testbed/audit/audit_test.go
+++ b/testbed/audit/audit_test.go
@@ -17,13 +17,13 @@
 		DrainGraceMs: 1000, BudgetFree: 2, BudgetShare: 0.1, BudgetOverMs: 10000}
 }
 
-// script is a tape by hand: a line a call, each some milliseconds after the one before.
+// script is a trace by hand: an event a call, each some milliseconds after the one before.
 type script struct {
-	lines []trace.Line
+	lines []trace.Event
 	t     int64
 }
 
-func (s *script) add(afterMs int64, l trace.Line) *script {
+func (s *script) add(afterMs int64, l trace.Event) *script {
 	s.t += afterMs * 1000
 	l.T = s.t
 	s.lines = append(s.lines, l)
@@ -31,15 +31,15 @@
 }
 
 func (s *script) ask(id int64, product string) *script {
-	return s.add(10, trace.Line{What: trace.Ask, ID: id, Front: "f", Viewer: fmt.Sprint("v", id), Product: product, Title: "t", LimitMs: 5000, First: true})
+	return s.add(10, trace.Event{Kind: trace.Ask, ID: id, Front: "f", Viewer: fmt.Sprint("v", id), Product: product, Title: "t", LimitMs: 5000, First: true})
 }
 
 func (s *script) node(afterMs int64, what, node, play string, try int, product string, rung int) *script {
-	return s.add(afterMs, trace.Line{What: what, Front: "f", Node: node, Play: play, Try: try, Product: product, Title: "t", Rung: rung})
+	return s.add(afterMs, trace.Event{Kind: what, Front: "f", Node: node, Play: play, Attempt: try, Product: product, Title: "t", Rung: rung})
 }
 
 func (s *script) answer(afterMs, id int64, status int, play string) *script {
-	return s.add(afterMs, trace.Line{What: trace.Answer, ID: id, Status: status, Play: play})
+	return s.add(afterMs, trace.Event{Kind: trace.Answer, ID: id, Status: status, Play: play})
 }
 
 // whole is a play from its request to its end, with nothing wrong.
@@ -48,12 +48,12 @@
 		answer(1, id, 200, play).node(2000, trace.Ended, "n", play, 0, product, 1)
 }
 
-func (s *script) late() *script { return s.add(20000, trace.Line{What: trace.Fault}) }
+func (s *script) late() *script { return s.add(20000, trace.Event{Kind: trace.Fault}) }
 
 func TestPlantedBreaks(t *testing.T) {
 	told := func(afterMs int64, phase string) func(s *script) *script {
 		return func(s *script) *script {
-			return s.add(afterMs, trace.Line{What: trace.Told, Front: "f", Node: "n", Note: phase})
+			return s.add(afterMs, trace.Event{Kind: trace.ListSent, Front: "f", Node: "n", Note: phase})
 		}
 	}
 	for _, c := range []struct {
@@ -65,24 +65,24 @@
 		{"no answer", 1, func(s *script) *script { return s.ask(1, "safe").late() }},
 		{"no answer, and the tape ends before the limit", 0, func(s *script) *script { return s.ask(1, "safe") }},
 		{"no answer, of a front that was killed", 0, func(s *script) *script {
-			return s.ask(1, "safe").add(100, trace.Line{What: trace.Killed, Front: "f"}).late()
+			return s.ask(1, "safe").add(100, trace.Event{Kind: trace.FrontKilled, Front: "f"}).late()
 		}},
 		{"no answer, and another front was killed", 1, func(s *script) *script {
-			return s.ask(1, "safe").add(100, trace.Line{What: trace.Killed, Front: "g"}).late()
+			return s.ask(1, "safe").add(100, trace.Event{Kind: trace.FrontKilled, Front: "g"}).late()
 		}},
 		{"no answer after the front was up again", 1, func(s *script) *script {
-			return s.add(1, trace.Line{What: trace.Killed, Front: "f"}).add(100, trace.Line{What: trace.Up, Front: "f"}).ask(1, "safe").late()
+			return s.add(1, trace.Event{Kind: trace.FrontKilled, Front: "f"}).add(100, trace.Event{Kind: trace.FrontStarted, Front: "f"}).ask(1, "safe").late()
 		}},
 		{"two answers", 1, func(s *script) *script { return s.whole(1, "safe", "p").answer(1, 1, 503, "p").late() }},
 		{"an answer after the limit", 1, func(s *script) *script { return s.ask(1, "safe").answer(5200, 1, 503, "p") }},
 		{"a late answer, of a front that stood still at the limit", 0, func(s *script) *script {
-			return s.ask(1, "safe").add(4000, trace.Line{What: trace.Stopped, Front: "f"}).add(2000, trace.Line{What: trace.Goes, Front: "f"}).answer(200, 1, 504, "p")
+			return s.ask(1, "safe").add(4000, trace.Event{Kind: trace.FrontStopped, Front: "f"}).add(2000, trace.Event{Kind: trace.Continued, Front: "f"}).answer(200, 1, 504, "p")
 		}},
 		{"a late answer, long after the front went on", 1, func(s *script) *script {
-			return s.ask(1, "safe").add(4000, trace.Line{What: trace.Stopped, Front: "f"}).add(2000, trace.Line{What: trace.Goes, Front: "f"}).answer(400, 1, 504, "p")
+			return s.ask(1, "safe").add(4000, trace.Event{Kind: trace.FrontStopped, Front: "f"}).add(2000, trace.Event{Kind: trace.Continued, Front: "f"}).answer(400, 1, 504, "p")
 		}},
 		{"a late answer, of a front that stood still before", 1, func(s *script) *script {
-			return s.ask(1, "safe").add(1000, trace.Line{What: trace.Stopped, Front: "f"}).add(2000, trace.Line{What: trace.Goes, Front: "f"}).answer(2300, 1, 504, "p")
+			return s.ask(1, "safe").add(1000, trace.Event{Kind: trace.FrontStopped, Front: "f"}).add(2000, trace.Event{Kind: trace.Continued, Front: "f"}).answer(2300, 1, 504, "p")
 		}},
 		{"an answer nobody asked for", 1, func(s *script) *script { return s.answer(1, 9, 200, "p") }},
 		{"sent again after it was refused", 0, func(s *script) *script {
@@ -109,34 +109,34 @@
 			return s.ask(1, "paid").node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(9, trace.Dropped, "n", "p", 0, "paid", 1).answer(1, 1, 503, "p")
 		}},
 		{"paid, set up again after its node crashed", 2, func(s *script) *script {
-			return s.ask(1, "paid").node(1, trace.SetUp, "n", "p", 0, "paid", 1).add(5, trace.Line{What: trace.Crash, Node: "n"}).
+			return s.ask(1, "paid").node(1, trace.SetUp, "n", "p", 0, "paid", 1).add(5, trace.Event{Kind: trace.Crash, Node: "n"}).
 				node(9, trace.SetUp, "m", "p", 1, "paid", 1)
 		}},
 		{"set up within the grace", 0, func(s *script) *script { return told(10, "draining")(s).whole(1, "safe", "p") }},
 		{"set up after the grace", 3, func(s *script) *script {
-			return told(10, "draining")(s).add(1200, trace.Line{What: trace.Fault}).whole(1, "safe", "p")
+			return told(10, "draining")(s).add(1200, trace.Event{Kind: trace.Fault}).whole(1, "safe", "p")
 		}},
 		{"set up at a node that is gone", 3, func(s *script) *script {
-			return told(10, "gone")(told(10, "draining")(s)).add(1200, trace.Line{What: trace.Fault}).whole(1, "safe", "p")
+			return told(10, "gone")(told(10, "draining")(s)).add(1200, trace.Event{Kind: trace.Fault}).whole(1, "safe", "p")
 		}},
 		{"set up at a node that is ready again", 0, func(s *script) *script {
 			return told(2000, "ready")(told(10, "draining")(s)).whole(1, "safe", "p")
 		}},
 		{"a cold node sent too much", 4, func(s *script) *script {
-			s.add(1, trace.Line{What: trace.Life, Node: "n", Note: "cold"})
+			s.add(1, trace.Event{Kind: trace.Life, Node: "n", Note: "cold"})
 			for i := range 9 {
 				s.node(20, trace.SetUp, "n", fmt.Sprint("p", i), 0, "safe", 0)
 			}
 			return s
 		}},
 		{"a warm node sent as much", 0, func(s *script) *script {
-			s.add(1, trace.Line{What: trace.Life, Node: "n", Note: "warm"})
+			s.add(1, trace.Event{Kind: trace.Life, Node: "n", Note: "warm"})
 			for i := range 9 {
 				s.node(20, trace.SetUp, "n", fmt.Sprint("p", i), 0, "safe", 0)
 			}
 			return s
 		}},
-		{"a node fell", 4, func(s *script) *script { return s.add(1, trace.Line{What: trace.Fell, Node: "n"}) }},
+		{"a node fell", 4, func(s *script) *script { return s.add(1, trace.Event{Kind: trace.Overloaded, Node: "n"}) }},
 		{"set up under the floor", 5, func(s *script) *script { return s.node(1, trace.SetUp, "n", "p", 0, "paid", 0) }},
 		{"stepped under the floor", 5, func(s *script) *script {
 			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.Rung, "n", "p", 0, "paid", 0)
@@ -157,22 +157,22 @@
 		}},
 		{"a third play once a viewer has left, its node slow to read so", 0, func(s *script) *script {
 			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
-				add(100, trace.Line{What: trace.Leave, Play: "p"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
+				add(100, trace.Event{Kind: trace.Leave, Play: "p"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
 				node(500, trace.End, "n", "p", 0, "paid", 1).late()
 		}},
 		{"a third play before a viewer has left", 5, func(s *script) *script {
 			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
-				node(100, trace.SetUp, "n", "r", 0, "paid", 1).add(1, trace.Line{What: trace.Leave, Play: "p"}).
+				node(100, trace.SetUp, "n", "r", 0, "paid", 1).add(1, trace.Event{Kind: trace.Leave, Play: "p"}).
 				node(500, trace.End, "n", "p", 0, "paid", 1).late()
 		}},
 		{"a third play as another's viewer has left", 5, func(s *script) *script {
 			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
-				add(100, trace.Line{What: trace.Leave, Play: "o"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
+				add(100, trace.Event{Kind: trace.Leave, Play: "o"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
 				node(500, trace.End, "n", "p", 0, "paid", 1).late()
 		}},
 		{"two more plays once one viewer has left", 5, func(s *script) *script {
 			return s.node(1, trace.SetUp, "n", "p", 0, "paid", 1).node(1, trace.SetUp, "n", "q", 0, "paid", 1).
-				add(100, trace.Line{What: trace.Leave, Play: "p"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
+				add(100, trace.Event{Kind: trace.Leave, Play: "p"}).node(1, trace.SetUp, "n", "r", 0, "paid", 1).
 				node(1, trace.SetUp, "n", "u", 0, "paid", 1).late()
 		}},
 		{"safe, a set-up read after its end and the next", 0, func(s *script) *script {
@@ -199,7 +199,7 @@
 			for i := range 4 {
 				s.node(100, trace.SetUp, "n", fmt.Sprint("p", i), 1, "safe", 1).node(1, trace.Refused, "n", fmt.Sprint("p", i), 1, "safe", 1)
 				if i == 1 {
-					s.add(1, trace.Line{What: trace.Killed, Front: "f"}).add(1, trace.Line{What: trace.Up, Front: "f"})
+					s.add(1, trace.Event{Kind: trace.FrontKilled, Front: "f"}).add(1, trace.Event{Kind: trace.FrontStarted, Front: "f"})
 				}
 			}
 			return s
@@ -226,10 +226,10 @@
 }
 
 func TestServiceCountsRetriesAsTheFirstTry(t *testing.T) {
-	s := (&script{}).ask(1, "paid").answer(5, 1, 503, "")                                                    // 2 asked
-	s.add(100, trace.Line{What: trace.Ask, ID: 2, Front: "g", Viewer: "v1", Product: "paid", LimitMs: 5000}) // its retry
-	s.answer(50, 2, 200, "p")                                                                                // in time: 2 served
-	s.ask(3, "safe").answer(1100, 3, 200, "q")                                                               // too late: 0 of 1
+	s := (&script{}).ask(1, "paid").answer(5, 1, 503, "")                                                     // 2 asked
+	s.add(100, trace.Event{Kind: trace.Ask, ID: 2, Front: "g", Viewer: "v1", Product: "paid", LimitMs: 5000}) // its retry
+	s.answer(50, 2, 200, "p")                                                                                 // in time: 2 served
+	s.ask(3, "safe").answer(1100, 3, 200, "q")                                                                // too late: 0 of 1
 	rep := Check(service(), s.lines)
 	if rep.Asked != 2 || rep.Requests != 3 || rep.Service != 2.0/3 {
 		t.Fatalf("%+v", rep)
--- a/testbed/compare.go
+++ b/testbed/compare.go
@@ -20,12 +20,12 @@
 // Side is one of two things compared: something that plays a seed and says what it came to.
 type Side func(seed uint64) (*audit.Report, error)
 
-// DaySide plays a day in this program, in simulated time, by a module or baseline.
-func DaySide(day *Day, module string) Side {
+// ScenarioSide plays a day in this program, in simulated time, by a module or baseline.
+func ScenarioSide(day *Scenario, module string) Side {
 	return func(seed uint64) (*audit.Report, error) {
 		d := *day
 		d.Seed = seed
-		return (&Sim{Day: &d, Module: Baseline(module)}).Run().Report, nil
+		return (&Sim{Scenario: &d, Policy: Baseline(module)}).Run().Report, nil
 	}
 }
 
@@ -66,16 +66,16 @@
 	Needed       int     // seeds after which a difference of this size would be told; 0 where it is told already
 }
 
-// Told tells that the interval leaves out zero.
-func (d Difference) Told() bool { return math.Abs(d.Mean) > d.Half }
+// Significant tells that the interval leaves out zero.
+func (d Difference) Significant() bool { return math.Abs(d.Mean) > d.Half }
 
 func (d Difference) String() string {
 	head := fmt.Sprintf("%-8s A %.3f, B %.3f, B less A %+.4f, 95%% interval %+.4f to %+.4f over %d seeds", d.Name, d.MeanA, d.MeanB, d.Mean,
 		d.Mean-d.Half, d.Mean+d.Half, d.Seeds)
 	switch {
-	case d.Told() && d.Mean > 0:
+	case d.Significant() && d.Mean > 0:
 		return head + ": B is better"
-	case d.Told():
+	case d.Significant():
 		return head + ": A is better"
 	case d.Needed > 0:
 		return head + fmt.Sprintf(": can't tell; about %d seeds would, if the difference is what it seems", d.Needed)
@@ -111,8 +111,8 @@
 	return pairs, g.Wait()
 }
 
-// Differ works out the paired difference of a figure, by Student's t.
-func Differ(name string, a, b []float64) Difference {
+// PairedDifference works out the paired difference of a figure, by Student's t.
+func PairedDifference(name string, a, b []float64) Difference {
 	diffs := make([]float64, len(a))
 	for i := range a {
 		diffs[i] = b[i] - a[i]
@@ -125,7 +125,7 @@
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(a) - 1)}.Quantile(0.975)
 	d.Half = t * sd / math.Sqrt(float64(len(a)))
-	if !d.Told() && mean != 0 {
+	if !d.Significant() && mean != 0 {
 		d.Needed = int(math.Ceil(math.Pow(1.96*sd/mean, 2))) + 1
 	}
 	return d
@@ -142,7 +142,7 @@
 		for _, p := range pairs {
 			a, b = append(a, figure.of(p.A)), append(b, figure.of(p.B))
 		}
-		out = append(out, Differ(figure.name, a, b))
+		out = append(out, PairedDifference(figure.name, a, b))
 	}
 	return out
 }
--- a/testbed/day.go
+++ b/testbed/day.go
@@ -8,32 +8,32 @@
 	"gullrail/config"
 )
 
-// Day is a rehearsal's script: the load, the stand-ins, and what goes wrong when.
-type Day struct {
-	Service    config.Service
-	RawService []byte
-	Seconds    float64
-	Seed       uint64
-	Nodes      int
-	Rate       float64 // new viewers a second
-	Zipf       float64
-	Small      float64 // share of viewers who can't use the upper rungs
-	Uneven     float64 // spread of links and uplinks
-	SetUpMs    [2]float64
-	Guard      float64
-	ListLateMs float64
-	IdleMs     float64
-	Tries      int
-	PauseMs    float64
-	Honours    float64 // share of viewers who heed Retry-After
-	Sockets    float64 // share of viewers who ask over a socket; in simulated time they play as the others
-	Records    bool    // fronts keep records of plays
-	Products   []DayProduct
-	Faults     []Fault
+// Scenario is a rehearsal's script: the load, the stand-ins, and what goes wrong when.
+type Scenario struct {
+	Service          config.Service
+	RawService       []byte
+	Seconds          float64
+	Seed             uint64
+	Nodes            int
+	Rate             float64 // new viewers a second
+	Zipf             float64
+	SmallScreenShare float64 // share of viewers who can't use the upper rungs
+	BandwidthSpread  float64 // spread of links and uplinks
+	SetUpMs          [2]float64
+	Guard            float64
+	ListLateMs       float64
+	IdleMs           float64
+	MaxRetries       int
+	PauseMs          float64
+	RetryAfterShare  float64 // share of viewers who heed Retry-After
+	SocketShare      float64 // share of viewers who ask over a socket; in simulated time they play as the others
+	KeepRecords      bool    // fronts keep records of plays
+	Products         []ScenarioProduct
+	Faults           []Fault
 }
 
-// DayProduct is how a product is wanted.
-type DayProduct struct {
+// ScenarioProduct is how a product is wanted.
+type ScenarioProduct struct {
 	Number int
 	Share  float64
 	Watch  [2]float64 // seconds
@@ -77,8 +77,8 @@
 	"shift":        {"front", "share of new viewers who ask this front first"},
 }
 
-// ReadDay reads and checks a day.
-func ReadDay(file string) (*Day, error) {
+// ReadScenario reads and checks a day.
+func ReadScenario(file string) (*Scenario, error) {
 	doc, v, err := config.Open(file)
 	if err != nil {
 		return nil, err
@@ -86,8 +86,8 @@
 	return readDay(doc, v)
 }
 
-// ParseDay reads a day from text.
-func ParseDay(file string, text []byte) (*Day, error) {
+// ParseScenario reads a day from text.
+func ParseScenario(file string, text []byte) (*Scenario, error) {
 	doc, v, err := config.Parse(file, text)
 	if err != nil {
 		return nil, err
@@ -95,9 +95,9 @@
 	return readDay(doc, v)
 }
 
-func readDay(doc *config.Doc, v config.Value) (*Day, error) {
+func readDay(doc *config.Doc, v config.Value) (*Scenario, error) {
 	v.Object(true)
-	sv, d := v.At("service"), &Day{}
+	sv, d := v.At("service"), &Scenario{}
 	var shared *config.Doc
 	if file := v.At("service_file"); file.Given() { // a service that several days share
 		var err error
@@ -115,14 +115,14 @@
 	e := v.At("day").Object(true)
 	d.Seconds, d.Seed = e.At("seconds").Number(1, 86400), uint64(e.At("seed").WholeOr(1, 0, 1<<53))
 	d.Nodes, d.Rate = e.At("nodes").Whole(1, 10000), e.At("rate").Number(0, 10000)
-	d.Zipf, d.Small = e.At("zipf").NumberOr(0.9, 0, 5), e.At("small_screens").NumberOr(0.25, 0, 1)
-	d.Uneven, d.Guard = e.At("uneven").NumberOr(0.2, 0, 0.9), e.At("guard").NumberOr(1, 0, 100)
+	d.Zipf, d.SmallScreenShare = e.At("zipf").NumberOr(0.9, 0, 5), e.At("small_screens").NumberOr(0.25, 0, 1)
+	d.BandwidthSpread, d.Guard = e.At("uneven").NumberOr(0.2, 0, 0.9), e.At("guard").NumberOr(1, 0, 100)
 	d.SetUpMs = pair(e.At("set_up_ms"), [2]float64{40, 120})
 	d.ListLateMs, d.IdleMs = e.At("list_late_ms").NumberOr(2000, 0, 3.6e6), e.At("idle_ms").NumberOr(6000, 100, 3.6e6)
-	d.Records = e.At("records").BoolOr(true)
+	d.KeepRecords = e.At("records").BoolOr(true)
 	w := e.At("viewers").Object(false)
-	d.Tries, d.PauseMs = w.At("tries").WholeOr(3, 0, 1000), w.At("pause_ms").NumberOr(1500, 0, 3.6e6)
-	d.Honours, d.Sockets = w.At("honour").NumberOr(0.6, 0, 1), w.At("sockets").NumberOr(0, 0, 1)
+	d.MaxRetries, d.PauseMs = w.At("tries").WholeOr(3, 0, 1000), w.At("pause_ms").NumberOr(1500, 0, 3.6e6)
+	d.RetryAfterShare, d.SocketShare = w.At("honour").NumberOr(0.6, 0, 1), w.At("sockets").NumberOr(0, 0, 1)
 	w.Done()
 	for _, p := range e.At("products").List(true) {
 		p.Object(true)
@@ -130,7 +130,7 @@
 		if !ok {
 			p.At("name").Wrong("the service has no such product")
 		}
-		d.Products = append(d.Products, DayProduct{n, p.At("share").Number(0, 1), pair(p.At("watch_s"), [2]float64{20, 60})})
+		d.Products = append(d.Products, ScenarioProduct{n, p.At("share").Number(0, 1), pair(p.At("watch_s"), [2]float64{20, 60})})
 		p.Done()
 	}
 	for _, x := range e.At("faults").List(false) {
@@ -153,7 +153,7 @@
 	return [2]float64{n[0], n[1]}
 }
 
-func (d *Day) fault(v config.Value) Fault {
+func (d *Scenario) fault(v config.Value) Fault {
 	v.Object(true)
 	f := Fault{At: v.At("at_s").Number(0, d.Seconds), Do: v.At("do").Text(), For: v.At("for_s").NumberOr(0, 0, 86400)}
 	kind, ok := faults[f.Do]
--- a/testbed/htmlreport/htmlreport.go
+++ b/testbed/htmlreport/htmlreport.go
@@ -52,8 +52,8 @@
 	return s
 }
 
-// charts works the curves out of a tape.
-func charts(day *testbed.Day, lines []trace.Line) []*chart {
+// charts works the curves out of a trace.
+func charts(day *testbed.Scenario, lines []trace.Event) []*chart {
 	set := &day.Service
 	type ask struct {
 		t          int64
@@ -61,7 +61,7 @@
 		target     float64
 		answered   bool
 	}
-	first, byID := map[string]*ask{}, map[int64]trace.Line{}
+	first, byID := map[string]*ask{}, map[int64]trace.Event{}
 	asked, served := counts{}, counts{}
 	plays, declined, failed := counts{}, counts{}, counts{}
 	segments, short := counts{}, counts{}
@@ -74,7 +74,7 @@
 	reasons, why := map[string]counts{}, []string(nil)
 	for _, l := range lines {
 		b := binOf(l.T)
-		switch l.What {
+		switch l.Kind {
 		case trace.Ask:
 			byID[l.ID] = l
 			if n, ok := set.ProductNumber(l.Product); ok && l.First {
@@ -164,7 +164,7 @@
 	name     string
 }
 
-func bands(day *testbed.Day, lines []trace.Line) (out []band) {
+func bands(day *testbed.Scenario, lines []trace.Event) (out []band) {
 	lasts := map[string]float64{}
 	for _, f := range day.Faults {
 		lasts[f.String()] = max(1, f.For)
@@ -173,7 +173,7 @@
 		}
 	}
 	for _, l := range lines {
-		if l.What == trace.Fault {
+		if l.Kind == trace.Fault {
 			t := float64(l.T) / 1e6
 			out = append(out, band{t, t + lasts[l.Note], l.Note})
 		}
@@ -263,7 +263,7 @@
 `))
 
 // Write writes the page of a day that was played.
-func Write(w io.Writer, title string, day *testbed.Day, lines []trace.Line, rep *audit.Report) error {
+func Write(w io.Writer, title string, day *testbed.Scenario, lines []trace.Event, rep *audit.Report) error {
 	faults := bands(day, lines)
 	all := charts(day, lines)
 	for _, c := range all {
--- a/testbed/htmlreport/htmlreport_test.go
+++ b/testbed/htmlreport/htmlreport_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestPageOfADay(t *testing.T) {
-	day, err := testbed.ReadDay("../../days/short.jsonc")
+	day, err := testbed.ReadScenario("../../days/short.jsonc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := (&testbed.Sim{Day: day}).Run()
+	out := (&testbed.Sim{Scenario: day}).Run()
 	out.Report.Rules[2].Breaks = []string{"line 7: <planted>"}
 	var page bytes.Buffer
 	if err := Write(&page, "short", day, out.Lines, out.Report); err != nil {
@@ -35,18 +35,18 @@
 }
 
 func TestCurvesByHand(t *testing.T) {
-	day, err := testbed.ReadDay("../../days/short.jsonc")
+	day, err := testbed.ReadScenario("../../days/short.jsonc")
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := func(sec float64) int64 { return int64(sec * 1e6) }
-	lines := []trace.Line{
-		{T: at(0), What: trace.Ask, ID: 1, Viewer: "a", Product: "lesson", First: true}, // importance 2, target 1.5 s
-		{T: at(1), What: trace.Answer, ID: 1, Status: 200, Play: "p"},
-		{T: at(1), What: trace.Ask, ID: 2, Viewer: "b", Product: "help", First: true}, // importance 1, target 1 s
-		{T: at(2.5), What: trace.Answer, ID: 2, Status: 200, Play: "q"},               // too late
-		{T: at(3), What: trace.Served, Play: "p", Rung: 1, Share: 0.5},
-		{T: at(3), What: trace.Served, Play: "q", Rung: 1, Share: 1},
+	lines := []trace.Event{
+		{T: at(0), Kind: trace.Ask, ID: 1, Viewer: "a", Product: "lesson", First: true}, // importance 2, target 1.5 s
+		{T: at(1), Kind: trace.Answer, ID: 1, Status: 200, Play: "p"},
+		{T: at(1), Kind: trace.Ask, ID: 2, Viewer: "b", Product: "help", First: true}, // importance 1, target 1 s
+		{T: at(2.5), Kind: trace.Answer, ID: 2, Status: 200, Play: "q"},               // too late
+		{T: at(3), Kind: trace.Served, Play: "p", Rung: 1, Share: 0.5},
+		{T: at(3), Kind: trace.Served, Play: "q", Rung: 1, Share: 1},
 	}
 	for _, c := range charts(day, lines) {
 		switch c.Title {
@@ -68,7 +68,7 @@
 }
 
 func FuzzTapeNeverBreaksAPage(f *testing.F) {
-	day, err := testbed.ReadDay("../../days/short.jsonc")
+	day, err := testbed.ReadScenario("../../days/short.jsonc")
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/testbed/list.go
+++ b/testbed/list.go
@@ -12,9 +12,9 @@
 	"gullrail/testbed/trace"
 )
 
-// Registry is the stand-in list service: it knows the fleet and tells each front late.
-type Registry struct {
-	tape   *trace.Tape
+// ListService is the stand-in list service: it knows the fleet and tells each front late.
+type ListService struct {
+	tape   *trace.Recorder
 	mu     sync.Mutex
 	lines  map[string]nodes.Line
 	order  []string
@@ -28,13 +28,13 @@
 	wg     sync.WaitGroup
 }
 
-// NewRegistry makes a list service that tells changes so late.
-func NewRegistry(t *trace.Tape, late time.Duration) *Registry {
-	return &Registry{tape: t, lines: map[string]nodes.Line{}, woken: make(chan struct{}), late: late}
+// NewListService makes a list service that tells changes so late.
+func NewListService(t *trace.Recorder, late time.Duration) *ListService {
+	return &ListService{tape: t, lines: map[string]nodes.Line{}, woken: make(chan struct{}), late: late}
 }
 
 // Set enters what became of some nodes, as one version.
-func (s *Registry) Set(lines ...nodes.Line) {
+func (s *ListService) Set(lines ...nodes.Line) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range lines {
@@ -55,20 +55,20 @@
 	s.wake()
 }
 
-func (s *Registry) wake() {
+func (s *ListService) wake() {
 	close(s.woken)
 	s.woken = make(chan struct{})
 }
 
 // Late changes how late changes are told from now on.
-func (s *Registry) Late(d time.Duration) {
+func (s *ListService) Late(d time.Duration) {
 	s.mu.Lock()
 	s.late = d
 	s.mu.Unlock()
 }
 
 // Start opens the service's socket at an address.
-func (s *Registry) Start(addr string) error {
+func (s *ListService) Start(addr string) error {
 	listen, err := listenAgain(addr)
 	if err != nil {
 		return err
@@ -83,12 +83,12 @@
 }
 
 // Stop cuts the service off.
-func (s *Registry) Stop() {
+func (s *ListService) Stop() {
 	s.server.Close()
 	s.wg.Wait()
 }
 
-func (s *Registry) serve(w http.ResponseWriter, r *http.Request) {
+func (s *ListService) serve(w http.ResponseWriter, r *http.Request) {
 	front := r.URL.Query().Get("front")
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	sent := 0
@@ -114,7 +114,7 @@
 					at[l.Name] = l
 				}
 			}
-			whole := nodes.Change{Version: last, Whole: true}
+			whole := nodes.Change{Version: last, Full: true}
 			for _, name := range s.order {
 				if l, ok := at[name]; ok && l.Phase != "gone" {
 					whole.Nodes = append(whole.Nodes, l)
@@ -129,7 +129,7 @@
 			}
 			sent = int(c.Version)
 			for _, l := range c.Nodes {
-				s.tape.Add(trace.Line{What: trace.Told, Front: front, Node: l.Name, Note: l.Phase})
+				s.tape.Add(trace.Event{Kind: trace.ListSent, Front: front, Node: l.Name, Note: l.Phase})
 			}
 		}
 		if flush.Flush() != nil {
--- a/testbed/load.go
+++ b/testbed/load.go
@@ -21,12 +21,12 @@
 // answered or not, and its latency counts from that time, so that a front that stands still is not
 // spared the requests that came meanwhile.
 type Load struct {
-	Day    *Day // its products' shares, its titles by their Zipf, its seed
-	Fronts []Reached
-	Rate   float64       // new plays a second
-	For    time.Duration // of asking
-	Hold   time.Duration // a play that plays is left after this
-	Name   string        // of this run, so that its viewers are nobody else's
+	Scenario *Scenario // its products' shares, its titles by their Zipf, its seed
+	Fronts   []FrontAddress
+	Rate     float64       // new plays a second
+	For      time.Duration // of asking
+	Hold     time.Duration // a play that plays is left after this
+	Name     string        // of this run, so that its viewers are nobody else's
 }
 
 // LoadResult is what a load run saw.
@@ -49,7 +49,7 @@
 	if res.Before, err = l.scrape(ctx, client); err != nil {
 		return nil, err
 	}
-	day := *l.Day
+	day := *l.Scenario
 	day.Rate, day.Seconds = l.Rate, l.For.Seconds()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -170,32 +170,32 @@
 	return all, nil
 }
 
-// Grew is how much a metric grew over the run, all fronts together.
-func (r *LoadResult) Grew(name string) (sum float64) {
+// MetricIncrease is how much a metric grew over the run, all fronts together.
+func (r *LoadResult) MetricIncrease(name string) (sum float64) {
 	for i := range r.After {
 		sum += r.After[i][name] - r.Before[i][name]
 	}
 	return sum
 }
 
-// Last is a metric at the end of asking, all fronts together.
-func (r *LoadResult) Last(name string) (sum float64) {
+// MetricAtEnd is a metric at the end of asking, all fronts together.
+func (r *LoadResult) MetricAtEnd(name string) (sum float64) {
 	for i := range r.After {
 		sum += r.After[i][name]
 	}
 	return sum
 }
 
-// Reached is a front as viewers reach it.
-type Reached struct {
+// FrontAddress is a front as viewers reach it.
+type FrontAddress struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Fronts are those that Up started.
-func (r *Rehearsal) Fronts() (all []Reached) {
+// Fronts are those that Start started.
+func (r *Rehearsal) Fronts() (all []FrontAddress) {
 	for _, f := range r.fronts {
-		all = append(all, Reached{f.name, f.addr})
+		all = append(all, FrontAddress{f.name, f.addr})
 	}
 	return all
 }
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -79,7 +79,7 @@
 		r.eventually(names[i]+" is ready", func() bool { return r.getAt("http://"+addr+"/readyz").status == 200 })
 	}
 
-	players := NewPlayers(r.set, r.tape)
+	players := NewViewerClients(r.set, r.tape)
 	defer players.Client.CloseIdleConnections()
 	for round := range rounds {
 		switch round {
@@ -114,18 +114,18 @@
 		time.Sleep(30 * time.Millisecond) // so that the day outlasts the grace and some cold turns
 	}
 
-	rep := audit.Check(r.set, r.tape.Lines())
+	rep := audit.Check(r.set, r.tape.Events())
 	if !rep.Kept() {
 		t.Errorf("rules: %+v", rep.Rules)
 	}
 	asked, plays, messages := map[string]int{}, map[string]int{}, 0.0
 	kind := map[int64]string{}
-	for _, l := range r.tape.Lines() {
+	for _, l := range r.tape.Events() {
 		switch {
-		case l.What == trace.Ask:
+		case l.Kind == trace.Ask:
 			kind[l.ID] = l.Front[:3]
 			asked[l.Front[:3]]++
-		case l.What == trace.Answer && l.Status == 200:
+		case l.Kind == trace.Answer && l.Status == 200:
 			plays[kind[l.ID]]++
 		}
 	}
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -40,7 +40,7 @@
 type Fleet struct {
 	set     *config.Service
 	check   *token.Checker
-	tape    *trace.Tape
+	tape    *trace.Recorder
 	setUpMs [2]float64 // a set-up takes from so long to so long
 	idle    time.Duration
 	tls     *tls.Config // nil speaks plainly
@@ -221,7 +221,7 @@
 	ctx := n.ctx
 	n.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
 	server := n.server
-	f.tape.Add(trace.Line{What: trace.Life, Node: n.line.Name, Note: note})
+	f.tape.Add(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
 	f.mu.Unlock()
 	n.wg.Add(2)
 	go func() { defer n.wg.Done(); server.Serve(listen) }()
@@ -249,7 +249,7 @@
 	}
 	n.up = false
 	n.plays = map[string]*running{}
-	n.fleet.tape.Add(trace.Line{What: what, Node: n.line.Name})
+	n.fleet.tape.Add(trace.Event{Kind: what, Node: n.line.Name})
 	n.fleet.mu.Unlock()
 	n.kill()
 	n.server.Close()
@@ -312,25 +312,25 @@
 	if n.cutOff(w, ask.Front) {
 		return
 	}
-	line := trace.Line{What: trace.SetUp, Node: n.line.Name, Front: ask.Front, Play: id, Try: ask.Try, Product: ask.Product,
+	line := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: ask.Front, Play: id, Attempt: ask.Attempt, Product: ask.Product,
 		Title: ask.Title, Viewer: ask.Viewer, Rung: ask.Rung}
 	f.tape.Add(line)
-	ends := func(what, why string) { line.What, line.Note = what, why; f.tape.Add(line) }
+	ends := func(what, why string) { line.Kind, line.Note = what, why; f.tape.Add(line) }
 	f.mu.Lock()
 	wait := time.Duration((f.setUpMs[0] + f.rnd.Float64()*(f.setUpMs[1]-f.setUpMs[0])) * n.slow * float64(time.Millisecond))
 	fails, vanishes := f.rnd.Float64() < n.errors, f.rnd.Float64() < n.vanish
 	refusal, p := n.refusal(&ask, id)
 	if refusal == "" {
 		number, _ := f.set.ProductNumber(ask.Product)
-		p = &running{Play: nodes.Play{Play: id, Epoch: ask.Epoch, Try: ask.Try, Product: ask.Product, Title: ask.Title,
-			Viewer: ask.Viewer, Rung: ask.Rung, Seq: ask.Seq, Top: ask.Top}, front: ask.Front, product: &f.set.Products[number]}
+		p = &running{Play: nodes.Play{Play: id, Epoch: ask.Epoch, Attempt: ask.Attempt, Product: ask.Product, Title: ask.Title,
+			Viewer: ask.Viewer, Rung: ask.Rung, Seq: ask.Seq, MaxRung: ask.MaxRung}, front: ask.Front, product: &f.set.Products[number]}
 		n.plays[id] = p // it takes its place, and its part of the link, from here on
 		n.epochs[ask.Front] = max(n.epochs[ask.Front], ask.Epoch)
 	}
 	fell := n.pushed()
 	f.mu.Unlock()
 	if fell {
-		n.crash(trace.Fell)
+		n.crash(trace.Overloaded)
 		return
 	}
 	if refusal != "" {
@@ -458,13 +458,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
-	if p == nil || p.Try != ask.Try || p.front != ask.Front || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) {
+	if p == nil || p.Attempt != ask.Attempt || p.front != ask.Front || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) {
 		answer(w, http.StatusNotFound, nodes.Refusal{Why: "no such play"})
 		return
 	}
 	if ask.Seq > p.Seq {
 		p.Rung, p.Seq = ask.Rung, ask.Seq
-		f.tape.Add(trace.Line{What: trace.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Try: p.Try, Product: p.Product, Rung: p.Rung})
+		f.tape.Add(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Attempt: p.Attempt, Product: p.Product, Rung: p.Rung})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -479,14 +479,14 @@
 		answer(w, http.StatusBadRequest, nodes.Refusal{Why: "try is needed"})
 		return
 	}
-	f.tape.Add(trace.Line{What: trace.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Try: try, Note: q.Get("why")})
+	f.tape.Add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Attempt: try, Note: q.Get("why")})
 	if !n.hushed(r.Context()) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
-	if p == nil || p.Try != try || p.front != q.Get("front") {
+	if p == nil || p.Attempt != try || p.front != q.Get("front") {
 		answer(w, http.StatusNotFound, nodes.Refusal{Why: "no such play"})
 		return
 	}
@@ -544,7 +544,7 @@
 		http.Error(w, "rung not allowed", http.StatusForbidden)
 		return
 	}
-	f.tape.Add(trace.Line{What: trace.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
+	f.tape.Add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
 	w.Header().Set(ShareHeader, strconv.FormatFloat(share, 'f', 3, 64))
 	w.Header().Set("Content-Type", "video/mp4")
 	w.Write(segment[:512*(rung+1)])
@@ -588,7 +588,7 @@
 		f.mu.Lock()
 		s.goneAt = time.Now()
 		f.mu.Unlock()
-		f.tape.Add(trace.Line{What: trace.Unstream, Node: n.line.Name, Front: name})
+		f.tape.Add(trace.Event{Kind: trace.StreamClosed, Node: n.line.Name, Front: name})
 	}()
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	send := func(note nodes.Note) bool {
@@ -660,8 +660,8 @@
 				continue
 			}
 			delete(n.plays, id)
-			f.tape.Add(trace.Line{What: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Try: p.Try})
-			n.tell(p.front, nodes.Note{Kind: nodes.Ended, Play: id, Try: p.Try, How: nodes.Over})
+			f.tape.Add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Attempt: p.Attempt})
+			n.tell(p.front, nodes.Note{Kind: nodes.Ended, Play: id, Attempt: p.Attempt, How: nodes.Over})
 		}
 		if beat%4 == 0 {
 			n.tellShares(now, lag, beat%12 == 0)
@@ -675,7 +675,7 @@
 func (n *Node) tellShares(now time.Time, lag time.Duration, loads bool) {
 	link, uplink := n.loads()
 	n.shares = append(n.shares, shareAt{now, n.share(), link, uplink})
-	n.fleet.tape.Add(trace.Line{What: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	n.fleet.tape.Add(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
 	if len(n.shares) > 64 {
 		n.shares = n.shares[1:]
 	}
@@ -708,10 +708,10 @@
 	for _, name := range names {
 		p := one[name]
 		if old < 0.98 || before < 0.98 {
-			n.tell(name, nodes.Note{Kind: nodes.Share, Play: p.Play.Play, Try: p.Try, Share: old})
+			n.tell(name, nodes.Note{Kind: nodes.Share, Play: p.Play.Play, Attempt: p.Attempt, Share: old})
 		}
 		if loads && n.fleet.set.Reports == "answers" {
-			n.tell(name, nodes.Note{Kind: nodes.Load, Play: p.Play.Play, Try: p.Try, Link: link, Uplink: uplink})
+			n.tell(name, nodes.Note{Kind: nodes.Load, Play: p.Play.Play, Attempt: p.Attempt, Link: link, Uplink: uplink})
 		}
 	}
 }
--- a/testbed/path_test.go
+++ b/testbed/path_test.go
@@ -141,9 +141,9 @@
 		}()
 	}
 	wg.Wait()
-	byPlay := map[string][]trace.Line{}
-	for _, l := range r.tape.Lines() {
-		if l.What == trace.SetUp {
+	byPlay := map[string][]trace.Event{}
+	for _, l := range r.tape.Events() {
+		if l.Kind == trace.SetUp {
 			byPlay[l.Play] = append(byPlay[l.Play], l)
 		}
 	}
@@ -343,7 +343,7 @@
 	line := r.nodes[0].line
 	line.Phase = "draining"
 	r.registry.Set(line)
-	r.eventually("the front was told", func() bool { return r.count(trace.Told, "") == 3 })
+	r.eventually("the front was told", func() bool { return r.count(trace.ListSent, "") == 3 })
 	r.eventually("nothing new is set up there", func() bool {
 		before := r.count(trace.SetUp, "")
 		return r.ask("only-0", "safe", "w").status == http.StatusServiceUnavailable && r.count(trace.SetUp, "") == before
@@ -449,7 +449,7 @@
 }
 
 func TestThousandsOfPlayersGetOneAnswerEach(t *testing.T) {
-	day, err := ParseDay("day", []byte(`{"service": `+strings.Replace(testService, `"fronts": 1`, `"fronts": 2`, 1)+`,
+	day, err := ParseScenario("day", []byte(`{"service": `+strings.Replace(testService, `"fronts": 1`, `"fronts": 2`, 1)+`,
 	"day": {"seconds": 10, "seed": 3, "nodes": 8, "rate": 250, "set_up_ms": [1, 10], "list_late_ms": 200, "idle_ms": 2000,
 	  "products": [{"name": "paid", "share": 0.3, "watch_s": [0.2, 1]}, {"name": "safe", "share": 0.7, "watch_s": [0.2, 1]}],
 	  "viewers": {"tries": 2, "pause_ms": 100},
@@ -459,7 +459,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := (&Rehearsal{Day: day, Folder: t.TempDir()}).Run(context.Background())
+	out, err := (&Rehearsal{Scenario: day, Folder: t.TempDir()}).Run(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -21,42 +21,42 @@
 
 // Viewer is one simulated viewer: what it wants and how it behaves.
 type Viewer struct {
-	Name    string
-	Product *config.Product
-	Title   string
-	Top     int
-	Watch   time.Duration
-	Fronts  []string      // addresses it may ask, the first one first
-	Names   []string      // of these fronts
-	Tries   int           // further tries after a decline, a failure or a break
-	Pause   time.Duration // before one, where no advice is heeded
-	Honours bool          // heeds Retry-After
-	Socket  bool          // asks over a socket, and not by manifests
-	Chance  *rand.Rand
+	Name            string
+	Product         *config.Product
+	Title           string
+	Top             int
+	Watch           time.Duration
+	Fronts          []string      // addresses it may ask, the first one first
+	Names           []string      // of these fronts
+	MaxRetries      int           // further tries after a decline, a failure or a break
+	Pause           time.Duration // before one, where no advice is heeded
+	HeedsRetryAfter bool          // heeds Retry-After
+	Socket          bool          // asks over a socket, and not by manifests
+	Rand            *rand.Rand
 }
 
-// Players are the simulated viewers' side of the sockets.
-type Players struct {
+// ViewerClients are the simulated viewers' side of the sockets.
+type ViewerClients struct {
 	Set    *config.Service
-	Tape   *trace.Tape
+	Trace  *trace.Recorder
 	Client *http.Client
 	ids    atomic.Int64
-	Seen   Seen
+	Counts ViewerCounts
 }
 
-// Seen is what the viewers saw, for the report.
-type Seen struct {
+// ViewerCounts is what the viewers saw, for the report.
+type ViewerCounts struct {
 	mu       sync.Mutex
 	Segments int
 	Short    int // delivered under 98%
 	Failed   int
 }
 
-func (s *Seen) add(f func(s *Seen)) { s.mu.Lock(); f(s); s.mu.Unlock() }
+func (s *ViewerCounts) add(f func(s *ViewerCounts)) { s.mu.Lock(); f(s); s.mu.Unlock() }
 
-// NewPlayers makes the players' side with connections of its own.
-func NewPlayers(set *config.Service, t *trace.Tape) *Players {
-	return &Players{Set: set, Tape: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
+// NewViewerClients makes the players' side with connections of its own.
+func NewViewerClients(set *config.Service, t *trace.Recorder) *ViewerClients {
+	return &ViewerClients{Set: set, Trace: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 10 * time.Second}}}
 }
 
@@ -70,9 +70,9 @@
 
 // ask sends one request for a manifest and records it with its answer. before is the play that the viewer
 // had, broken that its node does not deliver.
-func (p *Players) ask(ctx context.Context, v *Viewer, at int, target, before string, first, broken bool) (res result) {
+func (p *ViewerClients) ask(ctx context.Context, v *Viewer, at int, target, before string, first, broken bool) (res result) {
 	id := p.ids.Add(1)
-	line := trace.Line{What: trace.Ask, ID: id, Front: v.Names[at], Viewer: v.Name, Product: v.Product.Name,
+	line := trace.Event{Kind: trace.Ask, ID: id, Front: v.Names[at], Viewer: v.Name, Product: v.Product.Name,
 		Title: v.Title, LimitMs: int64(v.Product.LimitMs), Play: before, First: first}
 	if broken {
 		line.Note = "broken"
@@ -83,24 +83,24 @@
 	limit := time.Duration(v.Product.LimitMs) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, limit+2*time.Second) // longer than its limit, to see what comes late
 	defer cancel()
-	p.Tape.Add(line)
+	p.Trace.Add(line)
 	got, err := client.Manifest(ctx, p.Client, target)
-	ans := trace.Line{What: trace.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Why}
+	ans := trace.Event{Kind: trace.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Why}
 	if err != nil {
 		ans.Note = err.Error()
 	}
-	p.Tape.Add(ans)
+	p.Trace.Add(ans)
 	return result{status: got.Status, play: got.Play, manifest: got.Manifest, back: got.ComeBack}
 }
 
 // firstURL asks for the title anew.
-func (p *Players) firstURL(v *Viewer, at int, left time.Duration) string {
+func (p *ViewerClients) firstURL(v *Viewer, at int, left time.Duration) string {
 	return client.FirstManifest("http", v.Fronts[at], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, Top: v.Top, Length: left})
 }
 
 // Watch lives through one viewer's wish: asks, fetches, retries, returns after breaks and moves, and
 // leaves when its time is over or its patience is.
-func (p *Players) Watch(ctx context.Context, v *Viewer) {
+func (p *ViewerClients) Watch(ctx context.Context, v *Viewer) {
 	if v.Socket {
 		p.watchSocket(ctx, v)
 		return
@@ -131,12 +131,12 @@
 				continue
 			}
 		}
-		if tries++; tries > v.Tries {
+		if tries++; tries > v.MaxRetries {
 			return
 		}
-		pause := time.Duration((0.5 + v.Chance.Float64()) * float64(v.Pause))
-		if v.Honours && res.back > 0 {
-			pause = time.Duration((1 + v.Chance.Float64()) * float64(res.back))
+		pause := time.Duration((0.5 + v.Rand.Float64()) * float64(v.Pause))
+		if v.HeedsRetryAfter && res.back > 0 {
+			pause = time.Duration((1 + v.Rand.Float64()) * float64(res.back))
 		}
 		select {
 		case <-time.After(pause):
@@ -158,7 +158,7 @@
 )
 
 // play fetches segments until the viewer's time is over or the play breaks.
-func (p *Players) play(ctx context.Context, v *Viewer, at int, res *result, began time.Time) outcome {
+func (p *ViewerClients) play(ctx context.Context, v *Viewer, at int, res *result, began time.Time) outcome {
 	every := time.Duration(res.manifest.Segment) * time.Millisecond
 	hint, fails := "", 0
 	for n := 1; time.Since(began) < v.Watch; n++ {
@@ -201,7 +201,7 @@
 }
 
 // fetch fetches one segment and returns the rate that the node suggests.
-func (p *Players) fetch(ctx context.Context, target string, patience time.Duration) (status int, suggest string) {
+func (p *ViewerClients) fetch(ctx context.Context, target string, patience time.Duration) (status int, suggest string) {
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
@@ -215,12 +215,12 @@
 	}
 	if err != nil {
 		if !errors.Is(err, context.Canceled) {
-			p.Seen.add(func(s *Seen) { s.Failed++ })
+			p.Counts.add(func(s *ViewerCounts) { s.Failed++ })
 		}
 		return 0, ""
 	}
 	share, _ := strconv.ParseFloat(resp.Header.Get(ShareHeader), 64)
-	p.Seen.add(func(s *Seen) {
+	p.Counts.add(func(s *ViewerCounts) {
 		if resp.StatusCode == http.StatusOK {
 			s.Segments++
 			if share < 0.98 {
@@ -232,7 +232,7 @@
 }
 
 // leave tells the front that the viewer is done. It is recorded first: whatever the front does of it comes after the line.
-func (p *Players) leave(ctx context.Context, play, location string) {
+func (p *ViewerClients) leave(ctx context.Context, play, location string) {
 	u, err := url.Parse(location)
 	if err != nil {
 		return
@@ -242,7 +242,7 @@
 	if err != nil {
 		return
 	}
-	p.Tape.Add(trace.Line{What: trace.Leave, Play: play})
+	p.Trace.Add(trace.Event{Kind: trace.Leave, Play: play})
 	if resp, err := p.Client.Do(req); err == nil {
 		resp.Body.Close()
 	}
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -30,15 +30,15 @@
 // Rehearsal runs a day: fronts as processes of their own, stand-in nodes, the list service and viewers in
 // this one, all on loopback.
 type Rehearsal struct {
-	Day     *Day
-	Program string                            // the gullrail that serves; empty runs the fronts in this process, where they can't be killed
-	Command func(name, file string) *exec.Cmd // what starts a front, in place of Program
-	Folder  string                            // for the fronts' settings and logs
-	Say     func(format string, args ...any)
+	Scenario *Scenario
+	Program  string                            // the gullrail that serves; empty runs the fronts in this process, where they can't be killed
+	Command  func(name, file string) *exec.Cmd // what starts a front, in place of Program
+	Folder   string                            // for the fronts' settings and logs
+	Say      func(format string, args ...any)
 
-	tape     *trace.Tape
+	tape     *trace.Recorder
 	fleet    *Fleet
-	registry *Registry // the list service, where it is in this process
+	registry *ListService // the list service, where it is in this process
 	list     Announcer
 	rnd      *rand.Rand
 	fronts   []*frontProcess
@@ -68,7 +68,7 @@
 // Outcome is what a rehearsal came to.
 type Outcome struct {
 	Report *audit.Report
-	Lines  []trace.Line
+	Lines  []trace.Event
 	Short  float64 // share of segments delivered short
 	Took   time.Duration
 }
@@ -86,19 +86,19 @@
 // Run runs the day to its end, or to that of the context. All that it started has ended when it returns.
 func (r *Rehearsal) Run(ctx context.Context) (out *Outcome, err error) {
 	began := time.Now()
-	d := r.Day
+	d := r.Scenario
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() {
 		cancel()
 		r.wg.Wait()
-		if e := r.Down(); e != nil && err == nil {
+		if e := r.Stop(); e != nil && err == nil {
 			err = e
 		}
 	}()
-	if err := r.Up(ctx); err != nil {
+	if err := r.Start(ctx); err != nil {
 		return nil, err
 	}
-	players := NewPlayers(&d.Service, r.tape)
+	players := NewViewerClients(&d.Service, r.tape)
 	viewers, endViewers := context.WithCancel(ctx)
 	defer endViewers()
 	start := time.Now()
@@ -108,31 +108,31 @@
 	}
 	r.arrive(viewers, start, players, r.Fronts())
 	wait(ctx, d.tail())
-	lined := r.tape.Lines()
+	lined := r.tape.Events()
 	endViewers()
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("rehearsal: %w", context.Cause(ctx))
 	}
 	out = &Outcome{Report: audit.Check(&d.Service, lined), Lines: lined, Took: time.Since(began)}
-	players.Seen.mu.Lock()
-	out.Short = float64(players.Seen.Short) / max(1, float64(players.Seen.Segments))
-	players.Seen.mu.Unlock()
+	players.Counts.mu.Lock()
+	out.Short = float64(players.Counts.Short) / max(1, float64(players.Counts.Segments))
+	players.Counts.mu.Unlock()
 	return out, nil
 }
 
 // tail is how long after the last arrival the day goes on, in seconds: what was asked last is still to
 // be answered.
-func (d *Day) tail() float64 { return d.Service.LongestMs()/1000 + 1 }
+func (d *Scenario) tail() float64 { return d.Service.LongestMs()/1000 + 1 }
 
-// Up starts the nodes, the list service and the fronts, and waits until the fronts are ready. Down is owed
+// Start starts the nodes, the list service and the fronts, and waits until the fronts are ready. Stop is owed
 // after it, also when it fails.
-func (r *Rehearsal) Up(ctx context.Context) error {
+func (r *Rehearsal) Start(ctx context.Context) error {
 	key, err := r.prepare(trace.New())
 	if err != nil {
 		return err
 	}
 	r.viewers = true
-	r.registry = NewRegistry(r.tape, time.Duration(r.Day.ListLateMs)*time.Millisecond)
+	r.registry = NewListService(r.tape, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
 	r.list = r.registry
 	lines, err := r.startNodes(func(int) bool { return true })
 	if err != nil {
@@ -150,8 +150,8 @@
 }
 
 // prepare makes what every part of a rehearsal needs, the same for all of them.
-func (r *Rehearsal) prepare(t *trace.Tape) (config.Key, error) {
-	d := r.Day
+func (r *Rehearsal) prepare(t *trace.Recorder) (config.Key, error) {
+	d := r.Scenario
 	r.tape = t
 	r.rnd = rand.New(rand.NewPCG(d.Seed, 1))
 	r.crowd, r.byNumber = map[string]float64{}, map[int]*Node{}
@@ -180,12 +180,12 @@
 
 // startNodes starts the day's nodes that this process has, by their numbers.
 func (r *Rehearsal) startNodes(mine func(number int) bool) (lines []nodes.Line, err error) {
-	for i := range r.Day.Nodes {
-		given := r.Day.Service.WeightKB * r.about()
+	for i := range r.Scenario.Nodes {
+		given := r.Scenario.Service.WeightKB * r.about()
 		if !mine(i) {
 			continue
 		}
-		n, err := r.newNode(fmt.Sprintf("n%d", i), i%r.Day.Service.Cells, i, given)
+		n, err := r.newNode(fmt.Sprintf("n%d", i), i%r.Scenario.Service.Cells, i, given)
 		if err != nil {
 			return nil, err
 		}
@@ -198,8 +198,8 @@
 	return lines, nil
 }
 
-// Down ends all that Up started, the fronts in order first, and returns the first that did not end well.
-func (r *Rehearsal) Down() (err error) {
+// Stop ends all that Start started, the fronts in order first, and returns the first that did not end well.
+func (r *Rehearsal) Stop() (err error) {
 	for _, f := range r.fronts {
 		if e := f.stop(); e != nil && err == nil {
 			err = e
@@ -216,14 +216,14 @@
 }
 
 // about draws a factor around 1, by the day's unevenness.
-func (r *Rehearsal) about() float64 { return 1 + r.Day.Uneven*(2*r.rnd.Float64()-1) }
+func (r *Rehearsal) about() float64 { return 1 + r.Scenario.BandwidthSpread*(2*r.rnd.Float64()-1) }
 
 func (r *Rehearsal) newNode(name string, cell, i int, given float64) (*Node, error) {
 	addr, err := freePort()
 	if err != nil {
 		return nil, err
 	}
-	set := &r.Day.Service
+	set := &r.Scenario.Service
 	n := &Node{fleet: r.fleet, cell: cell, given: given, slow: 1, line: nodes.Line{Name: name,
 		Address: addr, Phase: "ready", Kind: set.Kinds[i%len(set.Kinds)].Name, Zone: set.Zones[i%len(set.Zones)],
 		Cell: cell, Weight: 1}}
@@ -237,7 +237,7 @@
 // ---- Fronts ----
 
 func (r *Rehearsal) startFronts(ctx context.Context, key config.Key, list string) error {
-	d := r.Day
+	d := r.Scenario
 	for i := range d.Service.Fronts {
 		addr, err := freePort()
 		if err != nil {
@@ -265,15 +265,15 @@
 		if err := f.awaitReady(ctx, 20*time.Second); err != nil {
 			return err
 		}
-		r.tape.Add(trace.Line{What: trace.Up, Front: f.name})
+		r.tape.Add(trace.Event{Kind: trace.FrontStarted, Front: f.name})
 	}
 	return nil
 }
 
 // FrontSettings is the settings file of one front of the day.
-func (d *Day) FrontSettings(i int, name, listen, list, state string, key config.Key) ([]byte, error) {
+func (d *Scenario) FrontSettings(i int, name, listen, list, state string, key config.Key) ([]byte, error) {
 	settings := map[string]any{"name": name, "number": i, "zone": d.Service.Zones[i%len(d.Service.Zones)], "listen": listen, "seed": d.Seed}
-	if d.Records {
+	if d.KeepRecords {
 		settings["state"] = state
 	}
 	own, err := json.Marshal(settings)
@@ -428,7 +428,7 @@
 }
 
 // arrivals draws the day's viewers, the same for the same seed wherever the day is played.
-func (d *Day) arrivals(fronts int) iter.Seq[arrival] {
+func (d *Scenario) arrivals(fronts int) iter.Seq[arrival] {
 	return func(yield func(arrival) bool) {
 		rnd, leans := rand.New(rand.NewPCG(d.Seed, 3)), rand.New(rand.NewPCG(d.Seed, 5)) // apart, so that a day's draws stay
 		weights := make([]float64, len(d.Service.Titles))
@@ -441,10 +441,10 @@
 			if at += rnd.ExpFloat64() / d.Rate; at >= d.Seconds {
 				return
 			}
-			v := &Viewer{Name: fmt.Sprintf("v%d", n), Tries: d.Tries, Pause: time.Duration(d.PauseMs) * time.Millisecond,
-				Honours: rnd.Float64() < d.Honours, Top: len(d.Service.RatesKB) - 1, Chance: rand.New(rand.NewPCG(d.Seed, uint64(n)+10))}
+			v := &Viewer{Name: fmt.Sprintf("v%d", n), MaxRetries: d.MaxRetries, Pause: time.Duration(d.PauseMs) * time.Millisecond,
+				HeedsRetryAfter: rnd.Float64() < d.RetryAfterShare, Top: len(d.Service.RatesKB) - 1, Rand: rand.New(rand.NewPCG(d.Seed, uint64(n)+10))}
 			_, part := math.Modf(float64(n) * math.Phi) // spread evenly, and apart from the day's draws
-			v.Socket = part < d.Sockets
+			v.Socket = part < d.SocketShare
 			pick := rnd.Float64()
 			for _, p := range d.Products {
 				v.Product = &d.Service.Products[p.Number]
@@ -453,7 +453,7 @@
 					break
 				}
 			}
-			if rnd.Float64() < d.Small {
+			if rnd.Float64() < d.SmallScreenShare {
 				v.Top = max(v.Product.Floor, v.Top-1-rnd.IntN(2))
 			}
 			x := rnd.Float64() * sum
@@ -484,7 +484,7 @@
 }
 
 // crowded is the title that a viewer wants while crowds come for some.
-func (d *Day) crowded(a arrival, crowd map[string]float64) string {
+func (d *Scenario) crowded(a arrival, crowd map[string]float64) string {
 	for _, t := range d.Service.Titles {
 		if a.drawn < crowd[t.Name] {
 			return t.Name
@@ -494,8 +494,8 @@
 }
 
 // arrive lets viewers come until the day is over; they don't wait for each other.
-func (r *Rehearsal) arrive(ctx context.Context, start time.Time, players *Players, fronts []Reached) {
-	d := r.Day
+func (r *Rehearsal) arrive(ctx context.Context, start time.Time, players *ViewerClients, fronts []FrontAddress) {
+	d := r.Scenario
 	until := func(at float64) bool {
 		select {
 		case <-time.After(time.Until(start.Add(time.Duration(at * float64(time.Second))))):
@@ -541,7 +541,7 @@
 		return
 	}
 	r.Say("%5.1f s  %s", time.Since(start).Seconds(), f)
-	r.tape.Add(trace.Line{What: trace.Fault, Note: f.String()})
+	r.tape.Add(trace.Event{Kind: trace.Fault, Note: f.String()})
 	var all sync.WaitGroup
 	defer all.Wait()
 	each := func(do func(n *Node)) {
@@ -615,7 +615,7 @@
 		if r.registry == nil {
 			return
 		}
-		usual := time.Duration(r.Day.ListLateMs) * time.Millisecond
+		usual := time.Duration(r.Scenario.ListLateMs) * time.Millisecond
 		r.registry.Late(usual + time.Duration(f.Amount*float64(time.Second)))
 		if f.For > 0 && wait(ctx, f.For) {
 			r.registry.Late(usual)
@@ -668,7 +668,7 @@
 		}
 		p := r.fronts[f.Front]
 		p.kill()
-		r.tape.Add(trace.Line{What: trace.Killed, Front: p.name})
+		r.tape.Add(trace.Event{Kind: trace.FrontKilled, Front: p.name})
 		if f.For > 0 && wait(ctx, f.For) {
 			if err := r.startFront(p); err != nil {
 				r.Say("%v", err)
@@ -678,18 +678,18 @@
 				r.Say("%v", err)
 				return
 			}
-			r.tape.Add(trace.Line{What: trace.Up, Front: p.name})
+			r.tape.Add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
 		}
 	case "front-stall":
 		if len(r.fronts) == 0 {
 			return
 		}
 		p := r.fronts[f.Front]
-		r.tape.Add(trace.Line{What: trace.Stopped, Front: p.name})
+		r.tape.Add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
 		p.signal(syscall.SIGSTOP)
 		wait(ctx, f.For)
 		p.signal(syscall.SIGCONT)
-		r.tape.Add(trace.Line{What: trace.Goes, Front: p.name})
+		r.tape.Add(trace.Event{Kind: trace.Continued, Front: p.name})
 	}
 }
 
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -41,9 +41,9 @@
 type rig struct {
 	t        *testing.T
 	set      *config.Service
-	tape     *trace.Tape
+	tape     *trace.Recorder
 	fleet    *Fleet
-	registry *Registry
+	registry *ListService
 	minter   *token.Minter
 	addr     string
 	scheme   string
@@ -82,7 +82,7 @@
 	r.settings = config.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, Waiting: 64, Sockets: 1000, TokenMs: 60000,
 		EndMs: 3000, Keys: keys, Service: set}
 	change(r)
-	r.registry = NewRegistry(r.tape, 0)
+	r.registry = NewListService(r.tape, 0)
 	lines := others
 	for i := range n {
 		addr, err := freePort()
@@ -215,10 +215,10 @@
 	return r.getAt(base + dash.RepresentationID(rung) + "/1.m4s")
 }
 
-// count is how many lines of a kind the tape holds for a play, or for all.
+// count is how many events of a kind the trace holds for a play, or for all.
 func (r *rig) count(what, play string) (n int) {
-	for _, l := range r.tape.Lines() {
-		if l.What == what && (play == "" || l.Play == play) {
+	for _, l := range r.tape.Events() {
+		if l.Kind == what && (play == "" || l.Play == play) {
 			n++
 		}
 	}
@@ -273,7 +273,7 @@
 			return
 		}
 		defer c.Close()
-		setUp(c, ask.Try)
+		setUp(c, ask.Attempt)
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -24,9 +24,9 @@
 // Sim plays a day in simulated time, without sockets: the same cores, gates and modules as the daemon's, over
 // a clock and a transport of its own. It runs on one goroutine, and the same seed gives the same decisions.
 type Sim struct {
-	Day *Day
-	// Module makes a front's policy; nil makes the project's own.
-	Module func(terms map[string][]float64, seed uint64) decision.Policy
+	Scenario *Scenario
+	// Policy makes a front's policy; nil makes the project's own.
+	Policy func(terms map[string][]float64, seed uint64) decision.Policy
 
 	now      int64
 	seq      uint64
@@ -38,7 +38,7 @@
 	byNumber []*simNode
 	racks    []rack
 	rackAsks []float64
-	lines    []trace.Line
+	lines    []trace.Event
 	ids      int64
 	crowd    map[string]float64
 	lean     lean
@@ -85,7 +85,7 @@
 
 func (s *Sim) seconds(sec float64, do func()) { s.after(int64(sec*float64(decision.Second)), do) }
 
-func (s *Sim) add(l trace.Line) {
+func (s *Sim) add(l trace.Event) {
 	l.T = (s.now - session.ClockStart) * 100
 	s.lines = append(s.lines, l)
 }
@@ -131,7 +131,7 @@
 	if n.coldAt == 0 {
 		return 1
 	}
-	set := &n.sim.Day.Service
+	set := &n.sim.Scenario.Service
 	return min(1, set.ColdShare+(1-set.ColdShare)*float64(n.sim.now-n.coldAt)/10/set.ColdLastsMs)
 }
 
@@ -149,7 +149,7 @@
 
 // reaches tells that a front and a node are on one side of a cut.
 func (f *simFront) reaches(n *simNode) bool {
-	zones := f.sim.Day.Service.Zones
+	zones := f.sim.Scenario.Service.Zones
 	return f.sim.apart == 0 || (f.number%len(zones) == f.sim.apart-1) == (n.line.Zone == zones[f.sim.apart-1])
 }
 
@@ -159,7 +159,7 @@
 		link, uplink = n.shares[max(0, k)].link, n.shares[max(0, k)].uplink
 	}
 	l := decision.Load{Streams: float64(len(n.held)), Link: link, Uplink: -1}
-	if n.sim.Day.Service.Uplinks {
+	if n.sim.Scenario.Service.Uplinks {
 		l.Uplink = uplink
 	}
 	return l
@@ -173,7 +173,7 @@
 func (n *simNode) rerate(p *simPlay, rung int) {
 	p.Rung = rung
 	n.carry(-p.rate)
-	p.rate = n.sim.Day.Service.RatesKB[rung] * p.product.Rate
+	p.rate = n.sim.Scenario.Service.RatesKB[rung] * p.product.Rate
 	n.carry(p.rate)
 }
 
@@ -194,7 +194,7 @@
 	if cold {
 		n.coldAt, note = n.sim.now, "cold"
 	}
-	n.sim.add(trace.Line{What: trace.Life, Node: n.line.Name, Note: note})
+	n.sim.add(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
 }
 
 func (n *simNode) crash(what string) {
@@ -202,7 +202,7 @@
 		return
 	}
 	n.up = false
-	n.sim.add(trace.Line{What: what, Node: n.line.Name})
+	n.sim.add(trace.Event{Kind: what, Node: n.line.Name})
 	for _, p := range slices.Clone(n.held) {
 		n.drop(p)
 	}
@@ -212,7 +212,7 @@
 }
 
 func (s *Sim) newNode(name string, cell, i int, given float64) *simNode {
-	set := &s.Day.Service
+	set := &s.Scenario.Service
 	n := &simNode{sim: s, cell: cell, given: given, slow: 1, life: 1, line: nodes.Line{Name: name, Address: name + ":1", Phase: "ready",
 		Kind: set.Kinds[i%len(set.Kinds)].Name, Zone: set.Zones[i%len(set.Zones)], Cell: cell, Weight: 1}}
 	s.nodes[n.line.Address] = n
@@ -222,7 +222,7 @@
 
 // refusal is as a stand-in node's on sockets.
 func (n *simNode) refusal(a *session.Allocation) string {
-	set := &n.sim.Day.Service
+	set := &n.sim.Scenario.Service
 	t, ok := set.Lookup(a.Title)
 	streams := set.Kinds[0].Streams
 	for _, k := range set.Kinds {
@@ -240,14 +240,14 @@
 		return "draining"
 	case len(n.held) >= streams:
 		return "no stream free"
-	case n.sim.Day.Guard > 0 && link >= n.sim.Day.Guard:
+	case n.sim.Scenario.Guard > 0 && link >= n.sim.Scenario.Guard:
 		return "link full"
 	}
 	return ""
 }
 
 func (n *simNode) pushed() bool {
-	set := &n.sim.Day.Service
+	set := &n.sim.Scenario.Service
 	age := float64(n.sim.now-n.coldAt) / 10
 	if n.coldAt == 0 || age > set.ColdLastsMs {
 		return false
@@ -265,7 +265,7 @@
 		return
 	}
 	s := n.sim
-	idle := int64(s.Day.IdleMs) * decision.Millisecond
+	idle := int64(s.Scenario.IdleMs) * decision.Millisecond
 	for _, p := range slices.Clone(n.held) {
 		heard, ok := n.heard[p.front]
 		if !ok {
@@ -275,7 +275,7 @@
 			continue
 		}
 		n.drop(p)
-		s.add(trace.Line{What: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Try: p.Attempt})
+		s.add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Attempt: p.Attempt})
 		f, ref := s.fronts[p.front], p.Ref
 		if n.hushed == 0 && f.reaches(n) {
 			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), decision.Served) })
@@ -286,11 +286,11 @@
 	}
 	link, uplink := n.loads()
 	n.shares = append(n.shares, shareAt{share: n.share(), link: link, uplink: uplink})
-	s.add(trace.Line{What: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	s.add(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
 	if len(n.shares) > 64 {
 		n.shares = n.shares[1:]
 	}
-	lag := int(math.Round(s.Day.Service.NoteLagMs/1000 + s.late))
+	lag := int(math.Round(s.Scenario.Service.NoteLagMs/1000 + s.late))
 	if n.hushed > 0 || len(n.shares) <= lag+1 {
 		return
 	}
@@ -310,7 +310,7 @@
 		if share < 0.98 || before < 0.98 {
 			f.call(hop, func(now int64, c *session.Core) { c.DeliveryReported(now, f.ref(ref, n), share) })
 		}
-		if s.Day.Service.Reports == "answers" && beat%12 == 0 {
+		if s.Scenario.Service.Reports == "answers" && beat%12 == 0 {
 			f.call(hop, func(now int64, c *session.Core) { c.LoadReported(now, f.ref(ref, n), load) })
 		}
 	}
@@ -349,12 +349,12 @@
 	f.up, f.wakeDue, f.listed = true, 0, 0
 	f.streams, f.numbers, f.pending = map[int]*simNode{}, map[*simNode]int{}, map[session.Ref]*pending{}
 	f.asks, f.held = map[*session.Reply]int64{}, nil
-	seed := s.Day.Seed + uint64(f.number)*1_000_003
-	set := &s.Day.Service
-	terms := set.Terms(f.number, set.Zones[f.number%len(set.Zones)])
+	seed := s.Scenario.Seed + uint64(f.number)*1_000_003
+	set := &s.Scenario.Service
+	terms := set.PolicySettings(f.number, set.Zones[f.number%len(set.Zones)])
 	var module decision.Policy
-	if s.Module != nil {
-		module = s.Module(terms, seed)
+	if s.Policy != nil {
+		module = s.Policy(terms, seed)
 	} else {
 		module = placement.New(terms, seed)
 	}
@@ -477,13 +477,13 @@
 		return
 	}
 	p.sent = true
-	line := trace.Line{What: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Try: a.Attempt,
-		Product: s.Day.Service.Products[a.Product].Name, Title: a.Title, Viewer: a.Viewer, Rung: a.Rung}
+	line := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Attempt: a.Attempt,
+		Product: s.Scenario.Service.Products[a.Product].Name, Title: a.Title, Viewer: a.Viewer, Rung: a.Rung}
 	s.add(line)
-	ends := func(what, why string) { line.What, line.Note = what, why; s.add(line) }
+	ends := func(what, why string) { line.Kind, line.Note = what, why; s.add(line) }
 	refusal := n.refusal(&a)
 	if n.pushed() {
-		n.crash(trace.Fell)
+		n.crash(trace.Overloaded)
 		return
 	}
 	if refusal != "" {
@@ -493,9 +493,9 @@
 		}
 		return
 	}
-	wait := int64((s.Day.SetUpMs[0] + s.rnd.Float64()*(s.Day.SetUpMs[1]-s.Day.SetUpMs[0])) * n.slow * 10)
+	wait := int64((s.Scenario.SetUpMs[0] + s.rnd.Float64()*(s.Scenario.SetUpMs[1]-s.Scenario.SetUpMs[0])) * n.slow * 10)
 	fails, vanishes := s.rnd.Float64() < n.fails, s.rnd.Float64() < n.vanish
-	product := &s.Day.Service.Products[a.Product]
+	product := &s.Scenario.Service.Products[a.Product]
 	play := &simPlay{Allocation: a, front: f.number, epoch: int64(f.life), node: n, product: product}
 	p.play = play
 	n.plays[a.Play] = play
@@ -529,7 +529,7 @@
 	delete(f.pending, r)
 	n := p.node
 	load := decision.UnknownLoad
-	if f.sim.Day.Service.Reports == "answers" && (how == decision.Served || how == decision.Rejected) {
+	if f.sim.Scenario.Service.Reports == "answers" && (how == decision.Served || how == decision.Rejected) {
 		load = n.load()
 	}
 	if how == decision.Served {
@@ -539,9 +539,9 @@
 	}
 	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.Canceled) {
 		n.drop(p.play)
-		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt})
+		f.sim.add(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
 	} else if p.sent && how == decision.NoAnswer { // refused by a node that says nothing
-		f.sim.add(trace.Line{What: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt})
+		f.sim.add(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
 	}
 	f.call(after, func(now int64, c *session.Core) { c.SetUpEnded(now, r, how, load) })
 }
@@ -578,7 +578,7 @@
 		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt && seq > p.Seq {
 			p.Seq = seq
 			n.rerate(p, rung)
-			f.sim.add(trace.Line{What: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt, Product: p.product.Name, Rung: rung})
+			f.sim.add(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Product: p.product.Name, Rung: rung})
 		}
 	})
 }
@@ -587,7 +587,7 @@
 	n := f.sim.nodes[address]
 	f.sim.after(hop, func() {
 		if n.up && f.reaches(n) {
-			f.sim.add(trace.Line{What: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt, Note: why})
+			f.sim.add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Note: why})
 		}
 	})
 	f.later(address, func(n *simNode) {
@@ -635,7 +635,7 @@
 			var runs []session.Running
 			for _, p := range n.held {
 				if p.front == f.number && p.playing {
-					home, copies, _ := s.Day.Service.Title(p.Title)
+					home, copies, _ := s.Scenario.Service.Title(p.Title)
 					runs = append(runs, session.Running{Play: p.Play, Epoch: p.epoch, Attempt: p.Attempt, Product: p.Product, Title: p.Title,
 						FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung})
 				}
@@ -679,7 +679,7 @@
 func (f *simFront) kill() {
 	f.up = false
 	f.life++
-	f.sim.add(trace.Line{What: trace.Killed, Front: f.name})
+	f.sim.add(trace.Event{Kind: trace.FrontKilled, Front: f.name})
 	refs := make([]session.Ref, 0, len(f.pending))
 	for r := range f.pending {
 		refs = append(refs, r)
@@ -688,7 +688,7 @@
 	for _, r := range refs { // nodes see their connections closed
 		if p := f.pending[r]; p.play != nil && !p.play.playing {
 			p.node.drop(p.play)
-			f.sim.add(trace.Line{What: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Try: r.Attempt})
+			f.sim.add(trace.Event{Kind: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
 		}
 	}
 	replies := make([]*session.Reply, 0, len(f.asks))
@@ -758,15 +758,15 @@
 		if whole && l.Phase == "gone" {
 			continue
 		}
-		s.add(trace.Line{What: trace.Told, Front: f.name, Node: l.Name, Note: l.Phase})
+		s.add(trace.Event{Kind: trace.ListSent, Front: f.name, Node: l.Name, Note: l.Phase})
 		phase := map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[l.Phase]
 		e := session.NodeEntry{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, Started: l.StartedMs}
-		for i, k := range s.Day.Service.Kinds {
+		for i, k := range s.Scenario.Service.Kinds {
 			if k.Name == l.Kind {
 				e.Kind = i
 			}
 		}
-		for i, z := range s.Day.Service.Zones {
+		for i, z := range s.Scenario.Service.Zones {
 			if z == l.Zone {
 				e.Zone = i
 			}
@@ -801,7 +801,7 @@
 	f := s.fronts[v.front%len(s.fronts)]
 	s.ids++
 	id := s.ids
-	line := trace.Line{What: trace.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+	line := trace.Event{Kind: trace.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
 		LimitMs: int64(v.Product.LimitMs), Play: v.before, First: v.first}
 	if v.broken {
 		line.Note = "broken"
@@ -813,7 +813,7 @@
 	s.add(line)
 	limit := s.now + int64(v.Product.LimitMs)*decision.Millisecond
 	if !f.up {
-		s.after(clientHop, func() { s.add(trace.Line{What: trace.Answer, ID: id, Note: "connection refused"}); v.again(0) })
+		s.after(clientHop, func() { s.add(trace.Event{Kind: trace.Answer, ID: id, Note: "connection refused"}); v.again(0) })
 		return
 	}
 	var reply *session.Reply
@@ -822,8 +822,8 @@
 		s.after(clientHop, func() { v.answered(id, a) })
 	})
 	f.asks[reply] = id
-	home, copies, _ := s.Day.Service.Title(v.Title)
-	number, _ := s.Day.Service.ProductNumber(v.Product.Name)
+	home, copies, _ := s.Scenario.Service.Title(v.Title)
+	number, _ := s.Scenario.Service.ProductNumber(v.Product.Name)
 	a := session.Request{Product: number, Title: v.Title, FirstCell: home, CellCount: copies, Viewer: v.Name, Deadline: limit, MaxRung: v.Top,
 		Length: max(0, v.until-s.now), Reply: reply}
 	if v.before != "" {
@@ -853,7 +853,7 @@
 
 func (v *simViewer) answered(id int64, a session.Answer) {
 	s := v.sim
-	line := trace.Line{What: trace.Answer, ID: id, Play: a.Play, Note: a.Reason}
+	line := trace.Event{Kind: trace.Answer, ID: id, Play: a.Play, Note: a.Reason}
 	switch {
 	case a.Verdict == cut:
 	case a.Verdict == session.Plays:
@@ -882,12 +882,12 @@
 
 // again comes back after a pause, while patience lasts.
 func (v *simViewer) again(advice int64) {
-	if v.tries++; v.tries > v.Tries {
+	if v.tries++; v.tries > v.MaxRetries {
 		return
 	}
-	pause := int64((0.5 + v.Chance.Float64()) * float64(v.Pause/(100*time.Microsecond)))
-	if v.Honours && advice > 0 {
-		pause = int64((1 + v.Chance.Float64()) * float64((advice+decision.Second-1)/decision.Second*decision.Second))
+	pause := int64((0.5 + v.Rand.Float64()) * float64(v.Pause/(100*time.Microsecond)))
+	if v.HeedsRetryAfter && advice > 0 {
+		pause = int64((1 + v.Rand.Float64()) * float64((advice+decision.Second-1)/decision.Second*decision.Second))
 	}
 	v.sim.after(pause, v.ask)
 }
@@ -904,7 +904,7 @@
 		return
 	}
 	n := s.nodes[v.play.Address]
-	every := int64(s.Day.Service.SegmentMs) * decision.Millisecond
+	every := int64(s.Scenario.Service.SegmentMs) * decision.Millisecond
 	p := n.plays[play]
 	switch {
 	case !n.up || n.hushed > 0:
@@ -928,7 +928,7 @@
 	if share < 0.98 {
 		s.short++
 	}
-	s.add(trace.Line{What: trace.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
+	s.add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
 	if p.Rung != v.rung { // told by the node: its manifest is asked for again
 		v.rung = p.Rung
 		v.ask()
@@ -941,7 +941,7 @@
 // Run plays the day and returns what it came to.
 func (s *Sim) Run() *Outcome {
 	began := time.Now()
-	d := s.Day
+	d := s.Scenario
 	s.now = session.ClockStart
 	s.rnd = rand.New(rand.NewPCG(d.Seed, 2))
 	s.nodes, s.crowd = map[string]*simNode{}, map[string]float64{}
@@ -950,7 +950,7 @@
 	for range 32 { // as the key of a rehearsal on sockets draws
 		about.UintN(256)
 	}
-	spread := func() float64 { return 1 + d.Uneven*(2*about.Float64()-1) }
+	spread := func() float64 { return 1 + d.BandwidthSpread*(2*about.Float64()-1) }
 	s.rackAsks = make([]float64, d.Service.Racks)
 	for range d.Service.Racks {
 		given := d.Service.UplinkKB
@@ -971,7 +971,7 @@
 		f := &simFront{sim: s, number: i, name: fmt.Sprintf("f%d", i)}
 		s.fronts = append(s.fronts, f)
 		f.start()
-		s.add(trace.Line{What: trace.Up, Front: f.name})
+		s.add(trace.Event{Kind: trace.FrontStarted, Front: f.name})
 	}
 	beat := 0
 	var tick func()
@@ -1009,7 +1009,7 @@
 
 // inject is the script's faults, as on sockets.
 func (s *Sim) inject(f Fault) {
-	s.add(trace.Line{What: trace.Fault, Note: f.String()})
+	s.add(trace.Event{Kind: trace.Fault, Note: f.String()})
 	each := func(do func(n *simNode)) {
 		for _, i := range f.Nodes {
 			do(s.byNumber[i])
@@ -1112,15 +1112,15 @@
 		p.kill()
 		lasts(func() {
 			p.start()
-			s.add(trace.Line{What: trace.Up, Front: p.name})
+			s.add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
 		})
 	case "front-stall":
 		p := s.fronts[f.Front]
 		p.stopped = true
-		s.add(trace.Line{What: trace.Stopped, Front: p.name})
+		s.add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
 		s.seconds(f.For, func() {
 			p.stopped = false
-			s.add(trace.Line{What: trace.Goes, Front: p.name})
+			s.add(trace.Event{Kind: trace.Continued, Front: p.name})
 			held := p.held
 			p.held = nil
 			for _, do := range held {
--- a/testbed/sim_test.go
+++ b/testbed/sim_test.go
@@ -10,19 +10,19 @@
 	"gullrail/testbed/trace"
 )
 
-func readDayFile(t *testing.T, name string) *Day {
+func readDayFile(t *testing.T, name string) *Scenario {
 	t.Helper()
-	d, err := ReadDay("../days/" + name)
+	d, err := ReadScenario("../days/" + name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-func simTape(t *testing.T, d *Day) []byte {
+func simTape(t *testing.T, d *Scenario) []byte {
 	t.Helper()
 	var out bytes.Buffer
-	if err := trace.Write(&out, (&Sim{Day: d}).Run().Lines); err != nil {
+	if err := trace.Write(&out, (&Sim{Scenario: d}).Run().Lines); err != nil {
 		t.Fatal(err)
 	}
 	return out.Bytes()
@@ -49,7 +49,7 @@
 		d := readDayFile(t, name)
 		for seed := range uint64(12) {
 			d.Seed = seed + 1
-			rep := (&Sim{Day: d}).Run().Report
+			rep := (&Sim{Scenario: d}).Run().Report
 			if !rep.Kept() || rep.MostAnswers != 1 || rep.Plays == 0 {
 				t.Errorf("%s, seed %d: %+v", name, d.Seed, rep.Rules)
 			}
@@ -60,29 +60,29 @@
 func TestDifferencesTellWhatTheNoiseLeaves(t *testing.T) {
 	a := []float64{0.50, 0.55, 0.45, 0.60, 0.40}
 	b := []float64{0.52, 0.57, 0.47, 0.62, 0.42}
-	if d := Differ("x", a, b); !d.Told() || math.Abs(d.Mean-0.02) > 1e-9 {
+	if d := PairedDifference("x", a, b); !d.Significant() || math.Abs(d.Mean-0.02) > 1e-9 {
 		t.Errorf("a steady gain under wide noise: %v", d)
 	}
 	b = []float64{0.60, 0.45, 0.47, 0.52, 0.50}
-	if d := Differ("x", a, b); d.Told() || d.Needed < 5 {
+	if d := PairedDifference("x", a, b); d.Significant() || d.Needed < 5 {
 		t.Errorf("noise: %v", d)
 	}
 	// By hand: differences 1, 2, 3: mean 2, sd 1, t(2) = 4.3027, half width 4.3027/sqrt(3) = 2.4841.
-	if d := Differ("x", []float64{0, 0, 0}, []float64{1, 2, 3}); math.Abs(d.Half-2.4841) > 1e-3 || d.Told() {
+	if d := PairedDifference("x", []float64{0, 0, 0}, []float64{1, 2, 3}); math.Abs(d.Half-2.4841) > 1e-3 || d.Significant() {
 		t.Errorf("by hand: %+v", d)
 	}
-	if d := Differ("x", []float64{1}, []float64{2}); d.Told() {
+	if d := PairedDifference("x", []float64{1}, []float64{2}); d.Significant() {
 		t.Errorf("one seed tells nothing: %v", d)
 	}
 }
 
 func TestBaselineIsToldFromTheModule(t *testing.T) {
 	d := readDayFile(t, "short.jsonc")
-	pairs, err := Compare(DaySide(d, "random"), DaySide(d, "choice"), []uint64{1, 2, 3, 4})
+	pairs, err := Compare(ScenarioSide(d, "random"), ScenarioSide(d, "choice"), []uint64{1, 2, 3, 4})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := Differences(pairs)[0]; !diff.Told() || diff.Mean < 0.05 {
+	if diff := Differences(pairs)[0]; !diff.Significant() || diff.Mean < 0.05 {
 		t.Fatalf("the module against a random holder at the lowest rung: %v", diff)
 	}
 }
@@ -94,7 +94,7 @@
 			t.Fatal(pattern, err)
 		}
 		for _, f := range files {
-			if _, err := ReadDay(f); err != nil {
+			if _, err := ReadScenario(f); err != nil {
 				t.Error(err)
 			}
 		}
@@ -107,13 +107,13 @@
 	}
 	files, _ := filepath.Glob("../days/troubles/*.jsonc")
 	for _, f := range files {
-		d, err := ReadDay(f)
+		d, err := ReadScenario(f)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for seed := range uint64(5) {
 			d.Seed = seed + 1
-			if rep := (&Sim{Day: d}).Run().Report; !rep.Kept() || rep.Plays == 0 {
+			if rep := (&Sim{Scenario: d}).Run().Report; !rep.Kept() || rep.Plays == 0 {
 				t.Errorf("%s, seed %d: %+v", filepath.Base(f), d.Seed, rep.Rules)
 			}
 		}
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -12,7 +12,7 @@
 	"gullrail/testbed/trace"
 )
 
-// statuses of a socket's verdicts on the tape, as DASH would tell them.
+// statuses of a socket's verdicts on the trace, as DASH would tell them.
 func statusOf(verdict, why string) int {
 	switch {
 	case verdict == "plays":
@@ -28,7 +28,7 @@
 }
 
 // watchSocket lives through one viewer's wish with the project's own client on a socket.
-func (p *Players) watchSocket(ctx context.Context, v *Viewer) {
+func (p *ViewerClients) watchSocket(ctx context.Context, v *Viewer) {
 	began := time.Now()
 	var mu sync.Mutex
 	ids := map[string]int64{} // of asks without an answer, by ticket
@@ -44,7 +44,7 @@
 		if t.Answer == nil && t.Lost == nil {
 			id := p.ids.Add(1)
 			ids[t.Ticket], asked[t.Ticket] = id, time.Now()
-			line := trace.Line{What: trace.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+			line := trace.Event{Kind: trace.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
 				LimitMs: int64(v.Product.LimitMs), Play: t.Before, First: first}
 			if t.Broken {
 				line.Note = "broken"
@@ -53,7 +53,7 @@
 				line.WatchMs, line.Rung = v.Watch.Milliseconds(), v.Top
 			}
 			first = false
-			p.Tape.Add(line)
+			p.Trace.Add(line)
 			return
 		}
 		id, ok := ids[t.Ticket]
@@ -61,11 +61,11 @@
 			return
 		}
 		delete(ids, t.Ticket)
-		line := trace.Line{What: trace.Answer, ID: id}
+		line := trace.Event{Kind: trace.Answer, ID: id}
 		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.LimitMs)*time.Millisecond
 		delete(asked, t.Ticket)
 		if errors.Is(t.Lost, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
-			line.What = trace.Gone
+			line.Kind = trace.Gone
 		} else if t.Lost != nil {
 			line.Note = t.Lost.Error()
 		} else {
@@ -74,17 +74,17 @@
 				line.Play = t.Answer.Grant.Play
 			}
 		}
-		p.Tape.Add(line)
+		p.Trace.Add(line)
 	}})
 	defer c.Close()
-	for tries := 0; ctx.Err() == nil && time.Since(began) < v.Watch && tries <= v.Tries; tries++ {
+	for tries := 0; ctx.Err() == nil && time.Since(began) < v.Watch && tries <= v.MaxRetries; tries++ {
 		play, err := c.Ask(ctx, client.Request{Title: v.Title, Product: v.Product.Name, Top: v.Top, Limit: time.Duration(v.Product.LimitMs) * time.Millisecond,
-			Length: v.Watch - time.Since(began), Tries: v.Tries})
+			Length: v.Watch - time.Since(began), Tries: v.MaxRetries})
 		if err != nil {
 			return // its tries are used up
 		}
 		if p.fetchAll(ctx, v, play, began) {
-			p.Tape.Add(trace.Line{What: trace.Leave, Play: play.Grant().Play})
+			p.Trace.Add(trace.Event{Kind: trace.Leave, Play: play.Grant().Play})
 			play.Leave()
 			return
 		}
@@ -92,7 +92,7 @@
 }
 
 // fetchAll fetches segments until the viewer's time is over, or the play is, which it tells with false.
-func (p *Players) fetchAll(ctx context.Context, v *Viewer, play *client.Play, began time.Time) bool {
+func (p *ViewerClients) fetchAll(ctx context.Context, v *Viewer, play *client.Play, began time.Time) bool {
 	fails, away := 0, false
 	for n := 1; time.Since(began) < v.Watch; n++ {
 		g := play.Grant()
--- a/testbed/stand.go
+++ b/testbed/stand.go
@@ -17,21 +17,21 @@
 // the viewers. Each reads the whole day, and plays its part of the script by the common clock.
 
 // StartRack starts the nodes of one rack, to be announced at a list service in another process.
-func (r *Rehearsal) StartRack(rack int, t *trace.Tape) ([]nodes.Line, error) {
+func (r *Rehearsal) StartRack(rack int, t *trace.Recorder) ([]nodes.Line, error) {
 	if _, err := r.prepare(t); err != nil {
 		return nil, err
 	}
-	cells := r.Day.Service.Cells
-	return r.startNodes(func(i int) bool { return i%cells%r.Day.Service.Racks == rack })
+	cells := r.Scenario.Service.Cells
+	return r.startNodes(func(i int) bool { return i%cells%r.Scenario.Service.Racks == rack })
 }
 
 // StartList starts the list service with its nodes; other processes announce theirs to Announce at its
 // address.
-func (r *Rehearsal) StartList(t *trace.Tape, lines []nodes.Line) (addr string, err error) {
+func (r *Rehearsal) StartList(t *trace.Recorder, lines []nodes.Line) (addr string, err error) {
 	if _, err := r.prepare(t); err != nil {
 		return "", err
 	}
-	r.registry = NewRegistry(r.tape, time.Duration(r.Day.ListLateMs)*time.Millisecond)
+	r.registry = NewListService(r.tape, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
 	r.list = r.registry
 	r.registry.Set(lines...)
 	if addr, err = freePort(); err != nil {
@@ -74,7 +74,7 @@
 
 // Script plays this process's part of the script, until all of it is done or the context ends.
 func (r *Rehearsal) Script(ctx context.Context, start time.Time) {
-	for _, f := range r.Day.Faults {
+	for _, f := range r.Scenario.Faults {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); r.inject(ctx, start, f) }()
 	}
@@ -84,26 +84,26 @@
 
 // WatchAll lets the day's viewers come from a start on, and returns when the last answer is in, with the
 // share of segments delivered short.
-func (r *Rehearsal) WatchAll(ctx context.Context, start time.Time, t *trace.Tape, fronts []Reached) (lines []trace.Line, short float64, err error) {
+func (r *Rehearsal) WatchAll(ctx context.Context, start time.Time, t *trace.Recorder, fronts []FrontAddress) (lines []trace.Event, short float64, err error) {
 	if _, err := r.prepare(t); err != nil {
 		return nil, 0, err
 	}
-	players := NewPlayers(&r.Day.Service, t)
+	players := NewViewerClients(&r.Scenario.Service, t)
 	viewers, end := context.WithCancel(ctx)
 	r.crowds(viewers, start)
 	r.arrive(viewers, start, players, fronts)
-	wait(ctx, r.Day.tail())
-	lines = t.Lines()
+	wait(ctx, r.Scenario.tail())
+	lines = t.Events()
 	end()
 	r.wg.Wait()
-	players.Seen.mu.Lock()
-	defer players.Seen.mu.Unlock()
-	return lines, float64(players.Seen.Short) / max(1, float64(players.Seen.Segments)), ctx.Err()
+	players.Counts.mu.Lock()
+	defer players.Counts.mu.Unlock()
+	return lines, float64(players.Counts.Short) / max(1, float64(players.Counts.Segments)), ctx.Err()
 }
 
 // crowds plays the crowds of the script alone.
 func (r *Rehearsal) crowds(ctx context.Context, start time.Time) {
-	for _, f := range r.Day.Faults {
+	for _, f := range r.Scenario.Faults {
 		if f.Do == "crowd" || f.Do == "shift" {
 			r.wg.Add(1)
 			go func() { defer r.wg.Done(); r.inject(ctx, start, f) }()
@@ -112,7 +112,7 @@
 }
 
 // StartFronts starts the day's fronts, told of a list service elsewhere, with the key that the day draws.
-func (r *Rehearsal) StartFronts(ctx context.Context, list string, t *trace.Tape) error {
+func (r *Rehearsal) StartFronts(ctx context.Context, list string, t *trace.Recorder) error {
 	key, err := r.prepare(t)
 	if err != nil {
 		return err
@@ -120,8 +120,8 @@
 	return r.startFronts(ctx, key, list)
 }
 
-// Audit checks the tapes of all processes.
-func (d *Day) Audit(tapes ...[]trace.Line) (*audit.Report, []trace.Line) {
+// Audit checks the traces of all processes.
+func (d *Scenario) Audit(tapes ...[]trace.Event) (*audit.Report, []trace.Event) {
 	all := trace.Merge(tapes...)
 	return audit.Check(&d.Service, all), all
 }
--- a/testbed/trace/trace.go
+++ b/testbed/trace/trace.go
@@ -14,43 +14,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// What a Line tells of.
+// What an Event tells of.
 const (
-	Ask      = "ask"      // a player sent a request: ID, Front, Viewer, Product, Title, LimitMs, Play it had before
-	Answer   = "answer"   // it was answered: ID, Status, Play; Status 0 is no answer, Note says why
-	Gone     = "gone"     // the player went away before an answer: ID
-	Leave    = "leave"    // the player is about to tell its front that it is done: Play
-	SetUp    = "setup"    // a node received a set-up: Node, Front, Play, Try, Product, Title, Rung
-	Started  = "started"  // and answered that it plays
-	Refused  = "refused"  // or that it never ran
-	Errored  = "errored"  // or that it failed
-	Dropped  = "dropped"  // or the front closed the connection first
-	Rung     = "rung"     // a node received a new rung: Node, Front, Play, Product, Rung
-	End      = "end"      // a node received the word to end a play: Node, Front, Play, Try
-	Ended    = "ended"    // a node ended a play by itself: Node, Front, Play
-	Served   = "served"   // a node sent a segment: Node, Play, Rung
-	Load     = "load"     // once a second: Node, Share is what is asked of its link over what it gives, Uplink the same
-	Life     = "life"     // a node's process began: Node; Note is cold or warm
-	Crash    = "crash"    // and ended: Node
-	Fell     = "fell"     // a cold node was pushed over: Node
-	Told     = "told"     // the list service told a front: Front, Node, Note is the phase
-	Killed   = "killed"   // a front was killed: Front
-	Stopped  = "stopped"  // a front's process was stopped: Front
-	Goes     = "goes"     // and goes on
-	Up       = "up"       // a front's process was started: Front
-	Fault    = "fault"    // the script did something: Note
-	Unstream = "unstream" // a node lost or closed the stream to a front: Node, Front
+	Ask          = "ask"      // a player sent a request: ID, Front, Viewer, Product, Title, LimitMs, Play it had before
+	Answer       = "answer"   // it was answered: ID, Status, Play; Status 0 is no answer, Note says why
+	Gone         = "gone"     // the player went away before an answer: ID
+	Leave        = "leave"    // the player is about to tell its front that it is done: Play
+	SetUp        = "setup"    // a node received a set-up: Node, Front, Play, Try, Product, Title, Rung
+	Started      = "started"  // and answered that it plays
+	Refused      = "refused"  // or that it never ran
+	Errored      = "errored"  // or that it failed
+	Dropped      = "dropped"  // or the front closed the connection first
+	Rung         = "rung"     // a node received a new rung: Node, Front, Play, Product, Rung
+	End          = "end"      // a node received the word to end a play: Node, Front, Play, Try
+	Ended        = "ended"    // a node ended a play by itself: Node, Front, Play
+	Served       = "served"   // a node sent a segment: Node, Play, Rung
+	Load         = "load"     // once a second: Node, Share is what is asked of its link over what it gives, Uplink the same
+	Life         = "life"     // a node's process began: Node; Note is cold or warm
+	Crash        = "crash"    // and ended: Node
+	Overloaded   = "fell"     // a cold node was pushed over: Node
+	ListSent     = "told"     // the list service told a front: Front, Node, Note is the phase
+	FrontKilled  = "killed"   // a front was killed: Front
+	FrontStopped = "stopped"  // a front's process was stopped: Front
+	Continued    = "goes"     // and goes on
+	FrontStarted = "up"       // a front's process was started: Front
+	Fault        = "fault"    // the script did something: Note
+	StreamClosed = "unstream" // a node lost or closed the stream to a front: Node, Front
 )
 
-// Line is one thing that passed. T is in microseconds since the tape began.
-type Line struct {
+// Event is one thing that passed. T is in microseconds since the trace began.
+type Event struct {
 	T       int64   `json:"t"`
-	What    string  `json:"what"`
+	Kind    string  `json:"what"`
 	ID      int64   `json:"id,omitempty"`
 	Front   string  `json:"front,omitempty"`
 	Node    string  `json:"node,omitempty"`
 	Play    string  `json:"play,omitempty"`
-	Try     int     `json:"try,omitempty"`
+	Attempt int     `json:"try,omitempty"`
 	Viewer  string  `json:"viewer,omitempty"`
 	Product string  `json:"product,omitempty"`
 	Title   string  `json:"title,omitempty"`
@@ -64,20 +64,22 @@
 	Note    string  `json:"note,omitempty"`
 }
 
-// Tape collects lines of many goroutines in the order of their times.
-type Tape struct {
+// Recorder collects lines of many goroutines in the order of their times.
+type Recorder struct {
 	began time.Time
 	base  time.Duration // what the clock showed then
 	mu    sync.Mutex
-	lines []Line
+	lines []Event
 }
 
-// New starts a tape and its clock.
-func New() *Tape { return &Tape{began: time.Now()} }
+// New starts a trace and its clock.
+func New() *Recorder { return &Recorder{began: time.Now()} }
 
-// NewAt starts a tape whose clock began at a moment of the machine's monotonic clock, so that the tapes of
+// NewAt starts a trace whose clock began at a moment of the machine's monotonic clock, so that the traces of
 // several processes of one machine go by one clock.
-func NewAt(base time.Duration) *Tape { return &Tape{began: time.Now(), base: Monotonic() - base} }
+func NewAt(base time.Duration) *Recorder {
+	return &Recorder{began: time.Now(), base: Monotonic() - base}
+}
 
 // Monotonic reads the machine's monotonic clock.
 func Monotonic() time.Duration {
@@ -89,16 +91,16 @@
 }
 
 // Add records a line, with its time.
-func (t *Tape) Add(l Line) {
+func (t *Recorder) Add(l Event) {
 	t.mu.Lock()
 	l.T = (t.base + time.Since(t.began)).Microseconds()
 	t.lines = append(t.lines, l)
 	t.mu.Unlock()
 }
 
-// Merge puts the lines of several tapes of one clock in the order of their times.
-func Merge(tapes ...[]Line) []Line {
-	var all []Line
+// Merge puts the events of several traces of one clock in the order of their times.
+func Merge(tapes ...[]Event) []Event {
+	var all []Event
 	for _, t := range tapes {
 		all = append(all, t...)
 	}
@@ -106,15 +108,15 @@
 	return all
 }
 
-// Lines is a copy of what was recorded.
-func (t *Tape) Lines() []Line {
+// Events is a copy of what was recorded.
+func (t *Recorder) Events() []Event {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return append([]Line(nil), t.lines...)
+	return append([]Event(nil), t.lines...)
 }
 
 // Write writes lines as JSON, one a line.
-func Write(w io.Writer, lines []Line) error {
+func Write(w io.Writer, lines []Event) error {
 	out := bufio.NewWriter(w)
 	enc := json.NewEncoder(out)
 	for i := range lines {
@@ -126,12 +128,12 @@
 }
 
 // Read reads what Write wrote.
-func Read(r io.Reader) ([]Line, error) {
-	var lines []Line
+func Read(r io.Reader) ([]Event, error) {
+	var lines []Event
 	in := bufio.NewScanner(r)
 	in.Buffer(nil, 1<<20)
 	for n := 1; in.Scan(); n++ {
-		var l Line
+		var l Event
 		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
 			return nil, fmt.Errorf("tape: line %d: %w", n, err)
 		}
