--- a/client/client.go
+++ b/client/client.go
@@ -39,13 +39,13 @@
 	Fronts []string // addresses, host:port; the first one is asked first
 	TLS    bool
 	Viewer string
-	HTTP   *http.Client // nil is http.DefaultClient
-	Trace  func(Trace)  // told of each request and answer, on the client's goroutine; may be nil
+	HTTP   *http.Client   // nil is http.DefaultClient
+	Trace  func(Exchange) // told of each request and answer, on the client's goroutine; may be nil
 	Herd   time.Duration
 }
 
-// Trace is a request or answer as it crossed the socket.
-type Trace struct {
+// Exchange is a request or answer as it crossed the socket.
+type Exchange struct {
 	Ticket, Front string
 	Want          Request // of a request
 	Before        string  // the play that its token names
@@ -56,10 +56,10 @@
 
 // Request is what a viewer asks for. Top below 0 is not told; Limit and Length 0 are not.
 type Request struct {
-	Title, Product string
-	Top            int
-	Limit, Length  time.Duration
-	Tries          int // further tries after a decline or a failure
+	Title, Product  string
+	MaxRung         int
+	Timeout, Length time.Duration
+	MaxRetries      int // further tries after a decline or a failure
 }
 
 // EventKind an event tells.
@@ -74,19 +74,19 @@
 
 // Event is a change of a play.
 type Event struct {
-	Kind  EventKind
-	Grant playapi.Grant // with Rung and Moved
-	Why   string
+	Kind   EventKind
+	Grant  playapi.Grant // with Rung and Moved
+	Reason string
 }
 
 // RefusedError is the error of a request that was answered otherwise than with a play.
 type RefusedError struct {
-	Verdict  string // declined, failed or denied
-	Why      string
-	ComeBack time.Duration
+	Verdict    string // declined, failed or denied
+	Reason     string
+	RetryAfter time.Duration
 }
 
-func (r *RefusedError) Error() string { return r.Verdict + ": " + r.Why }
+func (r *RefusedError) Error() string { return r.Verdict + ": " + r.Reason }
 
 // Why a request or play is over without the front's doing.
 var (
@@ -177,10 +177,10 @@
 	playedBy string
 }
 
-// Ask asks for a play and waits until it plays, is refused for good, or the context ends, which withdraws it. The error of
+// RequestPlay asks for a play and waits until it plays, is refused for good, or the context ends, which withdraws it. The error of
 // a refusal is a *RefusedError.
-func (c *Client) Ask(ctx context.Context, w Request) (*Play, error) {
-	p := &Play{c: c, want: w, first: make(chan error, 1), events: make(chan Event, eventsHeld), tries: w.Tries}
+func (c *Client) RequestPlay(ctx context.Context, w Request) (*Play, error) {
+	p := &Play{c: c, want: w, first: make(chan error, 1), events: make(chan Event, eventsHeld), tries: w.MaxRetries}
 	c.mu.Lock()
 	if c.ctx.Err() != nil {
 		c.mu.Unlock()
@@ -189,7 +189,7 @@
 	for _, o := range c.plays {
 		if o.state <= asked && o.want.Title == w.Title && o.want.Product == w.Product {
 			c.mu.Unlock()
-			return nil, &RefusedError{Verdict: "denied", Why: "the same is being asked for"}
+			return nil, &RefusedError{Verdict: "denied", Reason: "the same is being asked for"}
 		}
 	}
 	c.plays = append(c.plays, p)
@@ -220,8 +220,8 @@
 	return p.grant
 }
 
-// Broken says that the node does not deliver; the play is placed elsewhere, which Moved tells.
-func (p *Play) Broken() {
+// ReportNotDelivered says that the node does not deliver; the play is placed elsewhere, which Moved tells.
+func (p *Play) ReportNotDelivered() {
 	p.c.mu.Lock()
 	if p.state == plays {
 		p.c.say(wsapi.Message{Type: "report", Ticket: p.ticket, Broken: true})
@@ -236,7 +236,7 @@
 	if p.state == asked || p.state == plays {
 		p.c.say(wsapi.Message{Type: "bye", Ticket: p.ticket})
 	}
-	p.c.end(p, Event{Kind: Ended, Why: "left"}, ErrLeft)
+	p.c.end(p, Event{Kind: Ended, Reason: "left"}, ErrLeft)
 	p.c.mu.Unlock()
 	p.c.wake()
 }
@@ -256,7 +256,7 @@
 		return
 	}
 	if p.state == asked {
-		c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: err})
+		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: err})
 	}
 	p.state = closed
 	if !p.ever {
@@ -305,7 +305,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for len(c.plays) > 0 {
-			c.end(c.plays[0], Event{Kind: Ended, Why: "closed"}, ErrClosed)
+			c.end(c.plays[0], Event{Kind: Ended, Reason: "closed"}, ErrClosed)
 		}
 	}()
 	failures := 0
@@ -460,7 +460,7 @@
 			c.say(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor})
 			return
 		}
-		c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: errors.New("its front is gone")})
+		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: errors.New("its front is gone")})
 		p.state, p.askAt = toAsk, time.Now()
 	}
 }
@@ -472,8 +472,8 @@
 	c.out = nil
 	for _, p := range c.plays {
 		if p.state == asked && p.front == at && time.Now().After(p.limitAt) {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: err})
-			c.retry(p, &RefusedError{Verdict: "failed", Why: err.Error()})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: err})
+			c.retry(p, &RefusedError{Verdict: "failed", Reason: err.Error()})
 		}
 	}
 }
@@ -504,21 +504,21 @@
 func (c *Client) ask(p *Play, at int, now time.Time) {
 	p.ticket, p.front, p.state, p.cursor = ticket(), at, asked, 0
 	m := wsapi.Message{Type: "ask", Ticket: p.ticket, Title: p.want.Title, Product: p.want.Product, Viewer: c.o.Viewer,
-		LimitMs: int(p.want.Limit.Milliseconds()), LengthMs: int(p.want.Length.Milliseconds()), Token: p.before, Broken: p.broken && p.before != ""}
-	if p.want.Top >= 0 {
-		top := p.want.Top
+		LimitMs: int(p.want.Timeout.Milliseconds()), LengthMs: int(p.want.Length.Milliseconds()), Token: p.before, Broken: p.broken && p.before != ""}
+	if p.want.MaxRung >= 0 {
+		top := p.want.MaxRung
 		m.Top = &top
 	}
-	limit := p.want.Limit
+	limit := p.want.Timeout
 	if limit == 0 {
 		limit = 30 * time.Second
 	}
 	p.limitAt = now.Add(limit)
-	c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Want: p.want, Before: p.playedBy, Broken: m.Broken})
+	c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Want: p.want, Before: p.playedBy, Broken: m.Broken})
 	c.say(m)
 }
 
-func (c *Client) trace(t Trace) {
+func (c *Client) trace(t Exchange) {
 	if c.o.Trace != nil {
 		c.o.Trace(t)
 	}
@@ -574,11 +574,11 @@
 	switch m.Type {
 	case "answer":
 		if p.state == asked {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &m})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &m})
 		}
 		if m.Grant != nil {
 			moved := p.ever && m.Grant.Play != p.playedBy
-			p.grant, p.state, p.before, p.broken, p.playedBy, p.tries = *m.Grant, plays, "", false, m.Grant.Play, p.want.Tries
+			p.grant, p.state, p.before, p.broken, p.playedBy, p.tries = *m.Grant, plays, "", false, m.Grant.Play, p.want.MaxRetries
 			switch {
 			case !p.ever:
 				p.ever = true
@@ -590,30 +590,30 @@
 			}
 			return
 		}
-		c.retry(p, &RefusedError{Verdict: m.Verdict, Why: m.Why, ComeBack: time.Duration(m.ComeBack) * time.Millisecond})
+		c.retry(p, &RefusedError{Verdict: m.Verdict, Reason: m.Why, RetryAfter: time.Duration(m.ComeBack) * time.Millisecond})
 	case "rung":
 		p.grant = *m.Grant
 		p.emit(Event{Kind: Rung, Grant: p.grant})
 	case "moved":
-		p.emit(Event{Kind: Away, Why: m.Why})
+		p.emit(Event{Kind: Away, Reason: m.Why})
 		p.before, p.state, p.askAt = p.grant.Token, toAsk, time.Now()
 	case "ended":
-		c.end(p, Event{Kind: Ended, Why: m.Why}, &RefusedError{Verdict: "failed", Why: "ended"})
+		c.end(p, Event{Kind: Ended, Reason: m.Why}, &RefusedError{Verdict: "failed", Reason: "ended"})
 	case "taken":
-		c.end(p, Event{Kind: Ended, Why: "taken over by another socket"}, errors.New("client: taken over by another socket"))
+		c.end(p, Event{Kind: Ended, Reason: "taken over by another socket"}, errors.New("client: taken over by another socket"))
 	case "unknown":
 		if p.state == plays { // its front died: another place, by its token
 			p.before = p.grant.Token
-			p.emit(Event{Kind: Away, Why: "its front is gone"})
+			p.emit(Event{Kind: Away, Reason: "its front is gone"})
 		} else if p.state == asked {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: errors.New("its request is not known any more")})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: errors.New("its request is not known any more")})
 		}
 		p.state, p.askAt = toAsk, time.Now()
 	case "error":
 		if p.state == asked {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
 			p.before = "" // a token that is not taken
-			c.retry(p, &RefusedError{Verdict: "denied", Why: m.Why})
+			c.retry(p, &RefusedError{Verdict: "denied", Reason: m.Why})
 		}
 	}
 }
@@ -622,12 +622,12 @@
 func (c *Client) retry(p *Play, r *RefusedError) {
 	p.state = toAsk // answered: nothing is on its way
 	if p.tries--; p.tries < 0 {
-		c.end(p, Event{Kind: Ended, Why: r.Error()}, r)
+		c.end(p, Event{Kind: Ended, Reason: r.Error()}, r)
 		return
 	}
-	pause := drawn(min(pauseMost, pauseLeast<<min(p.want.Tries-p.tries, 8)))
-	if r.ComeBack > 0 {
-		pause = r.ComeBack + time.Duration(mathrand.Float64()*float64(r.ComeBack)/4)
+	pause := drawn(min(pauseMost, pauseLeast<<min(p.want.MaxRetries-p.tries, 8)))
+	if r.RetryAfter > 0 {
+		pause = r.RetryAfter + time.Duration(mathrand.Float64()*float64(r.RetryAfter)/4)
 	}
 	p.askAt = time.Now().Add(pause)
 }
--- a/client/example/main.go
+++ b/client/example/main.go
@@ -40,7 +40,7 @@
 	defer cancel()
 	c := client.New(client.Options{Fronts: a.Front, Viewer: a.Viewer})
 	defer c.Close()
-	play, err := c.Ask(ctx, client.Request{Title: a.Title, Product: a.Product, Top: -1, Tries: 5})
+	play, err := c.RequestPlay(ctx, client.Request{Title: a.Title, Product: a.Product, MaxRung: -1, MaxRetries: 5})
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 				if !ok {
 					return fmt.Errorf("the play ended")
 				}
-				fmt.Println("event", e.Kind, e.Why, len(e.Grant.Rungs), "rungs")
+				fmt.Println("event", e.Kind, e.Reason, len(e.Grant.Rungs), "rungs")
 			case <-tick:
 				break wait
 			case <-ctx.Done():
--- a/client/manifest.go
+++ b/client/manifest.go
@@ -18,11 +18,11 @@
 // FirstManifest is the address of a title's manifest at a front, for a first request.
 func FirstManifest(scheme, front, viewer string, w Request) string {
 	q := url.Values{"product": {w.Product}, "viewer": {viewer}}
-	if w.Top >= 0 {
-		q.Set("top", strconv.Itoa(w.Top))
+	if w.MaxRung >= 0 {
+		q.Set("top", strconv.Itoa(w.MaxRung))
 	}
-	if w.Limit > 0 {
-		q.Set("limit_ms", strconv.FormatInt(w.Limit.Milliseconds(), 10))
+	if w.Timeout > 0 {
+		q.Set("limit_ms", strconv.FormatInt(w.Timeout.Milliseconds(), 10))
 	}
 	if w.Length > 0 {
 		q.Set("length_ms", strconv.FormatInt(w.Length.Milliseconds(), 10))
@@ -32,11 +32,11 @@
 
 // ManifestAnswer is what a request for a manifest came to.
 type ManifestAnswer struct {
-	Status   int
-	Play     string
-	Why      string        // of a refusal, or what is wrong with the answer
-	ComeBack time.Duration // advice; 0 is none
-	Manifest dash.Manifest // with Status 200; its Location is absolute
+	Status     int
+	Play       string
+	Reason     string        // of a refusal, or what is wrong with the answer
+	RetryAfter time.Duration // advice; 0 is none
+	Manifest   dash.Manifest // with Status 200; its Location is absolute
 }
 
 // Manifest asks for a manifest once. The error says that no answer came; an answer that is no manifest comes with Status 0.
@@ -55,13 +55,13 @@
 		return ManifestAnswer{}, err
 	}
 	a := ManifestAnswer{Status: resp.StatusCode, Play: resp.Header.Get(dash.PlayHeader)}
-	a.ComeBack = comeBack(resp.Header)
+	a.RetryAfter = comeBack(resp.Header)
 	if resp.StatusCode != http.StatusOK {
-		a.Why = strings.TrimSpace(string(body))
+		a.Reason = strings.TrimSpace(string(body))
 		return a, nil
 	}
 	if a.Manifest, err = dash.Decode(body); err != nil {
-		return ManifestAnswer{Why: err.Error()}, nil
+		return ManifestAnswer{Reason: err.Error()}, nil
 	}
 	if loc, err := resp.Request.URL.Parse(a.Manifest.Location); err == nil {
 		a.Manifest.Location = loc.String()
--- a/cmd/gullrail/compare.go
+++ b/cmd/gullrail/compare.go
@@ -50,7 +50,7 @@
 	fmt.Printf("A: %s, %s; B: %s, %s (simulated)\n", v.A, v.ModuleA, v.B, v.ModuleB)
 	broken := 0
 	for _, p := range pairs {
-		for _, s := range p.Broken {
+		for _, s := range p.BrokenRules {
 			fmt.Println("  " + s)
 			broken++
 		}
--- a/cmd/gullrail/fleet.go
+++ b/cmd/gullrail/fleet.go
@@ -47,7 +47,7 @@
 }
 
 func used(n frontend.FleetNode) string {
-	if n.Use {
+	if n.Usable {
 		return "used"
 	}
 	return "not used"
@@ -70,11 +70,11 @@
 	fmt.Fprintln(w, "node\taddress\tphase\t\tin touch\tby\tage\twhy")
 	n := 0
 	for _, x := range all {
-		if x.Use {
+		if x.Usable {
 			n++
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%v\t%s\n", x.Name, x.Address, x.Phase, used(x), x.Alive, x.By,
-			(time.Duration(x.AgeMs) * time.Millisecond).Round(time.Second), x.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%v\t%s\n", x.Name, x.Address, x.Phase, used(x), x.Alive, x.Source,
+			(time.Duration(x.AgeMs) * time.Millisecond).Round(time.Second), x.Reason)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -102,9 +102,9 @@
 			touch = "its stream is not open"
 		}
 		fmt.Printf("%s at %s, zone %s, kind %s, cell %d, weight %v\n", x.Name, x.Address, x.Zone, x.Kind, x.Cell, x.Weight)
-		fmt.Printf("  %s, %s: by the %s, %v ago; %s\n", x.Phase, used(x), x.By, (time.Duration(x.AgeMs) * time.Millisecond).Round(time.Second), touch)
-		if x.Why != "" {
-			fmt.Printf("  %s\n", x.Why)
+		fmt.Printf("  %s, %s: by the %s, %v ago; %s\n", x.Phase, used(x), x.Source, (time.Duration(x.AgeMs) * time.Millisecond).Round(time.Second), touch)
+		if x.Reason != "" {
+			fmt.Printf("  %s\n", x.Reason)
 		}
 		return nil
 	}
@@ -142,7 +142,7 @@
 			tell(x.Name, "%s knows it (%s), %s does not", v.A, x.Phase, v.B)
 		case ok && x.Address != y.Address:
 			tell(x.Name, "at %s by %s, at %s by %s", x.Address, v.A, y.Address, v.B)
-		case ok && (x.Phase != y.Phase || x.Use != y.Use):
+		case ok && (x.Phase != y.Phase || x.Usable != y.Usable):
 			tell(x.Name, "%s and %s by %s, %s and %s by %s", x.Phase, used(x), v.A, y.Phase, used(y), v.B)
 		}
 	}
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -294,8 +294,8 @@
 		}
 		rules := "kept"
 		for i, r := range out.Report.Rules {
-			if len(r.Breaks) > 0 {
-				rules = fmt.Sprintf("rule %d BROKEN: %s", i+1, r.Breaks[0])
+			if len(r.Violations) > 0 {
+				rules = fmt.Sprintf("rule %d BROKEN: %s", i+1, r.Violations[0])
 				broken++
 				break
 			}
--- a/cmd/gullrail/load.go
+++ b/cmd/gullrail/load.go
@@ -43,7 +43,7 @@
 	fmt.Printf("%d fronts, %d nodes (loopback, all on this machine)\n", day.Service.Fronts, day.Nodes)
 	fmt.Println("   rate    asked    plays declined   failed   broken  p50 ms  p99 ms p99.9 ms   max ms  allocs/req  kB/req  cpu us/req  core us/req  goroutines  heap MB")
 	for i, rate := range v.Rate {
-		l := &testbed.Load{Scenario: day, Fronts: run.Fronts(), Rate: rate, For: v.For, Hold: v.Hold, Name: fmt.Sprint("load", i)}
+		l := &testbed.Load{Scenario: day, Fronts: run.Fronts(), Rate: rate, For: v.For, PlayTime: v.Hold, Name: fmt.Sprint("load", i)}
 		res, err := l.Run(ctx)
 		if err != nil {
 			return err
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -59,7 +59,7 @@
 		return wrong{err}
 	}
 	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", set.Name).Logger()
-	claim, err := frontend.NewClaim(set.State)
+	claim, err := frontend.LockFolder(set.State)
 	if err != nil {
 		return err
 	}
@@ -267,7 +267,7 @@
 			P99   int64   `json:"first_frame_p99_ms"`
 			Short float64 `json:"segments_short"`
 			Kept  bool    `json:"rules_kept"`
-		}{r, p50, p99, short, r.Kept()}); err != nil {
+		}{r, p50, p99, short, r.RulesKept()}); err != nil {
 			return err
 		}
 	} else {
@@ -278,7 +278,7 @@
 		row("declined", r.Declined)
 		row("failed", r.Failed)
 		row("denied", r.Denied)
-		row("cut by a front's end", r.Cut)
+		row("cut by a front's end", r.Interrupted)
 		row("answers to a request, most", r.MostAnswers)
 		row("allocations doubled", r.Doubled)
 		row("further allocations", r.Retried)
@@ -291,11 +291,11 @@
 		row("service", fmt.Sprintf("%.3f", r.Service))
 		for i, x := range r.Rules {
 			verdict := "kept"
-			if n := len(x.Breaks); n > 0 {
+			if n := len(x.Violations); n > 0 {
 				verdict = fmt.Sprintf("BROKEN %d times", n)
 			}
 			row(fmt.Sprintf("rule %d, %s", i+1, x.Name), verdict)
-			for _, b := range x.Breaks[:min(5, len(x.Breaks))] {
+			for _, b := range x.Violations[:min(5, len(x.Violations))] {
 				fmt.Println("      " + b)
 			}
 		}
@@ -303,7 +303,7 @@
 			row("took", took.Round(100*time.Millisecond))
 		}
 	}
-	if !r.Kept() {
+	if !r.RulesKept() {
 		return fmt.Errorf("a rule is broken")
 	}
 	return nil
--- a/config/doc.go
+++ b/config/doc.go
@@ -15,17 +15,17 @@
 
 // Problem is one thing wrong in a file.
 type Problem struct {
-	File  string
-	Line  int
-	Field string
-	What  string
+	File    string
+	Line    int
+	Field   string
+	Message string
 }
 
 func (m Problem) String() string {
 	if m.Field == "" {
-		return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.What)
+		return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", m.File, m.Line, m.Field, m.What)
+	return fmt.Sprintf("%s:%d: %s: %s", m.File, m.Line, m.Field, m.Message)
 }
 
 // Problems is an error that lists them all, a line each.
@@ -96,8 +96,8 @@
 	return d.mistakes
 }
 
-// Wrong notes a mistake at a value.
-func (v Value) Wrong(format string, args ...any) {
+// Report notes a mistake at a value.
+func (v Value) Report(format string, args ...any) {
 	line := 1 + strings.Count(string(v.doc.text[:min(v.at, len(v.doc.text))]), "\n")
 	v.doc.mistakes = append(v.doc.mistakes, Problem{v.doc.file, line, v.field, fmt.Sprintf(format, args...)})
 }
@@ -134,13 +134,13 @@
 // Object checks that the value is an object, if it is given or required.
 func (v Value) Object(required bool) Value {
 	if _, ok := v.val.(*hujson.Object); !ok && (required || v.Given()) {
-		v.Wrong("an object is needed here")
+		v.Report("an object is needed here")
 	}
 	return v
 }
 
-// Done notes each field of the object that nobody asked for, and each given twice.
-func (v Value) Done() {
+// RejectUnknown notes each field of the object that nobody asked for, and each given twice.
+func (v Value) RejectUnknown() {
 	obj, ok := v.val.(*hujson.Object)
 	if !ok {
 		return
@@ -153,9 +153,9 @@
 		at.at = obj.Members[i].Name.StartOffset
 		at.field = strings.TrimPrefix(v.field+"."+name, ".")
 		if !v.known[name] {
-			at.Wrong("no such field")
+			at.Report("no such field")
 		} else if seen[name] {
-			at.Wrong("given twice")
+			at.Report("given twice")
 		}
 		seen[name] = true
 	}
@@ -166,7 +166,7 @@
 	arr, ok := v.val.(*hujson.Array)
 	if !ok || required && len(arr.Elements) == 0 {
 		if required || v.Given() && !ok {
-			v.Wrong("a list is needed here")
+			v.Report("a list is needed here")
 		}
 		return nil
 	}
@@ -187,7 +187,7 @@
 func (v Value) Text() string {
 	lit, ok := v.literal('"')
 	if !ok || lit.String() == "" {
-		v.Wrong("a text is needed here")
+		v.Report("a text is needed here")
 		return ""
 	}
 	return lit.String()
@@ -206,7 +206,7 @@
 	lit, ok := v.literal('0')
 	x := lit.Float()
 	if !ok || math.IsNaN(x) || x < least || x > most {
-		v.Wrong("a number from %v to %v is needed here", least, most)
+		v.Report("a number from %v to %v is needed here", least, most)
 		return least
 	}
 	return x
@@ -220,21 +220,21 @@
 	return v.Number(least, most)
 }
 
-// Whole reads a whole number from least to most.
-func (v Value) Whole(least, most int) int {
+// Int reads a whole number from least to most.
+func (v Value) Int(least, most int) int {
 	x := v.Number(float64(least), float64(most))
 	if x != math.Trunc(x) {
-		v.Wrong("a whole number is needed here")
+		v.Report("a whole number is needed here")
 	}
 	return int(x)
 }
 
-// WholeOr is Whole, or a default where nothing is given.
-func (v Value) WholeOr(or, least, most int) int {
+// IntOr is Int, or a default where nothing is given.
+func (v Value) IntOr(or, least, most int) int {
 	if !v.Given() {
 		return or
 	}
-	return v.Whole(least, most)
+	return v.Int(least, most)
 }
 
 // BoolOr reads true or false, or a default where nothing is given.
@@ -246,7 +246,7 @@
 		return true
 	}
 	if _, ok := v.literal('f'); !ok {
-		v.Wrong("true or false is needed here")
+		v.Report("true or false is needed here")
 	}
 	return false
 }
@@ -260,7 +260,7 @@
 		}
 	}
 	if got != "" {
-		v.Wrong("%.40q is none of %s", got, strings.Join(words, ", "))
+		v.Report("%.40q is none of %s", got, strings.Join(words, ", "))
 	}
 	return words[0]
 }
--- a/config/service.go
+++ b/config/service.go
@@ -15,52 +15,52 @@
 	LimitMs    float64 // time limit
 	Rate       float64 // its rates over those of the ladder
 	Paid       bool    // set up at most once
-	Floor      int     // lowest rung
-	Top        int     // highest rung
+	MinRung    int     // lowest rung
+	MaxRung    int     // highest rung
 	Live       bool    // its titles are live: viewers may share a stream
-	Seats      int     // plays of one title that a front holds at most; 0 is no cap
+	MaxSeats   int     // plays of one title that a front holds at most; 0 is no cap
 }
 
 // Title is a title and the cells that hold it.
 type Title struct {
-	Name   string
-	Home   int
-	Copies int
-	Length float64 // seconds; 0 is not told
+	Name      string
+	FirstCell int
+	CellCount int
+	Length    float64 // seconds; 0 is not told
 }
 
 // Service is what all fronts of a deployment share: its plays, its nodes, its rules.
 type Service struct {
-	RatesKB   []float64 // the ladder, kB a second
-	Worth     []float64 // what each rung earns
-	SegmentMs float64   // length of a media segment
-	SwitchS   float64   // a change of rung costs so many seconds of importance
-	Products  []Product
-	Titles    []Title
-	Cells     int
-	Racks     int
-	Kinds     []Kind
-	Zones     []string
-	WeightKB  float64 // link of a node of weight 1, kB a second
-	UplinkKB  float64 // mean uplink of a rack; 0 is not told
-	Fronts    int
-	Reports   string // how nodes tell their load: probe, answers or none
-	Uplinks   bool   // reports tell the uplink too
-	NoteLagMs float64
-	JoinAdds  float64 // part of its rate that a further viewer of a live stream adds; 1 is nothing shared
-	Tries     int     // allocations of one play at most
-
-	ColdShare, ColdLastsMs, FallMultiple, FallOverMs, DrainGraceMs float64
-
-	BudgetFree, BudgetShare, BudgetOverMs, ComeBackMostMs float64
+	RatesKB           []float64 // the ladder, kB a second
+	RungWorth         []float64 // what each rung earns
+	SegmentMs         float64   // length of a media segment
+	SwitchSeconds     float64   // a change of rung costs so many seconds of importance
+	Products          []Product
+	Titles            []Title
+	Cells             int
+	Racks             int
+	Kinds             []Kind
+	Zones             []string
+	WeightKB          float64 // link of a node of weight 1, kB a second
+	UplinkKB          float64 // mean uplink of a rack; 0 is not told
+	Fronts            int
+	Reports           string // how nodes tell their load: probe, answers or none
+	Uplinks           bool   // reports tell the uplink too
+	ReportDelayMs     float64
+	SharedStreamShare float64 // part of its rate that a further viewer of a live stream adds; 1 is nothing shared
+	MaxAttempts       int     // allocations of one play at most
+
+	ColdShare, ColdDurationMs, FallMultiple, FallOverMs, DrainGraceMs float64
+
+	BudgetFree, BudgetShare, BudgetWindowMs, MaxRetryAfterMs float64
 
 	titleAt map[string]int
 }
 
 // Kind is a kind of machine.
 type Kind struct {
-	Name    string
-	Streams int // plays that it runs at most
+	Name       string
+	MaxStreams int // plays that it runs at most
 }
 
 const (
@@ -71,26 +71,26 @@
 // ReadService reads and checks a service.
 func ReadService(v Value) Service {
 	v.Object(true)
-	s := Service{RatesKB: v.At("rates_kb").Numbers(0.001, mostNumber), Worth: v.At("worth").Numbers(0, 1e6),
-		SegmentMs: v.At("segment_ms").NumberOr(2000, 100, 60000),
-		SwitchS:   v.At("switch_s").NumberOr(0, 0, 3600), Cells: v.At("cells").Whole(1, 1<<20),
-		Racks: v.At("racks").Whole(1, 1<<20), WeightKB: v.At("link_kb").Number(0.001, mostNumber),
-		UplinkKB: v.At("uplink_kb").NumberOr(0, 0, mostNumber), Fronts: v.At("fronts").Whole(1, 1<<20),
-		Tries: v.At("tries").WholeOr(4, 1, 100), ComeBackMostMs: v.At("come_back_ms").NumberOr(1000, 0, mostMs),
-		JoinAdds: v.At("join_adds").NumberOr(1, 0.001, 1)}
-	if len(s.Worth) != len(s.RatesKB) {
-		v.At("worth").Wrong("%d rungs have a worth, %d a rate", len(s.Worth), len(s.RatesKB))
+	s := Service{RatesKB: v.At("rates_kb").Numbers(0.001, mostNumber), RungWorth: v.At("worth").Numbers(0, 1e6),
+		SegmentMs:     v.At("segment_ms").NumberOr(2000, 100, 60000),
+		SwitchSeconds: v.At("switch_s").NumberOr(0, 0, 3600), Cells: v.At("cells").Int(1, 1<<20),
+		Racks: v.At("racks").Int(1, 1<<20), WeightKB: v.At("link_kb").Number(0.001, mostNumber),
+		UplinkKB: v.At("uplink_kb").NumberOr(0, 0, mostNumber), Fronts: v.At("fronts").Int(1, 1<<20),
+		MaxAttempts: v.At("tries").IntOr(4, 1, 100), MaxRetryAfterMs: v.At("come_back_ms").NumberOr(1000, 0, mostMs),
+		SharedStreamShare: v.At("join_adds").NumberOr(1, 0.001, 1)}
+	if len(s.RungWorth) != len(s.RatesKB) {
+		v.At("worth").Report("%d rungs have a worth, %d a rate", len(s.RungWorth), len(s.RatesKB))
 	}
 	for i := 1; i < len(s.RatesKB); i++ {
 		if s.RatesKB[i] <= s.RatesKB[i-1] {
-			v.At("rates_kb").Wrong("rung %d is no higher than the one below it", i)
+			v.At("rates_kb").Report("rung %d is no higher than the one below it", i)
 		}
 	}
 	names := map[string]bool{}
 	for _, e := range v.At("kinds").List(true) {
 		e.Object(true)
-		s.Kinds = append(s.Kinds, Kind{unique(names, e.At("name")), e.At("streams").Whole(1, 1<<20)})
-		e.Done()
+		s.Kinds = append(s.Kinds, Kind{unique(names, e.At("name")), e.At("streams").Int(1, 1<<20)})
+		e.RejectUnknown()
 	}
 	names = map[string]bool{}
 	for _, e := range v.At("zones").List(true) {
@@ -103,9 +103,9 @@
 	names = map[string]bool{}
 	for _, e := range v.At("titles").List(true) {
 		e.Object(true)
-		s.Titles = append(s.Titles, Title{unique(names, e.At("name")), e.At("home").Whole(0, max(0, s.Cells-1)),
-			e.At("copies").Whole(1, max(1, s.Cells)), e.At("seconds").NumberOr(0, 0, 86400)})
-		e.Done()
+		s.Titles = append(s.Titles, Title{unique(names, e.At("name")), e.At("home").Int(0, max(0, s.Cells-1)),
+			e.At("copies").Int(1, max(1, s.Cells)), e.At("seconds").NumberOr(0, 0, 86400)})
+		e.RejectUnknown()
 	}
 	s.titleAt = make(map[string]int, len(s.Titles))
 	for i, t := range s.Titles {
@@ -114,20 +114,20 @@
 	r := v.At("reports").Object(true)
 	s.Reports = r.At("how").Choice("probe", "answers", "none")
 	s.Uplinks = r.At("uplinks").BoolOr(false)
-	s.NoteLagMs = r.At("note_lag_ms").NumberOr(1000, 0, mostMs)
-	r.Done()
+	s.ReportDelayMs = r.At("note_lag_ms").NumberOr(1000, 0, mostMs)
+	r.RejectUnknown()
 	r = v.At("rules").Object(true)
-	s.ColdShare, s.ColdLastsMs = r.At("cold_share").Number(0.001, 1), r.At("cold_lasts_ms").Number(1, mostMs)
+	s.ColdShare, s.ColdDurationMs = r.At("cold_share").Number(0.001, 1), r.At("cold_lasts_ms").Number(1, mostMs)
 	s.FallMultiple, s.FallOverMs = r.At("fall_multiple").Number(0.1, 1000), r.At("fall_over_ms").Number(1, mostMs)
 	s.DrainGraceMs = r.At("drain_grace_ms").Number(0, mostMs)
 	if b := r.At("budget"); b.Given() {
 		b.Object(true)
 		s.BudgetFree, s.BudgetShare = b.At("free").Number(0, 1e6), b.At("share").Number(0, 1000)
-		s.BudgetOverMs = b.At("over_ms").Number(1, mostMs)
-		b.Done()
+		s.BudgetWindowMs = b.At("over_ms").Number(1, mostMs)
+		b.RejectUnknown()
 	}
-	r.Done()
-	v.Done()
+	r.RejectUnknown()
+	v.RejectUnknown()
 	return s
 }
 
@@ -136,23 +136,23 @@
 	p := Product{Name: unique(names, e.At("name")), Importance: e.At("importance").Number(0.001, 1e6),
 		TargetMs: e.At("target_ms").Number(1, mostMs), LimitMs: e.At("limit_ms").Number(1, mostMs),
 		Rate: e.At("rate").NumberOr(1, 0.001, 1000), Paid: e.At("paid").BoolOr(false),
-		Floor: e.At("floor").WholeOr(0, 0, max(0, rungs-1)), Top: e.At("top").WholeOr(max(0, rungs-1), 0, max(0, rungs-1)),
-		Live:  e.At("live").BoolOr(false),
-		Seats: e.At("seats").WholeOr(0, 0, 1<<20)}
-	if p.Top < p.Floor {
-		e.At("top").Wrong("lies under the floor")
+		MinRung: e.At("floor").IntOr(0, 0, max(0, rungs-1)), MaxRung: e.At("top").IntOr(max(0, rungs-1), 0, max(0, rungs-1)),
+		Live:     e.At("live").BoolOr(false),
+		MaxSeats: e.At("seats").IntOr(0, 0, 1<<20)}
+	if p.MaxRung < p.MinRung {
+		e.At("top").Report("lies under the floor")
 	}
 	if p.LimitMs < p.TargetMs {
-		e.At("limit_ms").Wrong("is shorter than the first-frame target")
+		e.At("limit_ms").Report("is shorter than the first-frame target")
 	}
-	e.Done()
+	e.RejectUnknown()
 	return p
 }
 
 func unique(seen map[string]bool, v Value) string {
 	s := v.Text()
 	if s != "" && seen[s] {
-		v.Wrong("%.40q stands twice", s)
+		v.Report("%.40q stands twice", s)
 	}
 	seen[s] = true
 	return s
@@ -169,18 +169,18 @@
 		return one(0)
 	}
 	out := map[string][]float64{"fronts": one(float64(s.Fronts)), "front": one(float64(front)),
-		"cells": one(float64(s.Cells)), "racks": one(float64(s.Racks)), "rung.rate": s.RatesKB, "rung.worth": s.Worth,
+		"cells": one(float64(s.Cells)), "racks": one(float64(s.Racks)), "rung.rate": s.RatesKB, "rung.worth": s.RungWorth,
 		"weight.rate": one(s.WeightKB), "uplink.rate": one(s.UplinkKB), "reports.uplink": yes(s.Uplinks && s.Reports != "none"),
-		"note.lag": one(s.NoteLagMs * 10), "switch.seconds": one(s.SwitchS), "tries": one(float64(s.Tries)),
-		"probing": yes(s.Reports == "probe"), "recall": one(1), "comeback": yes(s.ComeBackMostMs > 0),
-		"comeback.most": one(s.ComeBackMostMs * 10), "cold.share": one(s.ColdShare), "cold.lasts": one(s.ColdLastsMs * 10),
+		"note.lag": one(s.ReportDelayMs * 10), "switch.seconds": one(s.SwitchSeconds), "tries": one(float64(s.MaxAttempts)),
+		"probing": yes(s.Reports == "probe"), "recall": one(1), "comeback": yes(s.MaxRetryAfterMs > 0),
+		"comeback.most": one(s.MaxRetryAfterMs * 10), "cold.share": one(s.ColdShare), "cold.lasts": one(s.ColdDurationMs * 10),
 		"fall.multiple": one(s.FallMultiple), "fall.over": one(s.FallOverMs * 10)}
-	if s.BudgetOverMs > 0 {
+	if s.BudgetWindowMs > 0 {
 		out["budget.free"], out["budget.share"] = one(s.BudgetFree), one(s.BudgetShare)
-		out["budget.over"] = one(s.BudgetOverMs * 10)
+		out["budget.over"] = one(s.BudgetWindowMs * 10)
 	}
 	for _, k := range s.Kinds {
-		out["kind.streams"] = append(out["kind.streams"], float64(k.Streams))
+		out["kind.streams"] = append(out["kind.streams"], float64(k.MaxStreams))
 	}
 	for i, z := range s.Zones {
 		if z == zone {
@@ -191,14 +191,14 @@
 		add := func(name string, x float64) { out["product."+name] = append(out["product."+name], x) }
 		add("rate", p.Rate)
 		add("paid", yes(p.Paid)[0])
-		add("floor", float64(p.Floor))
-		add("top", float64(p.Top))
-		add("seats", float64(p.Seats))
+		add("floor", float64(p.MinRung))
+		add("top", float64(p.MaxRung))
+		add("seats", float64(p.MaxSeats))
 		add("importance", p.Importance)
 		add("target", p.TargetMs*10)
 	}
-	if s.JoinAdds < 1 { // else nothing is shared, and the module's settings stay as they were
-		out["join"] = one(s.JoinAdds)
+	if s.SharedStreamShare < 1 { // else nothing is shared, and the module's settings stay as they were
+		out["join"] = one(s.SharedStreamShare)
 		for _, p := range s.Products {
 			out["product.live"] = append(out["product.live"], yes(p.Live)...)
 		}
@@ -236,7 +236,7 @@
 // Title tells which cells hold a title.
 func (s *Service) Title(name string) (home, copies int, ok bool) {
 	t, ok := s.Lookup(name)
-	return t.Home, t.Copies, ok
+	return t.FirstCell, t.CellCount, ok
 }
 
 // Lookup finds a title by its name.
@@ -250,25 +250,25 @@
 
 // Front is the settings of one front end.
 type Front struct {
-	Name    string
-	Number  int
-	Zone    string
-	Listen  string // host:port
-	ListURL string // of the list service
-	Seed    uint64
-	Log     string // level
-	Waiting int    // requests that wait at most
-	Sockets int    // connections of players at most
-	TokenMs float64
-	Cert    string // files of the certificate shown to players and its key; empty speaks plainly
-	CertKey string
-	NodesCA string  // file of the authorities that vouch for nodes; empty speaks plainly to them
-	State   string  // folder for what outlives the process; empty is none
-	EndMs   float64 // an orderly end takes no longer
-	Retire  bool    // at its end it lets its plays go, as nobody takes its place
-	Keys    []Key
-	Peers   Peers
-	Service Service
+	Name         string
+	Number       int
+	Zone         string
+	Listen       string // host:port
+	ListURL      string // of the list service
+	Seed         uint64
+	Log          string // level
+	MaxWaiting   int    // requests that wait at most
+	MaxSockets   int    // connections of players at most
+	TokenMs      float64
+	Cert         string // files of the certificate shown to players and its key; empty speaks plainly
+	CertKey      string
+	NodesCA      string  // file of the authorities that vouch for nodes; empty speaks plainly to them
+	State        string  // folder for what outlives the process; empty is none
+	ShutdownMs   float64 // an orderly end takes no longer
+	ReleasePlays bool    // at its end it lets its plays go, as nobody takes its place
+	Keys         []Key
+	Peers        Peers
+	Service      Service
 }
 
 // Peers is how a front reaches the others for messages; without a listening address it sends and hears none.
@@ -317,40 +317,40 @@
 	v.Object(true)
 	f := Front{Service: ReadService(v.At("service"))}
 	e := v.At("front").Object(true)
-	f.Name, f.Number = e.At("name").Text(), e.At("number").Whole(0, 1<<20)
+	f.Name, f.Number = e.At("name").Text(), e.At("number").Int(0, 1<<20)
 	if f.Number >= f.Service.Fronts {
-		e.At("number").Wrong("fronts are numbered from 0 and service.fronts is %d", f.Service.Fronts)
+		e.At("number").Report("fronts are numbered from 0 and service.fronts is %d", f.Service.Fronts)
 	}
 	f.Zone = e.At("zone").Choice(append([]string{}, orOne(f.Service.Zones)...)...)
 	f.Listen = Address(e.At("listen"))
-	f.Seed = uint64(e.At("seed").WholeOr(1, 0, 1<<53))
+	f.Seed = uint64(e.At("seed").IntOr(1, 0, 1<<53))
 	f.Log = e.At("log").Choice("info", "debug", "warn", "error")
-	f.Waiting, f.Sockets = e.At("waiting").WholeOr(256, 1, 1<<20), e.At("sockets").WholeOr(8192, 1, 1<<20)
+	f.MaxWaiting, f.MaxSockets = e.At("waiting").IntOr(256, 1, 1<<20), e.At("sockets").IntOr(8192, 1, 1<<20)
 	f.TokenMs = e.At("token_ms").NumberOr(600_000, 1000, 24*mostMs)
-	f.State, f.EndMs = e.At("state").TextOr(""), e.At("end_within_ms").NumberOr(max(1000, f.Service.LongestMs()), 100, mostMs)
-	f.Retire = e.At("retire").BoolOr(false)
+	f.State, f.ShutdownMs = e.At("state").TextOr(""), e.At("end_within_ms").NumberOr(max(1000, f.Service.LongestMs()), 100, mostMs)
+	f.ReleasePlays = e.At("retire").BoolOr(false)
 	if t := e.At("tls"); t.Given() {
 		t.Object(true)
 		f.Cert, f.CertKey = t.At("cert").Text(), t.At("key").Text()
-		t.Done()
+		t.RejectUnknown()
 	}
 	if t := e.At("nodes_tls"); t.Given() {
 		t.Object(true)
 		f.NodesCA = t.At("ca").Text()
-		t.Done()
+		t.RejectUnknown()
 	}
 	if p := e.At("peers"); p.Given() {
 		f.Peers = readPeers(p, f.Service.Fronts)
 	}
-	e.Done()
+	e.RejectUnknown()
 	l := v.At("list").Object(true)
 	f.ListURL = l.At("url").Text()
 	if u, err := url.Parse(f.ListURL); f.ListURL != "" && (err != nil || u.Scheme != "http" || u.Host == "") {
-		l.At("url").Wrong("%.60q is no http address", f.ListURL)
+		l.At("url").Report("%.60q is no http address", f.ListURL)
 	}
-	l.Done()
+	l.RejectUnknown()
 	f.Keys = ReadKeys(v.At("keys"))
-	v.Done()
+	v.RejectUnknown()
 	return f, doc.Err()
 }
 
@@ -362,13 +362,13 @@
 		p.Fronts = append(p.Fronts, Address(e))
 	}
 	if fronts > 1<<16 {
-		list.Wrong("messages number 65536 fronts at most")
+		list.Report("messages number 65536 fronts at most")
 	}
 	if len(p.Fronts) != fronts {
-		list.Wrong("%d addresses for %d fronts", len(p.Fronts), fronts)
+		list.Report("%d addresses for %d fronts", len(p.Fronts), fronts)
 	}
 	p.Secret = bytes32(v.At("secret"))
-	v.Done()
+	v.RejectUnknown()
 	return p
 }
 
@@ -383,7 +383,7 @@
 func Address(v Value) string {
 	s := v.Text()
 	if _, _, err := net.SplitHostPort(s); s != "" && err != nil {
-		v.Wrong("%.60q is not host:port", s)
+		v.Report("%.60q is not host:port", s)
 	}
 	return s
 }
@@ -392,7 +392,7 @@
 func bytes32(v Value) []byte {
 	b, err := base64.StdEncoding.DecodeString(v.Text())
 	if err != nil || len(b) != 32 {
-		v.Wrong("32 bytes in base64 are needed here")
+		v.Report("32 bytes in base64 are needed here")
 		return nil
 	}
 	return b
@@ -410,7 +410,7 @@
 				k.Public = ed25519.NewKeyFromSeed(k.Seed).Public().(ed25519.PublicKey)
 			}
 		} else if k.Signs {
-			e.At("seed").Wrong("the key that signs needs it")
+			e.At("seed").Report("the key that signs needs it")
 		} else {
 			k.Public = bytes32(e.At("public"))
 		}
@@ -418,11 +418,11 @@
 		if k.Signs {
 			signing++
 		}
-		e.Done()
+		e.RejectUnknown()
 		keys = append(keys, k)
 	}
 	if signing != 1 && len(keys) > 0 {
-		v.Wrong("exactly one key signs, not %d", signing)
+		v.Report("exactly one key signs, not %d", signing)
 	}
 	return keys
 }
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -173,9 +173,9 @@
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Phase   string  `json:"phase"` // what it may be given: ready, draining (nothing new) or gone
-	Use     bool    `json:"use"`   // it may be given new plays
-	Why     string  `json:"why,omitempty"`
-	By      string  `json:"by"` // whose word
+	Usable  bool    `json:"use"`   // it may be given new plays
+	Reason  string  `json:"why,omitempty"`
+	Source  string  `json:"by"` // whose word
 	AgeMs   int64   `json:"age_ms"`
 	Alive   bool    `json:"alive"` // its stream is open
 	Zone    string  `json:"zone"`
@@ -193,7 +193,7 @@
 		out := []FleetNode{}
 		for _, b := range all {
 			l := nodes.FormatLine(b.Entry, &f.set.Service)
-			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Use: b.Usable, Why: b.Reason, By: b.Source.String(),
+			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Usable: b.Usable, Reason: b.Reason, Source: b.Source.String(),
 				AgeMs: b.Age / decision.Millisecond, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -70,13 +70,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("front %s: %w", set.Name, err)
 	}
-	listen = netutil.LimitListener(listen, set.Sockets)
+	listen = netutil.LimitListener(listen, set.MaxSockets)
 	if shown != nil {
 		listen = tls.NewListener(listen, &tls.Config{GetCertificate: shown.get, MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}})
 	}
 	clock := session.NewClock()
 	seed := set.Seed + uint64(set.Number)*1_000_003 // fronts that share a settings file still draw apart
-	f := &Front{set: set, log: log, listen: listen, runner: session.NewRunner(clock, admission.New(set.Waiting, seed))}
+	f := &Front{set: set, log: log, listen: listen, runner: session.NewRunner(clock, admission.New(set.MaxWaiting, seed))}
 	service := &f.set.Service
 	f.client = nodes.NewClient(set.Name, epoch, service.Reports == "answers",
 		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, secure, log)
@@ -108,7 +108,7 @@
 	life := time.Duration(set.TokenMs * float64(time.Millisecond))
 	d := playapi.New(set.Name, media, service, minter, life, f.runner, log)
 	mux.Handle("/v1/", dash.NewFront(d, log))
-	f.sockets = wsapi.New(d, clock, set.Sockets, seed+1, log)
+	f.sockets = wsapi.New(d, clock, set.MaxSockets, seed+1, log)
 	mux.Handle("GET "+wsapi.Path, f.sockets)
 	if f.fleet, err = openFleet(set.State, set.ListURL, service, f.runner, log); err != nil {
 		listen.Close()
@@ -174,8 +174,8 @@
 
 // part ends the front in order, within the time that its settings give.
 func (f *Front) part() {
-	within := time.Duration(f.set.EndMs * float64(time.Millisecond))
-	f.log.Info().Dur("within", within).Bool("retire", f.set.Retire).Msg("front is ending")
+	within := time.Duration(f.set.ShutdownMs * float64(time.Millisecond))
+	f.log.Info().Dur("within", within).Bool("retire", f.set.ReleasePlays).Msg("front is ending")
 	end := f.runner.Clock().Now() + session.Ticks(within)
 	owed, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
@@ -186,14 +186,14 @@
 		f.runner.Post(func(now int64, c *session.Core) { c.Close(now) })
 	})
 	defer last.Stop()
-	if f.set.Retire {
+	if f.set.ReleasePlays {
 		f.runner.Post(func(now int64, c *session.Core) { c.ReleasePlays(now, end) })
 	}
 	if err := f.server.Shutdown(owed); err != nil {
 		f.server.Close()
 	}
 	f.sockets.Drain(owed)
-	for f.set.Retire && owed.Err() == nil && f.Counts(owed).InHand > 0 {
+	for f.set.ReleasePlays && owed.Err() == nil && f.Counts(owed).InHand > 0 {
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-owed.Done():
@@ -207,7 +207,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	inner, stop := context.WithCancel(context.Background()) // outlives ctx until what is owed was answered
 	defer stop()
-	list := &nodes.List{Front: f.set.Name, URL: f.set.ListURL, Set: &f.set.Service, Runner: f.runner, Log: f.log, Seed: f.set.Seed + uint64(f.set.Number)}
+	list := &nodes.ListClient{Front: f.set.Name, URL: f.set.ListURL, Set: &f.set.Service, Runner: f.runner, Log: f.log, Seed: f.set.Seed + uint64(f.set.Number)}
 	g.Go(func() error { return f.runner.Run(inner, f.core) })
 	g.Go(func() error { return list.Run(inner) })
 	g.Go(func() error { return f.fleet.run(inner) })
--- a/frontend/history_test.go
+++ b/frontend/history_test.go
@@ -281,14 +281,14 @@
 
 func TestOfflineWorkIsKeptFromARunningFront(t *testing.T) {
 	dir := t.TempDir()
-	claim, err := NewClaim(dir)
+	claim, err := LockFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); !errors.Is(err, ErrTaken) {
+	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); !errors.Is(err, ErrLocked) {
 		t.Fatalf("compacted beneath a front: %v", err)
 	}
-	if _, err := SalvageStore(filepath.Join(dir, PlaysFolder), filepath.Join(t.TempDir(), "x")); !errors.Is(err, ErrTaken) {
+	if _, err := SalvageStore(filepath.Join(dir, PlaysFolder), filepath.Join(t.TempDir(), "x")); !errors.Is(err, ErrLocked) {
 		t.Fatalf("salvaged beneath a front: %v", err)
 	}
 	claim.Release()
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -87,7 +87,7 @@
 }
 
 func (j *journal) keeps(product int) bool {
-	return playlog.LogFirst(j.set.Products[product].Paid, j.set.Products[product].Seats)
+	return playlog.LogFirst(j.set.Products[product].Paid, j.set.Products[product].MaxSeats)
 }
 
 // SetUp records an allocation where that comes first, and then sends it.
--- a/frontend/life.go
+++ b/frontend/life.go
@@ -12,22 +12,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrTaken says that another process runs on the same state folder.
-var ErrTaken = errors.New("another front runs on this state folder")
+// ErrLocked says that another process runs on the same state folder.
+var ErrLocked = errors.New("another front runs on this state folder")
 
-// Claim is a front's hold on its state folder, for one life.
-type Claim struct {
+// FolderLock is a front's hold on its state folder, for one life.
+type FolderLock struct {
 	Epoch int64 // greater than that of any life before, whatever became of the wall clock
 	lock  *os.File
 }
 
-// NewClaim takes a state folder for this process and begins a life. The kernel lets go of the folder
+// LockFolder takes a state folder for this process and begins a life. The kernel lets go of the folder
 // when the process ends, however it ends. Without a folder there is no claim on anything, and the
 // epoch is the wall clock's.
-func NewClaim(folder string) (*Claim, error) {
+func LockFolder(folder string) (*FolderLock, error) {
 	now := time.Now().UnixNano()
 	if folder == "" {
-		return &Claim{Epoch: now}, nil
+		return &FolderLock{Epoch: now}, nil
 	}
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
@@ -36,7 +36,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Claim{lock: lock}
+	c := &FolderLock{lock: lock}
 	if c.Epoch, err = nextEpoch(filepath.Join(folder, "epoch"), now); err != nil {
 		c.Release()
 		return nil, err
@@ -53,7 +53,7 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			return nil, fmt.Errorf("state folder %s: %w", folder, ErrTaken)
+			return nil, fmt.Errorf("state folder %s: %w", folder, ErrLocked)
 		}
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
@@ -107,7 +107,7 @@
 }
 
 // Release lets go of the folder.
-func (c *Claim) Release() {
+func (c *FolderLock) Release() {
 	if c.lock != nil {
 		c.lock.Close()
 	}
--- a/frontend/life_test.go
+++ b/frontend/life_test.go
@@ -11,15 +11,15 @@
 
 func TestOneProcessForAStateFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	a, err := NewClaim(dir)
+	a, err := LockFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewClaim(dir); !errors.Is(err, ErrTaken) {
+	if _, err := LockFolder(dir); !errors.Is(err, ErrLocked) {
 		t.Fatalf("a second one: %v", err)
 	}
 	a.Release()
-	b, err := NewClaim(dir)
+	b, err := LockFolder(dir)
 	if err != nil || b.Epoch <= a.Epoch {
 		t.Fatalf("after it let go: %+v %v", b, err)
 	}
@@ -42,11 +42,11 @@
 	if err := os.WriteFile(filepath.Join(dir, "epoch"), []byte("12x\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_, err := NewClaim(dir)
+	_, err := LockFolder(dir)
 	if err == nil || !strings.Contains(err.Error(), "epoch:1: not an epoch") {
 		t.Fatalf("got %v", err)
 	}
-	if _, err := NewClaim(filepath.Join(dir, "epoch")); err == nil {
+	if _, err := LockFolder(filepath.Join(dir, "epoch")); err == nil {
 		t.Fatal("a file was taken for a folder")
 	}
 }
--- a/frontend/offline.go
+++ b/frontend/offline.go
@@ -29,7 +29,7 @@
 type Compacted struct{ RecordsBefore, RecordsAfter, BytesBefore, BytesAfter int64 }
 
 // CompactStore brings the store of a front that does not run down to what is needed, as the front does by itself. It
-// fails with ErrTaken while the front runs, and changes nothing in a store that is damaged.
+// fails with ErrLocked while the front runs, and changes nothing in a store that is damaged.
 func CompactStore(dir string) (Compacted, error) {
 	release, err := holdStore(dir)
 	if err != nil {
--- a/internal/benchproto/codec.go
+++ b/internal/benchproto/codec.go
@@ -69,7 +69,7 @@
 // A fieldError names the part of a line that could not be read.
 type fieldError = convert.FieldError
 
-func wrong(field, what string) fieldError { return fieldError{Field: field, What: what} }
+func wrong(field, what string) fieldError { return fieldError{Field: field, Problem: what} }
 
 // The readers below panic with a fieldError; decode turns it into the run's one message.
 func (ln *line) text(key string) string {
--- a/internal/benchproto/host.go
+++ b/internal/benchproto/host.go
@@ -200,11 +200,11 @@
 		TitleName: asset,
 		Viewer:    number(in.viewers, ln.text("object")),
 		LeftMs:    ln.numberOr("left-ms", 0),
-		Home:      int(ln.numberOr("start-cell", 0)),
-		Copies:    int(ln.numberOr("span", 0)),
-		Top:       int(ln.numberOr("best-rung", 0)),
+		FirstCell: int(ln.numberOr("start-cell", 0)),
+		CellCount: int(ln.numberOr("span", 0)),
+		MaxRung:   int(ln.numberOr("best-rung", 0)),
 		Moved:     bits&8 != 0,
-		Again:     bits&16 != 0,
+		Retry:     bits&16 != 0,
 	}
 	if bits&1 != 0 {
 		r.HintMs = ln.numberOr("hint-ms", 0)
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -50,9 +50,9 @@
 }
 
 // FieldError names the field that could not be read.
-type FieldError struct{ Field, What string }
+type FieldError struct{ Field, Problem string }
 
-func (e FieldError) Error() string { return "field " + e.Field + ": " + e.What }
+func (e FieldError) Error() string { return "field " + e.Field + ": " + e.Problem }
 
 // Ticks turns milliseconds into tenths of them.
 func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(decision.Millisecond))) }
@@ -221,17 +221,17 @@
 
 // Request is what a request says. Title and Viewer are the front's own numbers for their names.
 type Request struct {
-	Product, Title, Viewer int
-	TitleName              string
-	LeftMs, HintMs         float64 // HintMs is 0 where none is given
-	Home, Copies, Top      int
-	Moved, Again           bool
+	Product, Title, Viewer        int
+	TitleName                     string
+	LeftMs, HintMs                float64 // HintMs is 0 where none is given
+	FirstCell, CellCount, MaxRung int
+	Moved, Retry                  bool
 }
 
 // PolicyRequest is a request in the module's words.
 func (r Request) PolicyRequest(now int64) decision.Request {
 	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.Key(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
-		Length: Ticks(r.HintMs), FirstCell: r.Home, CellCount: r.Copies, MaxRung: r.Top, Moved: r.Moved, Retry: r.Again}
+		Length: Ticks(r.HintMs), FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Moved: r.Moved, Retry: r.Retry}
 }
 
 // Row is a line of the list; Started is on the front's clock.
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -462,14 +462,14 @@
 				product = -1
 			}
 			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Attempt, Product: product, Title: p.Title,
-				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, Left: p.LeftMs * decision.Millisecond}
+				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, TimeLeft: p.LeftMs * decision.Millisecond}
 		}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, runs) })
 	case Beat:
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node) })
 	case Ended:
 		how := decision.Served
-		if n.How == Lost {
+		if n.EndReason == Lost {
 			how = decision.ConnectionLost
 		}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.PlayEnded(now, ref, how) })
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -112,9 +112,9 @@
 		Kind: set.Kinds[l.Kind].Name, Zone: set.Zones[l.Zone], Cell: l.Cell, Weight: l.Weight}
 }
 
-// List follows the list service: one stream, resumed by its version, the whole list after a gap. While
+// ListClient follows the list service: one stream, resumed by its version, the whole list after a gap. While
 // it is out of reach the last list holds.
-type List struct {
+type ListClient struct {
 	Front  string
 	URL    string
 	Set    *config.Service
@@ -124,7 +124,7 @@
 }
 
 // Run follows until the context ends.
-func (l *List) Run(ctx context.Context) error {
+func (l *ListClient) Run(ctx context.Context) error {
 	rnd := pcg.New(l.Seed)
 	version, failures := int64(0), 0
 	for {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (l *List) follow(ctx context.Context, version *int64) error {
+func (l *ListClient) follow(ctx context.Context, version *int64) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	q := url.Values{"front": {l.Front}, "since": {strconv.FormatInt(*version, 10)}}
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -45,7 +45,7 @@
 // Refusal is the body of any other answer.
 type Refusal struct {
 	NeverRan bool   `json:"never_ran"` // the node's word that nothing of the play ran
-	Why      string `json:"why"`
+	Reason   string `json:"why"`
 }
 
 // SetRung is the body of PUT /v1/plays/{play}/rung.
@@ -88,17 +88,17 @@
 
 // Note is one line of a node's stream to a front.
 type Note struct {
-	Kind    string  `json:"kind"`
-	Node    string  `json:"node,omitempty"`
-	Life    int64   `json:"life,omitempty"`
-	Mark    int64   `json:"mark,omitempty"`
-	Plays   []Play  `json:"plays,omitempty"`
-	Play    string  `json:"play,omitempty"`
-	Attempt int     `json:"try,omitempty"`
-	How     string  `json:"how,omitempty"`
-	Share   float64 `json:"share,omitempty"`
-	Link    float64 `json:"link,omitempty"`
-	Uplink  float64 `json:"uplink,omitempty"`
+	Kind      string  `json:"kind"`
+	Node      string  `json:"node,omitempty"`
+	Life      int64   `json:"life,omitempty"`
+	Mark      int64   `json:"mark,omitempty"`
+	Plays     []Play  `json:"plays,omitempty"`
+	Play      string  `json:"play,omitempty"`
+	Attempt   int     `json:"try,omitempty"`
+	EndReason string  `json:"how,omitempty"`
+	Share     float64 `json:"share,omitempty"`
+	Link      float64 `json:"link,omitempty"`
+	Uplink    float64 `json:"uplink,omitempty"`
 }
 
 // ParseNote reads a line of a stream.
@@ -122,8 +122,8 @@
 		if n.Play == "" || n.Attempt < 0 {
 			return Note{}, fmt.Errorf("note %s: without play", n.Kind)
 		}
-		if n.Kind == Ended && n.How != Over && n.How != Lost {
-			return Note{}, fmt.Errorf("note ended: how %.20q is unknown", n.How)
+		if n.Kind == Ended && n.EndReason != Over && n.EndReason != Lost {
+			return Note{}, fmt.Errorf("note ended: how %.20q is unknown", n.EndReason)
 		}
 		for _, x := range []float64{n.Share, n.Link, n.Uplink} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x > 1e6 || x < -1 {
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -34,7 +34,7 @@
 }
 
 func service() *config.Service {
-	return &config.Service{Cells: 4, Kinds: []config.Kind{{Name: "std", Streams: 1}}, Zones: []string{"z"}}
+	return &config.Service{Cells: 4, Kinds: []config.Kind{{Name: "std", MaxStreams: 1}}, Zones: []string{"z"}}
 }
 
 func TestListLinesThatAreNotTaken(t *testing.T) {
--- a/playapi/playapi.go
+++ b/playapi/playapi.go
@@ -68,7 +68,7 @@
 	if w.MaxRung >= 0 {
 		r.MaxRung = min(w.MaxRung, r.MaxRung)
 	}
-	if r.MaxRung < set.Products[r.Product].Floor {
+	if r.MaxRung < set.Products[r.Product].MinRung {
 		return r, BadRequest{"top", "lies under the product's floor"}
 	}
 	return r, r.rest(set, w)
@@ -237,7 +237,7 @@
 	if t, ok := d.Config.Lookup(ans.Title); ok {
 		g.Seconds = t.Length
 	}
-	for rung := p.Floor; rung <= ans.Rung; rung++ {
+	for rung := p.MinRung; rung <= ans.Rung; rung++ {
 		g.Rungs = append(g.Rungs, Rung{rung, RungID(rung), d.Config.RatesKB[rung] * p.Rate * 8000})
 	}
 	return g, nil
--- a/session/core.go
+++ b/session/core.go
@@ -90,7 +90,7 @@
 	Rung      int
 	Seq       int // of the last order of a rung that it heard
 	MaxRung   int
-	Left      int64 // guessed time left; 0 is not told
+	TimeLeft  int64 // guessed time left; 0 is not told
 }
 
 // Request is a viewer's request for a play.
@@ -637,11 +637,11 @@
 	p := &play{id: r.Play, stage: playing, node: at, life: life, mark: mark, try: r.Attempt, rung: r.Rung, seq: r.Seq,
 		adopted: true, title: c.titles.Hold(r.Title), viewer: c.viewers.Hold(r.Viewer),
 		ask: Request{Product: r.Product, Title: r.Title, FirstCell: r.FirstCell, CellCount: r.CellCount, Viewer: r.Viewer, MaxRung: r.MaxRung,
-			Length: r.Left}}
+			Length: r.TimeLeft}}
 	c.plays[p.id] = p
 	c.nodes[at].plays++
 	h, res := c.mod.AdoptPlay(now, decision.Request{Product: r.Product, Title: p.title, Viewer: p.viewer, Deadline: now,
-		Length: r.Left, FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Key: decision.Key(r.Title)}, at)
+		Length: r.TimeLeft, FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Key: decision.Key(r.Title)}, at)
 	c.enter(p, h)
 	c.carry(now, res)
 	c.carry(now, c.mod.RungReported(now, p.h, r.Rung))
--- a/sockets/outbox.go
+++ b/sockets/outbox.go
@@ -13,7 +13,7 @@
 type Message struct {
 	Cursor  uint64 // from 1
 	Kind    Kind
-	Skipped int // messages before it that were left out at the bound
+	Omitted int // messages before it that were left out at the bound
 	Value   any // the caller's own
 }
 
@@ -39,10 +39,10 @@
 			if m.Kind == Rung {
 				b.kept = append(b.kept[:i], b.kept[i+1:]...)
 				if i < len(b.kept) {
-					b.kept[i].Skipped += m.Skipped + 1
+					b.kept[i].Omitted += m.Omitted + 1
 				} else {
 					b.last++
-					b.kept = append(b.kept, Message{Cursor: b.last, Kind: k, Skipped: m.Skipped + 1, Value: value})
+					b.kept = append(b.kept, Message{Cursor: b.last, Kind: k, Omitted: m.Omitted + 1, Value: value})
 					return b.last
 				}
 				break
--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -126,7 +126,7 @@
 type SocketState struct {
 	Importance float64 // the highest of its plays; 0 without any
 	Playing    bool
-	Behind     int64 // how long its oldest message waits to be taken
+	WriteDelay int64 // how long its oldest message waits to be taken
 	Since      int64 // when it last asked, or opened
 }
 
@@ -139,7 +139,7 @@
 func Shed(now int64, all []SocketState, worth float64) []int {
 	order := make([]int, 0, len(all))
 	for i, s := range all {
-		if s.Behind < slowPenalty && s.Playing && s.Importance >= worth {
+		if s.WriteDelay < slowPenalty && s.Playing && s.Importance >= worth {
 			continue
 		}
 		order = append(order, i)
@@ -147,7 +147,7 @@
 	slices.SortFunc(order, func(i, j int) int {
 		a, b := all[i], all[j]
 		slow := func(s SocketState) int {
-			if s.Behind >= slowPenalty {
+			if s.WriteDelay >= slowPenalty {
 				return 0
 			}
 			return 1
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -45,10 +45,10 @@
 				if m.Cursor <= have || uint64(m.Value.(int)) != m.Cursor-from {
 					t.Fatalf("%+v after %d", m, have)
 				}
-				if gap := int(m.Cursor-have) - 1; gap != m.Skipped {
-					t.Fatalf("%d left out, %d told", gap, m.Skipped)
+				if gap := int(m.Cursor-have) - 1; gap != m.Omitted {
+					t.Fatalf("%d left out, %d told", gap, m.Omitted)
 				}
-				told += 1 + m.Skipped
+				told += 1 + m.Omitted
 				have = m.Cursor
 				b.Ack(have)
 			case 8, 9: // words that do not hold
@@ -61,7 +61,7 @@
 		}
 		sawEnd := false
 		for m, ok := b.Next(have); ok; m, ok = b.Next(m.Cursor) {
-			told += 1 + m.Skipped
+			told += 1 + m.Omitted
 			sawEnd = sawEnd || m.Kind == End
 			have = m.Cursor
 		}
@@ -138,7 +138,7 @@
 		{Importance: 1, Playing: true, Since: 2},
 		{Since: 5},
 		{Since: 3},
-		{Importance: 3, Playing: true, Since: 4, Behind: slowPenalty},
+		{Importance: 3, Playing: true, Since: 4, WriteDelay: slowPenalty},
 	}
 	left := append([]SocketState{}, all...)
 	var order []int64
--- a/testbed/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -27,8 +27,8 @@
 
 // Rule is the verdict on one of the six.
 type Rule struct {
-	Name   string   `json:"name"`
-	Breaks []string `json:"breaks"` // each with the events of the trace that show it
+	Name       string   `json:"name"`
+	Violations []string `json:"breaks"` // each with the events of the trace that show it
 }
 
 // Report is what a trace came to.
@@ -40,8 +40,8 @@
 	Declined    int     `json:"declined"`
 	Failed      int     `json:"failed"`
 	Denied      int     `json:"denied"`
-	Cut         int     `json:"cut"`  // requests whose front was killed, or gone, while they waited
-	Left        int     `json:"left"` // requests whose client went away first
+	Interrupted int     `json:"cut"`  // requests whose front was killed, or gone, while they waited
+	Abandoned   int     `json:"left"` // requests whose client went away first
 	MostAnswers int     `json:"answers_per_play"`
 	Doubled     int     `json:"allocations_doubled"`
 	Retried     int     `json:"further_allocations"`
@@ -51,10 +51,10 @@
 	Rungs       []int   `json:"segments_by_rung"`
 }
 
-// Kept tells that no rule was broken.
-func (r *Report) Kept() bool {
+// RulesKept tells that no rule was broken.
+func (r *Report) RulesKept() bool {
 	for _, x := range r.Rules {
-		if len(x.Breaks) > 0 {
+		if len(x.Violations) > 0 {
 			return false
 		}
 	}
@@ -123,8 +123,8 @@
 }
 
 func (a *audit) worth(rung int) float64 {
-	if rung >= 0 && rung < len(a.set.Worth) {
-		return a.set.Worth[rung]
+	if rung >= 0 && rung < len(a.set.RungWorth) {
+		return a.set.RungWorth[rung]
 	}
 	return 0
 }
@@ -162,7 +162,7 @@
 		case trace.Gone:
 			if q := asks[l.ID]; q != nil {
 				q.gone = true
-				a.rep.Left++
+				a.rep.Abandoned++
 			}
 		case trace.Served:
 			for len(a.rep.Rungs) <= l.Rung {
@@ -225,7 +225,7 @@
 			excused = excused || t >= from.T && t <= from.T+from.LimitMs*1000
 		}
 		if a.down(from.Front, q.line) || excused {
-			a.rep.Cut++
+			a.rep.Interrupted++
 			continue
 		}
 		if a.ended(from.T + from.LimitMs*1000 + slack) {
@@ -383,9 +383,9 @@
 
 // cold checks rule 4: the set-ups a node got in any window of the stated length after its start.
 func (a *audit) cold() {
-	started, streams := map[string]int64{}, a.set.Kinds[0].Streams
+	started, streams := map[string]int64{}, a.set.Kinds[0].MaxStreams
 	for _, k := range a.set.Kinds {
-		streams = min(streams, k.Streams)
+		streams = min(streams, k.MaxStreams)
 	}
 	recent := map[string][]int64{}
 	for i, l := range a.lines {
@@ -400,7 +400,7 @@
 			a.broken(4, "line %d: %s was pushed over", i+1, l.Node)
 		case trace.SetUp:
 			began, ok := started[l.Node]
-			if !ok || float64(l.T-began) > a.set.ColdLastsMs*1000 {
+			if !ok || float64(l.T-began) > a.set.ColdDurationMs*1000 {
 				continue
 			}
 			most := Allowance(a.set, streams, float64(l.T-began)/1000)
@@ -419,8 +419,8 @@
 // Allowance is how many set-ups a cold node stands within the window that ends so many milliseconds
 // after its start.
 func Allowance(set *config.Service, streams int, ageMs float64) float64 {
-	warmth := min(1, set.ColdShare+(1-set.ColdShare)*ageMs/set.ColdLastsMs)
-	return set.FallMultiple * float64(streams) / set.ColdLastsMs * warmth * set.FallOverMs
+	warmth := min(1, set.ColdShare+(1-set.ColdShare)*ageMs/set.ColdDurationMs)
+	return set.FallMultiple * float64(streams) / set.ColdDurationMs * warmth * set.FallOverMs
 }
 
 // terms checks rule 5: rungs under a floor, and plays held of one title and product by one front.
@@ -454,8 +454,8 @@
 		p := a.product(l.Product)
 		switch l.Kind {
 		case trace.SetUp, trace.Rung:
-			if l.Rung < p.Floor {
-				a.broken(5, "line %d: play %s of %s at rung %d, under its floor of %d", i+1, l.Play, l.Product, l.Rung, p.Floor)
+			if l.Rung < p.MinRung {
+				a.broken(5, "line %d: play %s of %s at rung %d, under its floor of %d", i+1, l.Play, l.Product, l.Rung, p.MinRung)
 			}
 			if l.Kind == trace.Rung || a.crossed[i] {
 				continue
@@ -464,9 +464,9 @@
 			h := hold{seat{l.Front, l.Product, l.Title}, l.Node, l.Attempt}
 			held[l.Play] = h
 			count[h.seat]++
-			if n := count[h.seat]; p.Seats > 0 && n > p.Seats {
-				if over := n - a.freedSoon(i, h.seat.front, h.seat.product, h.seat.title, func(play string) bool { _, ok := held[play]; return ok }); over > p.Seats {
-					a.broken(5, "line %d: %s holds %d plays of %s, %s; %d seats", i+1, l.Front, over, l.Title, l.Product, p.Seats)
+			if n := count[h.seat]; p.MaxSeats > 0 && n > p.MaxSeats {
+				if over := n - a.freedSoon(i, h.seat.front, h.seat.product, h.seat.title, func(play string) bool { _, ok := held[play]; return ok }); over > p.MaxSeats {
+					a.broken(5, "line %d: %s holds %d plays of %s, %s; %d seats", i+1, l.Front, over, l.Title, l.Product, p.MaxSeats)
 				}
 			}
 		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
@@ -511,10 +511,10 @@
 
 // budget checks rule 6: in any window, a front's allocations beyond each play's first.
 func (a *audit) budget() {
-	if a.set.BudgetOverMs == 0 {
+	if a.set.BudgetWindowMs == 0 {
 		return
 	}
-	over := int64(a.set.BudgetOverMs * 1000)
+	over := int64(a.set.BudgetWindowMs * 1000)
 	answers := map[int64]trace.Event{}
 	for _, l := range a.lines {
 		if l.Kind == trace.Answer {
@@ -560,7 +560,7 @@
 			}
 		}
 		if most := a.set.BudgetFree + a.set.BudgetShare*float64(plays); float64(n) > most {
-			a.broken(6, "line %d: %s made %d further allocations within %v ms, %.1f allowed", i+1, l.Front, n, a.set.BudgetOverMs, most)
+			a.broken(6, "line %d: %s made %d further allocations within %v ms, %.1f allowed", i+1, l.Front, n, a.set.BudgetWindowMs, most)
 		}
 	}
 }
--- a/testbed/audit/audit_test.go
+++ b/testbed/audit/audit_test.go
@@ -11,10 +11,10 @@
 
 func service() *config.Service {
 	return &config.Service{Products: []config.Product{
-		{Name: "paid", Importance: 2, TargetMs: 1500, LimitMs: 5000, Paid: true, Floor: 1, Seats: 2},
+		{Name: "paid", Importance: 2, TargetMs: 1500, LimitMs: 5000, Paid: true, MinRung: 1, MaxSeats: 2},
 		{Name: "safe", Importance: 1, TargetMs: 1000, LimitMs: 5000}},
-		Kinds: []config.Kind{{Name: "std", Streams: 20}}, ColdShare: 0.4, ColdLastsMs: 10000, FallMultiple: 2.5, FallOverMs: 1000,
-		DrainGraceMs: 1000, BudgetFree: 2, BudgetShare: 0.1, BudgetOverMs: 10000}
+		Kinds: []config.Kind{{Name: "std", MaxStreams: 20}}, ColdShare: 0.4, ColdDurationMs: 10000, FallMultiple: 2.5, FallOverMs: 1000,
+		DrainGraceMs: 1000, BudgetFree: 2, BudgetShare: 0.1, BudgetWindowMs: 10000}
 }
 
 // script is a trace by hand: an event a call, each some milliseconds after the one before.
@@ -214,11 +214,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			rep := Check(service(), c.make(&script{}).lines)
 			for i, r := range rep.Rules {
-				if broken := len(r.Breaks) > 0; broken != (i+1 == c.rule) {
-					t.Errorf("rule %d: %v", i+1, r.Breaks)
+				if broken := len(r.Violations) > 0; broken != (i+1 == c.rule) {
+					t.Errorf("rule %d: %v", i+1, r.Violations)
 				}
 			}
-			if c.rule > 0 && len(rep.Rules[c.rule-1].Breaks) > 0 && !strings.Contains(rep.Rules[c.rule-1].Breaks[0], "line") {
+			if c.rule > 0 && len(rep.Rules[c.rule-1].Violations) > 0 && !strings.Contains(rep.Rules[c.rule-1].Violations[0], "line") {
 				t.Error("the break does not name its lines")
 			}
 		})
--- a/testbed/compare.go
+++ b/testbed/compare.go
@@ -51,9 +51,9 @@
 
 // Pair is what one seed came to on both sides.
 type Pair struct {
-	Seed   uint64
-	A, B   *audit.Report
-	Broken []string // rules broken, on either side
+	Seed        uint64
+	A, B        *audit.Report
+	BrokenRules []string // rules broken, on either side
 }
 
 // Difference is a paired difference of one figure, B less A.
@@ -61,24 +61,24 @@
 	Name         string
 	MeanA, MeanB float64
 	Mean         float64 // of the differences
-	Half         float64 // half the width of its 95% interval
+	HalfWidth    float64 // half the width of its 95% interval
 	Seeds        int     // compared
-	Needed       int     // seeds after which a difference of this size would be told; 0 where it is told already
+	SeedsNeeded  int     // seeds after which a difference of this size would be told; 0 where it is told already
 }
 
 // Significant tells that the interval leaves out zero.
-func (d Difference) Significant() bool { return math.Abs(d.Mean) > d.Half }
+func (d Difference) Significant() bool { return math.Abs(d.Mean) > d.HalfWidth }
 
 func (d Difference) String() string {
 	head := fmt.Sprintf("%-8s A %.3f, B %.3f, B less A %+.4f, 95%% interval %+.4f to %+.4f over %d seeds", d.Name, d.MeanA, d.MeanB, d.Mean,
-		d.Mean-d.Half, d.Mean+d.Half, d.Seeds)
+		d.Mean-d.HalfWidth, d.Mean+d.HalfWidth, d.Seeds)
 	switch {
 	case d.Significant() && d.Mean > 0:
 		return head + ": B is better"
 	case d.Significant():
 		return head + ": A is better"
-	case d.Needed > 0:
-		return head + fmt.Sprintf(": can't tell; about %d seeds would, if the difference is what it seems", d.Needed)
+	case d.SeedsNeeded > 0:
+		return head + fmt.Sprintf(": can't tell; about %d seeds would, if the difference is what it seems", d.SeedsNeeded)
 	}
 	return head + ": can't tell, there is no difference to see"
 }
@@ -99,8 +99,8 @@
 			}
 			for side, rep := range []*audit.Report{p.A, p.B} {
 				for k, r := range rep.Rules {
-					if len(r.Breaks) > 0 {
-						p.Broken = append(p.Broken, fmt.Sprintf("%c breaks rule %d, %s, %d times on seed %d", 'A'+side, k+1, r.Name, len(r.Breaks), seed))
+					if len(r.Violations) > 0 {
+						p.BrokenRules = append(p.BrokenRules, fmt.Sprintf("%c breaks rule %d, %s, %d times on seed %d", 'A'+side, k+1, r.Name, len(r.Violations), seed))
 					}
 				}
 			}
@@ -117,16 +117,16 @@
 	for i := range a {
 		diffs[i] = b[i] - a[i]
 	}
-	d := Difference{Name: name, MeanA: stat.Mean(a, nil), MeanB: stat.Mean(b, nil), Seeds: len(a), Half: math.Inf(1)}
+	d := Difference{Name: name, MeanA: stat.Mean(a, nil), MeanB: stat.Mean(b, nil), Seeds: len(a), HalfWidth: math.Inf(1)}
 	mean, sd := stat.MeanStdDev(diffs, nil)
 	d.Mean = mean
 	if len(a) < 2 {
 		return d
 	}
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(a) - 1)}.Quantile(0.975)
-	d.Half = t * sd / math.Sqrt(float64(len(a)))
+	d.HalfWidth = t * sd / math.Sqrt(float64(len(a)))
 	if !d.Significant() && mean != 0 {
-		d.Needed = int(math.Ceil(math.Pow(1.96*sd/mean, 2))) + 1
+		d.SeedsNeeded = int(math.Ceil(math.Pow(1.96*sd/mean, 2))) + 1
 	}
 	return d
 }
--- a/testbed/day.go
+++ b/testbed/day.go
@@ -20,7 +20,7 @@
 	SmallScreenShare float64 // share of viewers who can't use the upper rungs
 	BandwidthSpread  float64 // spread of links and uplinks
 	SetUpMs          [2]float64
-	Guard            float64
+	MaxLinkLoad      float64
 	ListLateMs       float64
 	IdleMs           float64
 	MaxRetries       int
@@ -113,31 +113,31 @@
 		return nil, shared.Err()
 	}
 	e := v.At("day").Object(true)
-	d.Seconds, d.Seed = e.At("seconds").Number(1, 86400), uint64(e.At("seed").WholeOr(1, 0, 1<<53))
-	d.Nodes, d.Rate = e.At("nodes").Whole(1, 10000), e.At("rate").Number(0, 10000)
+	d.Seconds, d.Seed = e.At("seconds").Number(1, 86400), uint64(e.At("seed").IntOr(1, 0, 1<<53))
+	d.Nodes, d.Rate = e.At("nodes").Int(1, 10000), e.At("rate").Number(0, 10000)
 	d.Zipf, d.SmallScreenShare = e.At("zipf").NumberOr(0.9, 0, 5), e.At("small_screens").NumberOr(0.25, 0, 1)
-	d.BandwidthSpread, d.Guard = e.At("uneven").NumberOr(0.2, 0, 0.9), e.At("guard").NumberOr(1, 0, 100)
+	d.BandwidthSpread, d.MaxLinkLoad = e.At("uneven").NumberOr(0.2, 0, 0.9), e.At("guard").NumberOr(1, 0, 100)
 	d.SetUpMs = pair(e.At("set_up_ms"), [2]float64{40, 120})
 	d.ListLateMs, d.IdleMs = e.At("list_late_ms").NumberOr(2000, 0, 3.6e6), e.At("idle_ms").NumberOr(6000, 100, 3.6e6)
 	d.KeepRecords = e.At("records").BoolOr(true)
 	w := e.At("viewers").Object(false)
-	d.MaxRetries, d.PauseMs = w.At("tries").WholeOr(3, 0, 1000), w.At("pause_ms").NumberOr(1500, 0, 3.6e6)
+	d.MaxRetries, d.PauseMs = w.At("tries").IntOr(3, 0, 1000), w.At("pause_ms").NumberOr(1500, 0, 3.6e6)
 	d.RetryAfterShare, d.SocketShare = w.At("honour").NumberOr(0.6, 0, 1), w.At("sockets").NumberOr(0, 0, 1)
-	w.Done()
+	w.RejectUnknown()
 	for _, p := range e.At("products").List(true) {
 		p.Object(true)
 		n, ok := d.Service.ProductNumber(p.At("name").Text())
 		if !ok {
-			p.At("name").Wrong("the service has no such product")
+			p.At("name").Report("the service has no such product")
 		}
 		d.Products = append(d.Products, ScenarioProduct{n, p.At("share").Number(0, 1), pair(p.At("watch_s"), [2]float64{20, 60})})
-		p.Done()
+		p.RejectUnknown()
 	}
 	for _, x := range e.At("faults").List(false) {
 		d.Faults = append(d.Faults, d.fault(x))
 	}
-	e.Done()
-	v.Done()
+	e.RejectUnknown()
+	v.RejectUnknown()
 	return d, doc.Err()
 }
 
@@ -147,7 +147,7 @@
 	}
 	n := v.Numbers(0, 3.6e6)
 	if len(n) != 2 || n[1] < n[0] {
-		v.Wrong("two numbers, the lower first, are needed here")
+		v.Report("two numbers, the lower first, are needed here")
 		return or
 	}
 	return [2]float64{n[0], n[1]}
@@ -158,36 +158,36 @@
 	f := Fault{At: v.At("at_s").Number(0, d.Seconds), Do: v.At("do").Text(), For: v.At("for_s").NumberOr(0, 0, 86400)}
 	kind, ok := faults[f.Do]
 	if !ok {
-		v.At("do").Wrong("no such fault: %.40q", f.Do)
+		v.At("do").Report("no such fault: %.40q", f.Do)
 		return f
 	}
 	switch kind.needs {
 	case "nodes":
 		for _, n := range v.At("nodes").List(true) {
-			f.Nodes = append(f.Nodes, n.Whole(0, d.Nodes-1))
+			f.Nodes = append(f.Nodes, n.Int(0, d.Nodes-1))
 		}
 	case "front":
-		f.Front = v.At("front").Whole(0, d.Service.Fronts-1)
+		f.Front = v.At("front").Int(0, d.Service.Fronts-1)
 	case "rack":
-		f.Rack = v.At("rack").Whole(0, d.Service.Racks-1)
+		f.Rack = v.At("rack").Int(0, d.Service.Racks-1)
 	case "zone":
 		name := v.At("zone").Text()
 		if f.Zone = slices.Index(d.Service.Zones, name); f.Zone < 0 {
-			v.At("zone").Wrong("the service has no such zone")
+			v.At("zone").Report("the service has no such zone")
 		}
 	case "title":
 		f.Title = v.At("title").Text()
 		if _, ok := d.Service.Lookup(f.Title); !ok {
-			v.At("title").Wrong("the service has no such title")
+			v.At("title").Report("the service has no such title")
 		}
 	}
 	if f.Do == "ageing" && f.For <= 0 {
-		v.At("for_s").Wrong("how long they age is needed here")
+		v.At("for_s").Report("how long they age is needed here")
 	}
 	if kind.amount != "" {
 		f.Amount = v.At("amount").Number(0, 1e6)
 	}
-	v.Done()
+	v.RejectUnknown()
 	return f
 }
 
--- a/testbed/htmlreport/htmlreport_test.go
+++ b/testbed/htmlreport/htmlreport_test.go
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	out := (&testbed.Sim{Scenario: day}).Run()
-	out.Report.Rules[2].Breaks = []string{"line 7: <planted>"}
+	out.Report.Rules[2].Violations = []string{"line 7: <planted>"}
 	var page bytes.Buffer
 	if err := Write(&page, "short", day, out.Lines, out.Report); err != nil {
 		t.Fatal(err)
--- a/testbed/load.go
+++ b/testbed/load.go
@@ -25,7 +25,7 @@
 	Fronts   []FrontAddress
 	Rate     float64       // new plays a second
 	For      time.Duration // of asking
-	Hold     time.Duration // a play that plays is left after this
+	PlayTime time.Duration // a play that plays is left after this
 	Name     string        // of this run, so that its viewers are nobody else's
 }
 
@@ -90,7 +90,7 @@
 				return
 			}
 			select {
-			case <-time.After(l.Hold):
+			case <-time.After(l.PlayTime):
 			case <-ctx.Done():
 				return
 			}
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -45,7 +45,7 @@
 	}
 	r.fleet.mu.Unlock()
 	moved := *r.set
-	moved.Products, moved.JoinAdds = slices.Clone(r.set.Products), 0.3
+	moved.Products, moved.SharedStreamShare = slices.Clone(r.set.Products), 0.3
 	moved.Products[1].Live = true
 	ports := make([]string, fronts)
 	for i := range ports {
@@ -102,12 +102,12 @@
 			if round%5 == 4 {
 				product, title = 0, "other"
 			}
-			v := &Viewer{Name: fmt.Sprintf("v%d-%d", round, i), Product: &r.set.Products[product], Title: title, Top: 2,
-				Watch: time.Minute, Fronts: addrs, Names: names}
+			v := &Viewer{Name: fmt.Sprintf("v%d-%d", round, i), Product: &r.set.Products[product], Title: title, MaxRung: 2,
+				WatchTime: time.Minute, Fronts: addrs, Names: names}
 			asking.Add(1)
 			go func() {
 				defer asking.Done()
-				players.ask(context.Background(), v, i, players.firstURL(v, i, v.Watch), "", true, false)
+				players.ask(context.Background(), v, i, players.firstURL(v, i, v.WatchTime), "", true, false)
 			}()
 		}
 		asking.Wait()
@@ -115,7 +115,7 @@
 	}
 
 	rep := audit.Check(r.set, r.tape.Events())
-	if !rep.Kept() {
+	if !rep.RulesKept() {
 		t.Errorf("rules: %+v", rep.Rules)
 	}
 	asked, plays, messages := map[string]int{}, map[string]int{}, 0.0
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -168,7 +168,7 @@
 		return 1
 	}
 	age := float64(time.Since(n.coldAt).Milliseconds())
-	return min(1, n.fleet.set.ColdShare+(1-n.fleet.set.ColdShare)*age/n.fleet.set.ColdLastsMs)
+	return min(1, n.fleet.set.ColdShare+(1-n.fleet.set.ColdShare)*age/n.fleet.set.ColdDurationMs)
 }
 
 func (n *Node) link() float64 { return n.given * (1 - n.taken) * n.warmth() }
@@ -306,7 +306,7 @@
 	f, id := n.fleet, r.PathValue("play")
 	var ask nodes.SetUp
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&ask); err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{NeverRan: true, Why: err.Error()})
+		answer(w, http.StatusBadRequest, nodes.Refusal{NeverRan: true, Reason: err.Error()})
 		return
 	}
 	if n.cutOff(w, ask.Front) {
@@ -344,7 +344,7 @@
 			n.report(w)
 		}
 		f.mu.Unlock()
-		answer(w, http.StatusServiceUnavailable, nodes.Refusal{NeverRan: true, Why: refusal})
+		answer(w, http.StatusServiceUnavailable, nodes.Refusal{NeverRan: true, Reason: refusal})
 		return
 	}
 	select {
@@ -361,14 +361,14 @@
 	if fails {
 		n.drop(id, p)
 		ends(trace.Errored, "")
-		answer(w, http.StatusInternalServerError, nodes.Refusal{Why: "fault"})
+		answer(w, http.StatusInternalServerError, nodes.Refusal{Reason: "fault"})
 		return
 	}
 	f.mu.Lock()
 	if n.plays[id] != p { // ended while it was set up
 		f.mu.Unlock()
 		ends(trace.Errored, "ended")
-		answer(w, http.StatusGone, nodes.Refusal{Why: "ended"})
+		answer(w, http.StatusGone, nodes.Refusal{Reason: "ended"})
 		return
 	}
 	n.mark++
@@ -403,9 +403,9 @@
 	}
 	link, _ := n.loads()
 	switch {
-	case !known || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) || ask.Rung < f.set.Products[number].Floor:
+	case !known || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) || ask.Rung < f.set.Products[number].MinRung:
 		return "malformed", nil
-	case !ok || ((n.cell-t.Home)%f.set.Cells+f.set.Cells)%f.set.Cells >= t.Copies:
+	case !ok || ((n.cell-t.FirstCell)%f.set.Cells+f.set.Cells)%f.set.Cells >= t.CellCount:
 		return "the title is not here", nil
 	case ask.Epoch < n.epochs[ask.Front]:
 		return "an older life of the front", nil
@@ -413,7 +413,7 @@
 		return "the play is here already", nil
 	case n.draining:
 		return "draining", nil
-	case len(n.plays) >= kind.Streams:
+	case len(n.plays) >= kind.MaxStreams:
 		return "no stream free", nil
 	case f.guard > 0 && link >= f.guard:
 		return "link full", nil
@@ -425,7 +425,7 @@
 func (n *Node) pushed() bool {
 	f := n.fleet
 	age := float64(time.Since(n.coldAt).Milliseconds())
-	if n.coldAt.IsZero() || age > f.set.ColdLastsMs {
+	if n.coldAt.IsZero() || age > f.set.ColdDurationMs {
 		return false
 	}
 	now := time.Now()
@@ -433,7 +433,7 @@
 	for now.Sub(n.setUps[0]) > time.Duration(f.set.FallOverMs)*time.Millisecond {
 		n.setUps = n.setUps[1:]
 	}
-	n.fallen = float64(len(n.setUps)) > audit.Allowance(f.set, f.set.Kinds[0].Streams, age)+2
+	n.fallen = float64(len(n.setUps)) > audit.Allowance(f.set, f.set.Kinds[0].MaxStreams, age)+2
 	return n.fallen
 }
 
@@ -448,7 +448,7 @@
 func (n *Node) setRung(w http.ResponseWriter, r *http.Request) {
 	var ask nodes.SetRung
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&ask); err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Why: err.Error()})
+		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: err.Error()})
 		return
 	}
 	if !n.hushed(r.Context()) {
@@ -459,7 +459,7 @@
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
 	if p == nil || p.Attempt != ask.Attempt || p.front != ask.Front || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) {
-		answer(w, http.StatusNotFound, nodes.Refusal{Why: "no such play"})
+		answer(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
 		return
 	}
 	if ask.Seq > p.Seq {
@@ -476,7 +476,7 @@
 	}
 	try, err := strconv.Atoi(q.Get("try"))
 	if err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Why: "try is needed"})
+		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: "try is needed"})
 		return
 	}
 	f.tape.Add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Attempt: try, Note: q.Get("why")})
@@ -487,7 +487,7 @@
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
 	if p == nil || p.Attempt != try || p.front != q.Get("front") {
-		answer(w, http.StatusNotFound, nodes.Refusal{Why: "no such play"})
+		answer(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
 		return
 	}
 	delete(n.plays, p.Play.Play)
@@ -540,7 +540,7 @@
 	f.mu.Unlock()
 	kbit := f.set.RatesKB[allowed] * p.product.Rate * 8
 	w.Header().Set(suggested, fmt.Sprintf("%q;mb=%d", n.line.Name, int64(kbit)))
-	if rung > min(allowed, cl.Rung) || rung < p.product.Floor {
+	if rung > min(allowed, cl.Rung) || rung < p.product.MinRung {
 		http.Error(w, "rung not allowed", http.StatusForbidden)
 		return
 	}
@@ -560,14 +560,14 @@
 	}
 	epoch, err := strconv.ParseInt(r.URL.Query().Get("epoch"), 10, 64)
 	if err != nil || name == "" {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Why: "front and epoch are needed"})
+		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: "front and epoch are needed"})
 		return
 	}
 	s := &stream{notes: make(chan nodes.Note, 4096)}
 	f.mu.Lock()
 	if epoch < n.epochs[name] {
 		f.mu.Unlock()
-		answer(w, http.StatusConflict, nodes.Refusal{Why: "an older life of the front"})
+		answer(w, http.StatusConflict, nodes.Refusal{Reason: "an older life of the front"})
 		return
 	}
 	n.epochs[name] = epoch
@@ -634,7 +634,7 @@
 	f := n.fleet
 	every := time.NewTicker(250 * time.Millisecond)
 	defer every.Stop()
-	lag := time.Duration(f.set.NoteLagMs) * time.Millisecond
+	lag := time.Duration(f.set.ReportDelayMs) * time.Millisecond
 	for beat := 0; ; beat++ {
 		select {
 		case <-every.C:
@@ -661,7 +661,7 @@
 			}
 			delete(n.plays, id)
 			f.tape.Add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Attempt: p.Attempt})
-			n.tell(p.front, nodes.Note{Kind: nodes.Ended, Play: id, Attempt: p.Attempt, How: nodes.Over})
+			n.tell(p.front, nodes.Note{Kind: nodes.Ended, Play: id, Attempt: p.Attempt, EndReason: nodes.Over})
 		}
 		if beat%4 == 0 {
 			n.tellShares(now, lag, beat%12 == 0)
--- a/testbed/path_test.go
+++ b/testbed/path_test.go
@@ -436,7 +436,7 @@
 	for i := range 4 {
 		r.playing("clip", "safe", fmt.Sprint("v", i))
 	}
-	r.settings.Retire = true
+	r.settings.ReleasePlays = true
 	r.stop()
 	if r.count(trace.End, "") != 0 {
 		t.Fatal("a front whose next life is expected leaves its plays alone")
@@ -468,7 +468,7 @@
 		t.Errorf("asked %d, plays %d, answers %d, doubled %d", rep.Asked, rep.Plays, rep.MostAnswers, rep.Doubled)
 	}
 	for i, rule := range rep.Rules {
-		for _, b := range rule.Breaks {
+		for _, b := range rule.Violations {
 			t.Errorf("rule %d: %s", i+1, b)
 		}
 	}
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -24,8 +24,8 @@
 	Name            string
 	Product         *config.Product
 	Title           string
-	Top             int
-	Watch           time.Duration
+	MaxRung         int
+	WatchTime       time.Duration
 	Fronts          []string      // addresses it may ask, the first one first
 	Names           []string      // of these fronts
 	MaxRetries      int           // further tries after a decline, a failure or a break
@@ -78,24 +78,24 @@
 		line.Note = "broken"
 	}
 	if first {
-		line.WatchMs, line.Rung = v.Watch.Milliseconds(), v.Top
+		line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 	}
 	limit := time.Duration(v.Product.LimitMs) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, limit+2*time.Second) // longer than its limit, to see what comes late
 	defer cancel()
 	p.Trace.Add(line)
 	got, err := client.Manifest(ctx, p.Client, target)
-	ans := trace.Event{Kind: trace.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Why}
+	ans := trace.Event{Kind: trace.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Reason}
 	if err != nil {
 		ans.Note = err.Error()
 	}
 	p.Trace.Add(ans)
-	return result{status: got.Status, play: got.Play, manifest: got.Manifest, back: got.ComeBack}
+	return result{status: got.Status, play: got.Play, manifest: got.Manifest, back: got.RetryAfter}
 }
 
 // firstURL asks for the title anew.
 func (p *ViewerClients) firstURL(v *Viewer, at int, left time.Duration) string {
-	return client.FirstManifest("http", v.Fronts[at], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, Top: v.Top, Length: left})
+	return client.FirstManifest("http", v.Fronts[at], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: left})
 }
 
 // Watch lives through one viewer's wish: asks, fetches, retries, returns after breaks and moves, and
@@ -108,9 +108,9 @@
 	began := time.Now()
 	first, at, tries := true, 0, 0
 	target, before, broken := "", "", false
-	for ctx.Err() == nil && time.Since(began) < v.Watch {
+	for ctx.Err() == nil && time.Since(began) < v.WatchTime {
 		if target == "" {
-			target = p.firstURL(v, at, v.Watch-time.Since(began))
+			target = p.firstURL(v, at, v.WatchTime-time.Since(began))
 		}
 		res := p.ask(ctx, v, at, target, before, first, broken)
 		first = false
@@ -161,7 +161,7 @@
 func (p *ViewerClients) play(ctx context.Context, v *Viewer, at int, res *result, began time.Time) outcome {
 	every := time.Duration(res.manifest.Segment) * time.Millisecond
 	hint, fails := "", 0
-	for n := 1; time.Since(began) < v.Watch; n++ {
+	for n := 1; time.Since(began) < v.WatchTime; n++ {
 		m := &res.manifest
 		rung := m.Rungs[len(m.Rungs)-1]
 		status, suggest := p.fetch(ctx, m.Base+dash.RepresentationID(rung)+"/"+strconv.Itoa(n)+".m4s", every)
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return key, err
 	}
-	r.fleet = &Fleet{set: &d.Service, check: minter.Checker, tape: r.tape, setUpMs: d.SetUpMs, guard: d.Guard,
+	r.fleet = &Fleet{set: &d.Service, check: minter.Checker, tape: r.tape, setUpMs: d.SetUpMs, guard: d.MaxLinkLoad,
 		idle: time.Duration(d.IdleMs) * time.Millisecond, rnd: rand.New(rand.NewPCG(d.Seed, 2)), nodes: map[string]*Node{}}
 	for range d.Service.Racks {
 		given := d.Service.UplinkKB
@@ -361,7 +361,7 @@
 	if err != nil {
 		return err
 	}
-	claim, err := frontend.NewClaim(set.State)
+	claim, err := frontend.LockFolder(set.State)
 	if err != nil {
 		return err
 	}
@@ -442,19 +442,19 @@
 				return
 			}
 			v := &Viewer{Name: fmt.Sprintf("v%d", n), MaxRetries: d.MaxRetries, Pause: time.Duration(d.PauseMs) * time.Millisecond,
-				HeedsRetryAfter: rnd.Float64() < d.RetryAfterShare, Top: len(d.Service.RatesKB) - 1, Rand: rand.New(rand.NewPCG(d.Seed, uint64(n)+10))}
+				HeedsRetryAfter: rnd.Float64() < d.RetryAfterShare, MaxRung: len(d.Service.RatesKB) - 1, Rand: rand.New(rand.NewPCG(d.Seed, uint64(n)+10))}
 			_, part := math.Modf(float64(n) * math.Phi) // spread evenly, and apart from the day's draws
 			v.Socket = part < d.SocketShare
 			pick := rnd.Float64()
 			for _, p := range d.Products {
 				v.Product = &d.Service.Products[p.Number]
-				v.Watch = time.Duration((p.Watch[0] + rnd.Float64()*(p.Watch[1]-p.Watch[0])) * float64(time.Second))
+				v.WatchTime = time.Duration((p.Watch[0] + rnd.Float64()*(p.Watch[1]-p.Watch[0])) * float64(time.Second))
 				if pick -= p.Share; pick < 0 {
 					break
 				}
 			}
 			if rnd.Float64() < d.SmallScreenShare {
-				v.Top = max(v.Product.Floor, v.Top-1-rnd.IntN(2))
+				v.MaxRung = max(v.Product.MinRung, v.MaxRung-1-rnd.IntN(2))
 			}
 			x := rnd.Float64() * sum
 			for i, w := range weights {
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -79,8 +79,8 @@
 	}
 	r.fleet = &Fleet{set: r.set, check: r.minter.Checker, tape: r.tape, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
 		rnd: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*Node{}, racks: []rack{{1e9, 1}, {1e9, 1}}}
-	r.settings = config.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, Waiting: 64, Sockets: 1000, TokenMs: 60000,
-		EndMs: 3000, Keys: keys, Service: set}
+	r.settings = config.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, MaxWaiting: 64, MaxSockets: 1000, TokenMs: 60000,
+		ShutdownMs: 3000, Keys: keys, Service: set}
 	change(r)
 	r.registry = NewListService(r.tape, 0)
 	lines := others
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -132,7 +132,7 @@
 		return 1
 	}
 	set := &n.sim.Scenario.Service
-	return min(1, set.ColdShare+(1-set.ColdShare)*float64(n.sim.now-n.coldAt)/10/set.ColdLastsMs)
+	return min(1, set.ColdShare+(1-set.ColdShare)*float64(n.sim.now-n.coldAt)/10/set.ColdDurationMs)
 }
 
 func (n *simNode) rack() int { return n.cell % len(n.sim.racks) }
@@ -224,23 +224,23 @@
 func (n *simNode) refusal(a *session.Allocation) string {
 	set := &n.sim.Scenario.Service
 	t, ok := set.Lookup(a.Title)
-	streams := set.Kinds[0].Streams
+	streams := set.Kinds[0].MaxStreams
 	for _, k := range set.Kinds {
 		if k.Name == n.line.Kind {
-			streams = k.Streams
+			streams = k.MaxStreams
 		}
 	}
 	link, _ := n.loads()
 	switch {
-	case a.Rung < set.Products[a.Product].Floor:
+	case a.Rung < set.Products[a.Product].MinRung:
 		return "malformed"
-	case !ok || ((n.cell-t.Home)%set.Cells+set.Cells)%set.Cells >= t.Copies:
+	case !ok || ((n.cell-t.FirstCell)%set.Cells+set.Cells)%set.Cells >= t.CellCount:
 		return "the title is not here"
 	case n.drains:
 		return "draining"
 	case len(n.held) >= streams:
 		return "no stream free"
-	case n.sim.Scenario.Guard > 0 && link >= n.sim.Scenario.Guard:
+	case n.sim.Scenario.MaxLinkLoad > 0 && link >= n.sim.Scenario.MaxLinkLoad:
 		return "link full"
 	}
 	return ""
@@ -249,14 +249,14 @@
 func (n *simNode) pushed() bool {
 	set := &n.sim.Scenario.Service
 	age := float64(n.sim.now-n.coldAt) / 10
-	if n.coldAt == 0 || age > set.ColdLastsMs {
+	if n.coldAt == 0 || age > set.ColdDurationMs {
 		return false
 	}
 	n.setUps = append(n.setUps, n.sim.now)
 	for float64(n.sim.now-n.setUps[0])/10 > set.FallOverMs {
 		n.setUps = n.setUps[1:]
 	}
-	return float64(len(n.setUps)) > audit.Allowance(set, set.Kinds[0].Streams, age)+2
+	return float64(len(n.setUps)) > audit.Allowance(set, set.Kinds[0].MaxStreams, age)+2
 }
 
 // tick ends idle and abandoned plays, and once a second tells shares.
@@ -290,7 +290,7 @@
 	if len(n.shares) > 64 {
 		n.shares = n.shares[1:]
 	}
-	lag := int(math.Round(s.Scenario.Service.NoteLagMs/1000 + s.late))
+	lag := int(math.Round(s.Scenario.Service.ReportDelayMs/1000 + s.late))
 	if n.hushed > 0 || len(n.shares) <= lag+1 {
 		return
 	}
@@ -807,7 +807,7 @@
 		line.Note = "broken"
 	}
 	if v.first {
-		line.WatchMs, line.Rung = v.Watch.Milliseconds(), v.Top
+		line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 	}
 	v.first = false
 	s.add(line)
@@ -824,7 +824,7 @@
 	f.asks[reply] = id
 	home, copies, _ := s.Scenario.Service.Title(v.Title)
 	number, _ := s.Scenario.Service.ProductNumber(v.Product.Name)
-	a := session.Request{Product: number, Title: v.Title, FirstCell: home, CellCount: copies, Viewer: v.Name, Deadline: limit, MaxRung: v.Top,
+	a := session.Request{Product: number, Title: v.Title, FirstCell: home, CellCount: copies, Viewer: v.Name, Deadline: limit, MaxRung: v.MaxRung,
 		Length: max(0, v.until-s.now), Reply: reply}
 	if v.before != "" {
 		a.Previous = &session.Previous{Play: v.before, NotDelivered: v.broken}
@@ -991,7 +991,7 @@
 			s.seconds(a.at, func() {
 				a.v.Title = d.crowded(a, s.crowd)
 				v := &simViewer{Viewer: a.v, sim: s, front: s.lean.first(a), began: s.now, first: true}
-				v.until = s.now + session.Ticks(a.v.Watch)
+				v.until = s.now + session.Ticks(a.v.WatchTime)
 				v.ask()
 			})
 		}
--- a/testbed/sim_test.go
+++ b/testbed/sim_test.go
@@ -50,7 +50,7 @@
 		for seed := range uint64(12) {
 			d.Seed = seed + 1
 			rep := (&Sim{Scenario: d}).Run().Report
-			if !rep.Kept() || rep.MostAnswers != 1 || rep.Plays == 0 {
+			if !rep.RulesKept() || rep.MostAnswers != 1 || rep.Plays == 0 {
 				t.Errorf("%s, seed %d: %+v", name, d.Seed, rep.Rules)
 			}
 		}
@@ -64,11 +64,11 @@
 		t.Errorf("a steady gain under wide noise: %v", d)
 	}
 	b = []float64{0.60, 0.45, 0.47, 0.52, 0.50}
-	if d := PairedDifference("x", a, b); d.Significant() || d.Needed < 5 {
+	if d := PairedDifference("x", a, b); d.Significant() || d.SeedsNeeded < 5 {
 		t.Errorf("noise: %v", d)
 	}
 	// By hand: differences 1, 2, 3: mean 2, sd 1, t(2) = 4.3027, half width 4.3027/sqrt(3) = 2.4841.
-	if d := PairedDifference("x", []float64{0, 0, 0}, []float64{1, 2, 3}); math.Abs(d.Half-2.4841) > 1e-3 || d.Significant() {
+	if d := PairedDifference("x", []float64{0, 0, 0}, []float64{1, 2, 3}); math.Abs(d.HalfWidth-2.4841) > 1e-3 || d.Significant() {
 		t.Errorf("by hand: %+v", d)
 	}
 	if d := PairedDifference("x", []float64{1}, []float64{2}); d.Significant() {
@@ -113,7 +113,7 @@
 		}
 		for seed := range uint64(5) {
 			d.Seed = seed + 1
-			if rep := (&Sim{Scenario: d}).Run().Report; !rep.Kept() || rep.Plays == 0 {
+			if rep := (&Sim{Scenario: d}).Run().Report; !rep.RulesKept() || rep.Plays == 0 {
 				t.Errorf("%s, seed %d: %+v", filepath.Base(f), d.Seed, rep.Rules)
 			}
 		}
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -38,7 +38,7 @@
 	for i, a := range v.Fronts {
 		names[a] = v.Names[i]
 	}
-	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, Trace: func(t client.Trace) {
+	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, Trace: func(t client.Exchange) {
 		mu.Lock()
 		defer mu.Unlock()
 		if t.Answer == nil && t.Lost == nil {
@@ -50,7 +50,7 @@
 				line.Note = "broken"
 			}
 			if first {
-				line.WatchMs, line.Rung = v.Watch.Milliseconds(), v.Top
+				line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 			}
 			first = false
 			p.Trace.Add(line)
@@ -77,9 +77,9 @@
 		p.Trace.Add(line)
 	}})
 	defer c.Close()
-	for tries := 0; ctx.Err() == nil && time.Since(began) < v.Watch && tries <= v.MaxRetries; tries++ {
-		play, err := c.Ask(ctx, client.Request{Title: v.Title, Product: v.Product.Name, Top: v.Top, Limit: time.Duration(v.Product.LimitMs) * time.Millisecond,
-			Length: v.Watch - time.Since(began), Tries: v.MaxRetries})
+	for tries := 0; ctx.Err() == nil && time.Since(began) < v.WatchTime && tries <= v.MaxRetries; tries++ {
+		play, err := c.RequestPlay(ctx, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Timeout: time.Duration(v.Product.LimitMs) * time.Millisecond,
+			Length: v.WatchTime - time.Since(began), MaxRetries: v.MaxRetries})
 		if err != nil {
 			return // its tries are used up
 		}
@@ -94,7 +94,7 @@
 // fetchAll fetches segments until the viewer's time is over, or the play is, which it tells with false.
 func (p *ViewerClients) fetchAll(ctx context.Context, v *Viewer, play *client.Play, began time.Time) bool {
 	fails, away := 0, false
-	for n := 1; time.Since(began) < v.Watch; n++ {
+	for n := 1; time.Since(began) < v.WatchTime; n++ {
 		g := play.Grant()
 		every := time.Duration(g.Segment) * time.Millisecond
 		if !away {
@@ -107,7 +107,7 @@
 			default:
 				if fails++; fails == 2 {
 					fails = 0
-					play.Broken()
+					play.ReportNotDelivered()
 				}
 			}
 		}
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -24,7 +24,7 @@
 
 func (r *rig) asks(c *client.Client, title, product string, tries int) *client.Play {
 	r.t.Helper()
-	p, err := c.Ask(r.t.Context(), client.Request{Title: title, Product: product, Top: -1, Limit: time.Second, Tries: tries})
+	p, err := c.RequestPlay(r.t.Context(), client.Request{Title: title, Product: product, MaxRung: -1, Timeout: time.Second, MaxRetries: tries})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	if e.Grant.Play == was.Play || r.fetches(e.Grant) != 200 {
 		t.Fatalf("placed anew: %+v", e.Grant)
 	}
-	p.Broken() // and the viewer's own word
+	p.ReportNotDelivered() // and the viewer's own word
 	if e = r.event(p, client.Moved); r.fetches(e.Grant) != 200 {
 		t.Fatal("not placed anew after it said so")
 	}
@@ -118,7 +118,7 @@
 			ok := false
 			if i%2 == 0 {
 				c := r.viewer(fmt.Sprint("v", i))
-				_, err := c.Ask(t.Context(), client.Request{Title: "clip", Product: "paid", Top: -1, Limit: time.Second})
+				_, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "paid", MaxRung: -1, Timeout: time.Second})
 				var no *client.RefusedError
 				if ok = err == nil; !ok && !errors.As(err, &no) {
 					t.Error(err)
@@ -147,12 +147,12 @@
 	c := r.viewer("v")
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := c.Ask(ctx, client.Request{Title: "clip", Product: "safe", Top: -1, Limit: time.Second, Tries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := c.RequestPlay(ctx, client.Request{Title: "clip", Product: "safe", MaxRung: -1, Timeout: time.Second, MaxRetries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
 	r.eventually("its end", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
 	c.Close()
-	if _, err := c.Ask(t.Context(), client.Request{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
+	if _, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
 		t.Fatalf("after its end: %v", err)
 	}
 }
--- a/wsapi/line.go
+++ b/wsapi/line.go
@@ -76,7 +76,7 @@
 	}
 	l.sent = m.Cursor
 	l.mu.Unlock()
-	out := Message{Ticket: l.ticket, Cursor: m.Cursor, Skipped: m.Skipped}
+	out := Message{Ticket: l.ticket, Cursor: m.Cursor, Skipped: m.Omitted}
 	switch v := m.Value.(type) {
 	case session.Event:
 		out.Type, out.Play = "ended", v.Answer.Play
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -300,7 +300,7 @@
 	s.mu.Lock()
 	lines, st := append([]*line(nil), s.lines...), sockets.SocketState{Since: s.since}
 	if s.behind > 0 {
-		st.Behind = now - s.behind
+		st.WriteDelay = now - s.behind
 	}
 	s.mu.Unlock()
 	for _, l := range lines {
