--- a/client/client.go
+++ b/client/client.go
@@ -36,22 +36,22 @@
 
 // Options say who the viewer is and where it asks. Fronts must not be empty.
 type Options struct {
-	Fronts []string // addresses, host:port; the first one is asked first
-	TLS    bool
-	Viewer string
-	HTTP   *http.Client   // nil is http.DefaultClient
-	Trace  func(Exchange) // told of each request and answer, on the client's goroutine; may be nil
-	Herd   time.Duration
+	Fronts          []string // addresses, host:port; the first one is asked first
+	TLS             bool
+	Viewer          string
+	HTTP            *http.Client   // nil is http.DefaultClient
+	OnExchange      func(Exchange) // told of each request and answer, on the client's goroutine; may be nil
+	ReconnectSpread time.Duration
 }
 
 // Exchange is a request or answer as it crossed the socket.
 type Exchange struct {
 	Ticket, Front string
-	Want          Request // of a request
-	Before        string  // the play that its token names
-	Broken        bool
+	Request       Request // of a request
+	PreviousPlay  string  // the play that its token names
+	NotDelivered  bool
 	Answer        *wsapi.Message // nil for a request
-	Lost          error          // the request has no answer: its front is gone
+	Err           error          // the request has no answer: its front is gone
 }
 
 // Request is what a viewer asks for. Top below 0 is not told; Limit and Length 0 are not.
@@ -66,10 +66,10 @@
 type EventKind uint8
 
 const (
-	Rung  EventKind = iota // other rungs may be fetched from now on
-	Moved                  // it plays elsewhere from now on
-	Away                   // it plays nowhere; another place is being asked for
-	Ended                  // it is over
+	Rung        EventKind = iota // other rungs may be fetched from now on
+	Moved                        // it plays elsewhere from now on
+	Interrupted                  // it plays nowhere; another place is being asked for
+	Ended                        // it is over
 )
 
 // Event is a change of a play.
@@ -110,8 +110,8 @@
 
 // New makes a client. Close ends it.
 func New(o Options) *Client {
-	if o.Herd == 0 {
-		o.Herd = herd
+	if o.ReconnectSpread == 0 {
+		o.ReconnectSpread = herd
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{o: o, ctx: ctx, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1)}
@@ -125,7 +125,7 @@
 	plays := append([]*Play(nil), c.plays...)
 	c.mu.Unlock()
 	for _, p := range plays {
-		p.Leave()
+		p.End()
 	}
 	if len(plays) > 0 {
 		c.settle()
@@ -202,7 +202,7 @@
 		}
 		return p, nil
 	case <-ctx.Done():
-		p.Leave()
+		p.End()
 		return nil, ctx.Err()
 	case <-c.done:
 		return nil, ErrClosed
@@ -230,8 +230,8 @@
 	p.c.wake()
 }
 
-// Leave ends the play, or the request for it.
-func (p *Play) Leave() {
+// End ends the play, or the request for it.
+func (p *Play) End() {
 	p.c.mu.Lock()
 	if p.state == asked || p.state == plays {
 		p.c.say(wsapi.Message{Type: "bye", Ticket: p.ticket})
@@ -256,7 +256,7 @@
 		return
 	}
 	if p.state == asked {
-		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: err})
+		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Err: err})
 	}
 	p.state = closed
 	if !p.ever {
@@ -337,7 +337,7 @@
 		if pause == 0 {
 			pause = drawn(min(pauseMost, pauseLeast<<min(failures, 8)))
 			if served && len(c.plays) > 0 { // it broke: others broke with it
-				pause = time.Duration(mathrand.Float64() * float64(c.o.Herd))
+				pause = time.Duration(mathrand.Float64() * float64(c.o.ReconnectSpread))
 			}
 		}
 		c.mu.Unlock()
@@ -374,7 +374,7 @@
 
 // comeBack reads a front's advice, in milliseconds where it is told, and in whole seconds else.
 func comeBack(h http.Header) time.Duration {
-	if ms, err := strconv.Atoi(h.Get(wsapi.ComeBackHeader)); err == nil && ms > 0 {
+	if ms, err := strconv.Atoi(h.Get(wsapi.RetryAfterMsHeader)); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
 	if s, err := strconv.Atoi(h.Get("Retry-After")); err == nil && s > 0 {
@@ -460,7 +460,7 @@
 			c.say(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor})
 			return
 		}
-		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: errors.New("its front is gone")})
+		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Err: errors.New("its front is gone")})
 		p.state, p.askAt = toAsk, time.Now()
 	}
 }
@@ -472,7 +472,7 @@
 	c.out = nil
 	for _, p := range c.plays {
 		if p.state == asked && p.front == at && time.Now().After(p.limitAt) {
-			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: err})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Err: err})
 			c.retry(p, &RefusedError{Verdict: "failed", Reason: err.Error()})
 		}
 	}
@@ -514,13 +514,13 @@
 		limit = 30 * time.Second
 	}
 	p.limitAt = now.Add(limit)
-	c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Want: p.want, Before: p.playedBy, Broken: m.Broken})
+	c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Request: p.want, PreviousPlay: p.playedBy, NotDelivered: m.Broken})
 	c.say(m)
 }
 
 func (c *Client) trace(t Exchange) {
-	if c.o.Trace != nil {
-		c.o.Trace(t)
+	if c.o.OnExchange != nil {
+		c.o.OnExchange(t)
 	}
 }
 
@@ -595,7 +595,7 @@
 		p.grant = *m.Grant
 		p.emit(Event{Kind: Rung, Grant: p.grant})
 	case "moved":
-		p.emit(Event{Kind: Away, Reason: m.Why})
+		p.emit(Event{Kind: Interrupted, Reason: m.Why})
 		p.before, p.state, p.askAt = p.grant.Token, toAsk, time.Now()
 	case "ended":
 		c.end(p, Event{Kind: Ended, Reason: m.Why}, &RefusedError{Verdict: "failed", Reason: "ended"})
@@ -604,9 +604,9 @@
 	case "unknown":
 		if p.state == plays { // its front died: another place, by its token
 			p.before = p.grant.Token
-			p.emit(Event{Kind: Away, Reason: "its front is gone"})
+			p.emit(Event{Kind: Interrupted, Reason: "its front is gone"})
 		} else if p.state == asked {
-			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: errors.New("its request is not known any more")})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Err: errors.New("its request is not known any more")})
 		}
 		p.state, p.askAt = toAsk, time.Now()
 	case "error":
--- a/client/manifest.go
+++ b/client/manifest.go
@@ -15,8 +15,8 @@
 
 const manifestMost = 1 << 20 // bytes
 
-// FirstManifest is the address of a title's manifest at a front, for a first request.
-func FirstManifest(scheme, front, viewer string, w Request) string {
+// FirstManifestURL is the address of a title's manifest at a front, for a first request.
+func FirstManifestURL(scheme, front, viewer string, w Request) string {
 	q := url.Values{"product": {w.Product}, "viewer": {viewer}}
 	if w.MaxRung >= 0 {
 		q.Set("top", strconv.Itoa(w.MaxRung))
@@ -39,8 +39,8 @@
 	Manifest   dash.Manifest // with Status 200; its Location is absolute
 }
 
-// Manifest asks for a manifest once. The error says that no answer came; an answer that is no manifest comes with Status 0.
-func Manifest(ctx context.Context, h *http.Client, target string) (ManifestAnswer, error) {
+// RequestManifest asks for a manifest once. The error says that no answer came; an answer that is no manifest comes with Status 0.
+func RequestManifest(ctx context.Context, h *http.Client, target string) (ManifestAnswer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return ManifestAnswer{}, fmt.Errorf("manifest: %w", err)
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -127,7 +127,7 @@
 		os.Remove(filepath.Join(run.Folder, old))
 	}
 	os.RemoveAll(filepath.Join(run.Folder, "tapes"))
-	s := &started{run: run, day: day, self: self, tape: trace.NewAt(base), ended: map[string]chan struct{}{}}
+	s := &started{run: run, day: day, self: self, tape: trace.NewSince(base), ended: map[string]chan struct{}{}}
 	if err := os.MkdirAll(filepath.Join(run.Folder, "tapes"), 0o700); err != nil {
 		return s, fmt.Errorf("kit: %w", err)
 	}
@@ -432,7 +432,7 @@
 		return err
 	}
 	day.Seed = run.Seed
-	t := trace.NewAt(time.Duration(run.BaseNs))
+	t := trace.NewSince(time.Duration(run.BaseNs))
 	part := &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
 	defer part.Stop()
 	var lines []trace.Event
@@ -477,7 +477,7 @@
 			return err
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("POST /announce", part.Announce)
+		mux.HandleFunc("POST /announce", part.HandleUpdateNodes)
 		server := &http.Server{Handler: mux}
 		go server.Serve(back)
 		defer server.Close()
@@ -493,7 +493,7 @@
 			if ok, err := run.Find("list", &list); !ok {
 				return fmt.Errorf("kit: no list service: %w", err)
 			}
-			part.AnnounceAt(list.Announce)
+			part.ForwardUpdatesTo(list.Announce)
 		}
 		part.Script(ctx, start)
 	}
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -59,7 +59,7 @@
 		return wrong{err}
 	}
 	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", set.Name).Logger()
-	claim, err := frontend.LockFolder(set.State)
+	claim, err := frontend.LockFolder(set.StateFolder)
 	if err != nil {
 		return err
 	}
@@ -279,9 +279,9 @@
 		row("failed", r.Failed)
 		row("denied", r.Denied)
 		row("cut by a front's end", r.Interrupted)
-		row("answers to a request, most", r.MostAnswers)
+		row("answers to a request, most", r.MaxAnswers)
 		row("allocations doubled", r.Doubled)
-		row("further allocations", r.Retried)
+		row("further allocations", r.Reallocated)
 		row("first frame p50, p99", fmt.Sprintf("%d ms, %d ms", p50, p99))
 		row("segments by rung", r.Rungs)
 		if short >= 0 {
--- a/config/service.go
+++ b/config/service.go
@@ -44,8 +44,8 @@
 	WeightKB          float64 // link of a node of weight 1, kB a second
 	UplinkKB          float64 // mean uplink of a rack; 0 is not told
 	Fronts            int
-	Reports           string // how nodes tell their load: probe, answers or none
-	Uplinks           bool   // reports tell the uplink too
+	ReportMode        string // how nodes tell their load: probe, answers or none
+	ReportUplinks     bool   // reports tell the uplink too
 	ReportDelayMs     float64
 	SharedStreamShare float64 // part of its rate that a further viewer of a live stream adds; 1 is nothing shared
 	MaxAttempts       int     // allocations of one play at most
@@ -112,8 +112,8 @@
 		s.titleAt[t.Name] = i
 	}
 	r := v.At("reports").Object(true)
-	s.Reports = r.At("how").Choice("probe", "answers", "none")
-	s.Uplinks = r.At("uplinks").BoolOr(false)
+	s.ReportMode = r.At("how").Choice("probe", "answers", "none")
+	s.ReportUplinks = r.At("uplinks").BoolOr(false)
 	s.ReportDelayMs = r.At("note_lag_ms").NumberOr(1000, 0, mostMs)
 	r.RejectUnknown()
 	r = v.At("rules").Object(true)
@@ -170,9 +170,9 @@
 	}
 	out := map[string][]float64{"fronts": one(float64(s.Fronts)), "front": one(float64(front)),
 		"cells": one(float64(s.Cells)), "racks": one(float64(s.Racks)), "rung.rate": s.RatesKB, "rung.worth": s.RungWorth,
-		"weight.rate": one(s.WeightKB), "uplink.rate": one(s.UplinkKB), "reports.uplink": yes(s.Uplinks && s.Reports != "none"),
+		"weight.rate": one(s.WeightKB), "uplink.rate": one(s.UplinkKB), "reports.uplink": yes(s.ReportUplinks && s.ReportMode != "none"),
 		"note.lag": one(s.ReportDelayMs * 10), "switch.seconds": one(s.SwitchSeconds), "tries": one(float64(s.MaxAttempts)),
-		"probing": yes(s.Reports == "probe"), "recall": one(1), "comeback": yes(s.MaxRetryAfterMs > 0),
+		"probing": yes(s.ReportMode == "probe"), "recall": one(1), "comeback": yes(s.MaxRetryAfterMs > 0),
 		"comeback.most": one(s.MaxRetryAfterMs * 10), "cold.share": one(s.ColdShare), "cold.lasts": one(s.ColdDurationMs * 10),
 		"fall.multiple": one(s.FallMultiple), "fall.over": one(s.FallOverMs * 10)}
 	if s.BudgetWindowMs > 0 {
@@ -263,7 +263,7 @@
 	Cert         string // files of the certificate shown to players and its key; empty speaks plainly
 	CertKey      string
 	NodesCA      string  // file of the authorities that vouch for nodes; empty speaks plainly to them
-	State        string  // folder for what outlives the process; empty is none
+	StateFolder  string  // folder for what outlives the process; empty is none
 	ShutdownMs   float64 // an orderly end takes no longer
 	ReleasePlays bool    // at its end it lets its plays go, as nobody takes its place
 	Keys         []Key
@@ -327,7 +327,7 @@
 	f.Log = e.At("log").Choice("info", "debug", "warn", "error")
 	f.MaxWaiting, f.MaxSockets = e.At("waiting").IntOr(256, 1, 1<<20), e.At("sockets").IntOr(8192, 1, 1<<20)
 	f.TokenMs = e.At("token_ms").NumberOr(600_000, 1000, 24*mostMs)
-	f.State, f.ShutdownMs = e.At("state").TextOr(""), e.At("end_within_ms").NumberOr(max(1000, f.Service.LongestMs()), 100, mostMs)
+	f.StateFolder, f.ShutdownMs = e.At("state").TextOr(""), e.At("end_within_ms").NumberOr(max(1000, f.Service.LongestMs()), 100, mostMs)
 	f.ReleasePlays = e.At("retire").BoolOr(false)
 	if t := e.At("tls"); t.Given() {
 		t.Object(true)
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -140,7 +140,7 @@
 	switch {
 	case err == nil:
 		return cl, true
-	case errors.Is(err, token.ErrForeign):
+	case errors.Is(err, token.ErrWrongType):
 		refuse(w, http.StatusForbidden, err.Error())
 	default:
 		w.Header().Set("WWW-Authenticate", `Bearer error="invalid_token"`)
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("saved %w", err)
 	}
-	return &membership.Update{Source: membership.Saved, Version: s.Version, Full: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Lines: lines}, nil
+	return &membership.Update{Source: membership.Saved, Version: s.Version, Full: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Entries: lines}, nil
 }
 
 // run offers what was saved if the list service has not spoken in time, and writes the list down as it changes, until
@@ -109,7 +109,7 @@
 		select {
 		case ok := <-used:
 			if ok {
-				f.say.Warn().Int("nodes", len(word.Lines)).Dur("age", session.Duration(word.Age)).Msg("the list service has not spoken: the saved list is used")
+				f.say.Warn().Int("nodes", len(word.Entries)).Dur("age", session.Duration(word.Age)).Msg("the list service has not spoken: the saved list is used")
 			}
 		case <-ctx.Done():
 			return nil
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -47,7 +47,7 @@
 // Listen makes a front end and opens its socket, so that a port that is taken shows at once. Epoch
 // tells the lives of the front apart: it must be greater than that of any earlier one.
 func Listen(set config.Front, epoch int64, log zerolog.Logger) (*Front, error) {
-	minter, err := Minter(set.Keys)
+	minter, err := NewMinter(set.Keys)
 	if err != nil {
 		return nil, err
 	}
@@ -78,13 +78,13 @@
 	seed := set.Seed + uint64(set.Number)*1_000_003 // fronts that share a settings file still draw apart
 	f := &Front{set: set, log: log, listen: listen, runner: session.NewRunner(clock, admission.New(set.MaxWaiting, seed))}
 	service := &f.set.Service
-	f.client = nodes.NewClient(set.Name, epoch, service.Reports == "answers",
+	f.client = nodes.NewClient(set.Name, epoch, service.ReportMode == "answers",
 		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, secure, log)
 	module := placement.New(set.PolicySettings(), seed)
 	carrier := session.Transport(f.client)
 	var was earlier
-	if set.State != "" {
-		if f.journal, was, err = openJournal(set.State, service, epoch, f.client, f.runner, log); err != nil {
+	if set.StateFolder != "" {
+		if f.journal, was, err = openJournal(set.StateFolder, service, epoch, f.client, f.runner, log); err != nil {
 			listen.Close()
 			return nil, err
 		}
@@ -110,7 +110,7 @@
 	mux.Handle("/v1/", dash.NewFront(d, log))
 	f.sockets = wsapi.New(d, clock, set.MaxSockets, seed+1, log)
 	mux.Handle("GET "+wsapi.Path, f.sockets)
-	if f.fleet, err = openFleet(set.State, set.ListURL, service, f.runner, log); err != nil {
+	if f.fleet, err = openFleet(set.StateFolder, set.ListURL, service, f.runner, log); err != nil {
 		listen.Close()
 		if f.peers != nil {
 			f.peers.Close()
@@ -126,8 +126,8 @@
 	return f, nil
 }
 
-// Minter makes the minter of session tokens from the keys in the settings.
-func Minter(keys []config.Key) (*token.Minter, error) {
+// NewMinter makes the minter of session tokens from the keys in the settings.
+func NewMinter(keys []config.Key) (*token.Minter, error) {
 	var signing token.Key
 	older := map[string]ed25519.PublicKey{}
 	for _, k := range keys {
--- a/frontend/offline.go
+++ b/frontend/offline.go
@@ -62,7 +62,7 @@
 type Salvaged struct {
 	Records, Open int // written to the new store
 	Lost          uint64
-	Gaps          []store.Gap
+	Gaps          []store.MissingRange
 }
 
 // SalvageStore writes what can be had of a damaged store into a new folder, which must not exist yet; the damaged
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -14,8 +14,8 @@
 // New makes a table that knows no name.
 func New() *Table { return &Table{at: map[string]int{}} }
 
-// Hold returns a name's number and counts one reference.
-func (n *Table) Hold(name string) int {
+// Acquire returns a name's number and counts one reference.
+func (n *Table) Acquire(name string) int {
 	i, ok := n.at[name]
 	if !ok {
 		if k := len(n.free); k > 0 {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -68,7 +68,7 @@
 	Version int64 // 0 where the source counts none
 	Full    bool
 	Age     int64 // of what was saved; below 0 where the clock was set back since
-	Lines   []Entry
+	Entries []Entry
 }
 
 type node struct {
@@ -149,8 +149,8 @@
 	}
 	f.top[w.Source] = max(f.top[w.Source], w.Version)
 	f.version[w.Source], f.spoke[w.Source] = w.Version, true
-	in := make(map[string]bool, len(w.Lines))
-	for _, l := range w.Lines {
+	in := make(map[string]bool, len(w.Entries))
+	for _, l := range w.Entries {
 		in[l.Name] = true
 		f.line(now, w, l, unsure, back)
 	}
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -44,7 +44,7 @@
 
 func heard(n int) (*Fleet, core) {
 	f, c := New(), core{}
-	f.Apply(now, Update{Source: List, Version: 10, Full: true, Lines: whole(n)})
+	f.Apply(now, Update{Source: List, Version: 10, Full: true, Entries: whole(n)})
 	c.due(f, now)
 	for i := range n {
 		f.Confirmed(now, fmt.Sprint("n", i), fmt.Sprint("n", i))
@@ -60,21 +60,21 @@
 
 func TestDrainIsNotUndoneByAnOlderOrLowerWord(t *testing.T) {
 	f, c := heard(4)
-	f.Apply(now+1, Update{Source: List, Version: 11, Lines: []Entry{line(0, decision.Draining)}})
+	f.Apply(now+1, Update{Source: List, Version: 11, Entries: []Entry{line(0, decision.Draining)}})
 	c.due(f, now+1)
 	for _, w := range []Update{
-		{Source: List, Version: 11, Lines: []Entry{line(0, decision.Ready)}}, // repeated with another text
-		{Source: List, Version: 9, Lines: []Entry{line(0, decision.Ready)}},  // late
-		{Source: File, Full: true, Lines: whole(4)},                          // of less authority
-		{Source: List, Version: 5, Full: true, Lines: whole(4)},              // gone back in time
-		{Source: Saved, Full: true, Lines: whole(4)},                         // what was
+		{Source: List, Version: 11, Entries: []Entry{line(0, decision.Ready)}}, // repeated with another text
+		{Source: List, Version: 9, Entries: []Entry{line(0, decision.Ready)}},  // late
+		{Source: File, Full: true, Entries: whole(4)},                          // of less authority
+		{Source: List, Version: 5, Full: true, Entries: whole(4)},              // gone back in time
+		{Source: Saved, Full: true, Entries: whole(4)},                         // what was
 	} {
 		f.Apply(now+2, w)
 		if c.due(f, now+2); c["n0"].Phase != decision.Draining {
 			t.Fatalf("undone by %+v", w)
 		}
 	}
-	f.Apply(now+3, Update{Source: List, Version: 20, Lines: []Entry{line(0, decision.Ready)}})
+	f.Apply(now+3, Update{Source: List, Version: 20, Entries: []Entry{line(0, decision.Ready)}})
 	if c.due(f, now+3); c["n0"].Phase != decision.Ready {
 		t.Fatal("a newer word of the list service takes it back")
 	}
@@ -84,15 +84,15 @@
 	f, c := heard(4)
 	l := line(0, decision.Gone)
 	l.Started = 50
-	f.Apply(now, Update{Source: List, Version: 11, Lines: []Entry{l}})
+	f.Apply(now, Update{Source: List, Version: 11, Entries: []Entry{l}})
 	c.due(f, now)
 	l.Phase, l.Started = decision.Ready, 900
-	f.Apply(now+1, Update{Source: List, Version: 12, Lines: []Entry{l}})
+	f.Apply(now+1, Update{Source: List, Version: 12, Entries: []Entry{l}})
 	if c.due(f, now+1); c["n0"].Phase != decision.Ready || c["n0"].Started != 900 {
 		t.Fatalf("%+v", c["n0"])
 	}
 	l.Started = 100
-	f.Apply(now+2, Update{Source: List, Version: 13, Lines: []Entry{l}})
+	f.Apply(now+2, Update{Source: List, Version: 13, Entries: []Entry{l}})
 	if c.due(f, now+2); c["n0"].Started != 900 {
 		t.Fatal("a start went back")
 	}
@@ -109,7 +109,7 @@
 	if wake != now+1+vanishFor {
 		t.Fatalf("asks again at %d", wake-now)
 	}
-	f.Apply(now+2, Update{Source: List, Version: 12, Full: true, Lines: whole(30)}) // mended
+	f.Apply(now+2, Update{Source: List, Version: 12, Full: true, Entries: whole(30)}) // mended
 	if c.due(f, now+2); c.ready() != 30 {
 		t.Fatalf("%d ready after it was mended", c.ready())
 	}
@@ -122,7 +122,7 @@
 
 func TestAFewMayVanishAtOnceAndGoneHoldsAtOnce(t *testing.T) {
 	f, c := heard(30)
-	f.Apply(now, Update{Source: List, Version: 11, Full: true, Lines: whole(25)})
+	f.Apply(now, Update{Source: List, Version: 11, Full: true, Entries: whole(25)})
 	if c.due(f, now); c.ready() != 25 {
 		t.Fatalf("%d ready", c.ready())
 	}
@@ -130,7 +130,7 @@
 	for i := range 25 {
 		gone = append(gone, line(i, decision.Gone))
 	}
-	f.Apply(now, Update{Source: List, Version: 12, Lines: gone})
+	f.Apply(now, Update{Source: List, Version: 12, Entries: gone})
 	if c.due(f, now); c.ready() != 0 {
 		t.Fatalf("%d ready: what is told as gone is gone, however many", c.ready())
 	}
@@ -145,7 +145,7 @@
 		lines := whole(8)
 		lines[1].Phase = decision.Draining
 		lines[0].Started = 77
-		f.Apply(now, Update{Source: Saved, Version: 5, Full: true, Age: x.age, Lines: lines})
+		f.Apply(now, Update{Source: Saved, Version: 5, Full: true, Age: x.age, Entries: lines})
 		c.due(f, now)
 		want := x.ready
 		if want > 0 {
@@ -163,14 +163,14 @@
 			t.Errorf("age %d: a node of unknown start counts as warm", x.age)
 		}
 		// The list service is back: a third of the fleet was replaced since.
-		f.Apply(now+2, Update{Source: List, Version: 3, Full: true, Lines: whole(12)[4:]})
+		f.Apply(now+2, Update{Source: List, Version: 3, Full: true, Entries: whole(12)[4:]})
 		for at := int64(now + 2); at < now+2+vanishFor+decision.Second; at += admitEvery {
 			c.due(f, at)
 		}
 		if l, ok := c["n0"]; c.ready() != 8 || ok && l.Phase == decision.Ready {
 			t.Errorf("age %d: %d ready of the live list's 8", x.age, c.ready())
 		}
-		if f.Apply(now+3, Update{Source: Saved, Full: true, Lines: whole(8)}) {
+		if f.Apply(now+3, Update{Source: Saved, Full: true, Entries: whole(8)}) {
 			t.Error("what was saved counts beside the list service")
 		}
 	}
@@ -178,7 +178,7 @@
 
 func TestHandBackComesInSteps(t *testing.T) {
 	f, c := heard(40)
-	f.Apply(now, Update{Source: List, Version: 11, Full: true, Lines: whole(5000)})
+	f.Apply(now, Update{Source: List, Version: 11, Full: true, Entries: whole(5000)})
 	at, steps, last := int64(now), 0, 40
 	for c.ready() < 5000 {
 		wake := c.due(f, at)
@@ -208,7 +208,7 @@
 	}
 	l := line(2, decision.Ready)
 	l.Address = "moved:1"
-	f.Apply(now, Update{Source: List, Version: 11, Lines: []Entry{l}})
+	f.Apply(now, Update{Source: List, Version: 11, Entries: []Entry{l}})
 	if c.due(f, now+admitEvery); c["n2"].Phase != decision.Ready || c["n2"].Address != "moved:1" {
 		t.Fatalf("at its new address: %+v", c["n2"])
 	}
@@ -218,7 +218,7 @@
 	f, c := heard(20)
 	for i := range 60 {
 		at := now + int64(i)*decision.Second
-		f.Apply(at, Update{Source: List, Version: int64(11 + i), Full: true, Lines: whole(20 * (i % 2))})
+		f.Apply(at, Update{Source: List, Version: int64(11 + i), Full: true, Entries: whole(20 * (i % 2))})
 		if c.due(f, at); c.ready() != 20 {
 			t.Fatalf("second %d: %d ready", i, c.ready())
 		}
@@ -240,12 +240,12 @@
 			i := rapid.IntRange(0, n-1).Draw(t, "node")
 			l := line(i, rapid.SampledFrom([]decision.Phase{decision.Ready, decision.Ready, decision.Draining, decision.Gone}).Draw(t, "phase"))
 			truth[l.Name] = l
-			w := Update{Source: List, Version: version, Lines: []Entry{l}}
+			w := Update{Source: List, Version: version, Entries: []Entry{l}}
 			if rapid.IntRange(0, 4).Draw(t, "whole") == 0 {
-				w.Full, w.Lines = true, nil
+				w.Full, w.Entries = true, nil
 				for k := range n {
 					if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != decision.Gone {
-						w.Lines = append(w.Lines, x)
+						w.Entries = append(w.Entries, x)
 					}
 				}
 			}
@@ -261,7 +261,7 @@
 			}
 			if counts && w.Version >= newest {
 				newest = w.Version
-				for _, l := range w.Lines {
+				for _, l := range w.Entries {
 					if l.Phase != decision.Ready {
 						stopped[l.Name] = w.Version
 					} else {
@@ -283,7 +283,7 @@
 		final := Update{Source: List, Version: version, Full: true}
 		for k := range n {
 			if x, ok := truth[fmt.Sprint("n", k)]; ok && x.Phase != decision.Gone {
-				final.Lines = append(final.Lines, x)
+				final.Entries = append(final.Entries, x)
 			}
 		}
 		hear(final)
@@ -309,7 +309,7 @@
 			lines := whole(n)
 			f := New()
 			for i := range b.N {
-				f.Apply(now+int64(i), Update{Source: List, Version: int64(i + 1), Full: true, Lines: lines})
+				f.Apply(now+int64(i), Update{Source: List, Version: int64(i + 1), Full: true, Entries: lines})
 				f.Due(now + int64(i))
 			}
 		})
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -440,7 +440,7 @@
 		if err != nil {
 			return fmt.Errorf("stream from %s: %w", address, err)
 		}
-		if met == (n.Kind == Hello) {
+		if met == (n.Kind == NoteHello) {
 			return fmt.Errorf("stream from %s: hello comes first and once", address)
 		}
 		met = true
@@ -453,7 +453,7 @@
 func (c *Client) note(node int, n Note) {
 	ref := session.Ref{Play: n.Play, Attempt: n.Attempt, Node: node}
 	switch n.Kind {
-	case Hello:
+	case NoteHello:
 		runs := make([]session.Running, len(n.Plays))
 		for i, p := range n.Plays {
 			product, ok := c.names.ProductNumber(p.Product)
@@ -465,20 +465,20 @@
 				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, TimeLeft: p.LeftMs * decision.Millisecond}
 		}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, runs) })
-	case Beat:
+	case NoteHeartbeat:
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node) })
-	case Ended:
+	case NoteEnded:
 		how := decision.Served
-		if n.EndReason == Lost {
+		if n.EndReason == EndLost {
 			how = decision.ConnectionLost
 		}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.PlayEnded(now, ref, how) })
-	case Share:
+	case NoteShare:
 		c.runner.Post(func(now int64, core *session.Core) {
 			core.StreamActive(now, node)
 			core.DeliveryReported(now, ref, n.Share)
 		})
-	case Load:
+	case NoteLoad:
 		load := decision.Load{Streams: -1, Link: n.Link, Uplink: n.Uplink}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.LoadReported(now, ref, load) })
 	}
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -184,7 +184,7 @@
 			return fmt.Errorf("list service: version %d came after %d", c.Version, have)
 		}
 		*version = c.Version
-		word := membership.Update{Source: membership.List, Version: c.Version, Full: c.Full, Lines: listed}
+		word := membership.Update{Source: membership.List, Version: c.Version, Full: c.Full, Entries: listed}
 		l.Runner.Post(func(now int64, core *session.Core) { core.UpdateMembership(now, word) })
 	}
 	if err := lines.Err(); err != nil {
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -73,17 +73,17 @@
 
 // The kinds of Note.
 const (
-	Hello = "hello" // first on a stream: Node, Life, Mark, Plays
-	Beat  = "beat"  // nothing new
-	Ended = "ended" // Play, Try, How
-	Share = "share" // Play, Try, Share
-	Load  = "load"  // Play, Try, Link and Uplink, below 0 where not told
+	NoteHello     = "hello" // first on a stream: Node, Life, Mark, Plays
+	NoteHeartbeat = "beat"  // nothing new
+	NoteEnded     = "ended" // Play, Attempt, EndReason
+	NoteShare     = "share" // Play, Attempt, Share
+	NoteLoad      = "load"  // Play, Attempt, Link and Uplink, below 0 where not told
 )
 
 // How a play ended, in a Note.
 const (
-	Over = "over" // its time was over or its viewer stopped
-	Lost = "lost" // the node could not go on with it
+	EndOver = "over" // its time was over or its viewer stopped
+	EndLost = "lost" // the node could not go on with it
 )
 
 // Note is one line of a node's stream to a front.
@@ -108,7 +108,7 @@
 		return Note{}, fmt.Errorf("note: %w", err)
 	}
 	switch n.Kind {
-	case Hello:
+	case NoteHello:
 		if n.Node == "" || n.Life <= 0 {
 			return Note{}, fmt.Errorf("note hello: without node or life")
 		}
@@ -117,12 +117,12 @@
 				return Note{}, fmt.Errorf("note hello: play %.40q is malformed", p.Play)
 			}
 		}
-	case Beat:
-	case Ended, Share, Load:
+	case NoteHeartbeat:
+	case NoteEnded, NoteShare, NoteLoad:
 		if n.Play == "" || n.Attempt < 0 {
 			return Note{}, fmt.Errorf("note %s: without play", n.Kind)
 		}
-		if n.Kind == Ended && n.EndReason != Over && n.EndReason != Lost {
+		if n.Kind == NoteEnded && n.EndReason != EndOver && n.EndReason != EndLost {
 			return Note{}, fmt.Errorf("note ended: how %.20q is unknown", n.EndReason)
 		}
 		for _, x := range []float64{n.Share, n.Link, n.Uplink} {
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -3,11 +3,11 @@
 // core of package session carries out what is decided here.
 //
 // A play of an earlier life is in one of these standings. It begins Recorded, where a record tells of it, or
-// Unknown; a node's word makes it Held; its end, by word, by a node seen gone or by the lease, makes it Over:
+// Unknown; a node's word makes it Held; its end, by word, by a node seen gone or by the lease, makes it Ended:
 //
-//	Unknown --told--> Held --missing, gone, lapsed--> Over
+//	Unknown --told--> Held --missing, gone, lapsed--> Ended
 //	Recorded --told--> Held
-//	Recorded --missing, gone, lapsed--> Over
+//	Recorded --missing, gone, lapsed--> Ended
 //
 // Every conflict is settled in the safe direction: what may run keeps its seat, what nobody here answers for is
 // ended at its node, and what is over is never taken up again.
@@ -21,7 +21,7 @@
 	Recorded               // taken over by record, not yet confirmed by its node
 	Held                   // in hand at this node, with this allocation
 	Elsewhere              // in hand, but with another allocation or at another node, or not placed now
-	Over                   // it ended, and this is remembered
+	Ended                  // it ended, and this is remembered
 )
 
 // Action is what to do about a play that a node runs.
@@ -48,7 +48,7 @@
 		}
 	}
 	// Of this life and not in hand: it was given up, and its answer went out as failed. Elsewhere: an allocation
-	// that was let go. Over: its end did not reach the node. Each would hold a seat that nobody counts.
+	// that was let go. Ended: its end did not reach the node. Each would hold a seat that nobody counts.
 	return End
 }
 
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -5,7 +5,7 @@
 // Every standing with every word: what may run is held or ended, and only an unknown play of an earlier life, of
 // a product still known, is taken over.
 func TestEveryWordOfANode(t *testing.T) {
-	for s := Unknown; s <= Over; s++ {
+	for s := Unknown; s <= Ended; s++ {
 		for _, older := range []bool{false, true} {
 			for _, known := range []bool{false, true} {
 				want := End
@@ -29,7 +29,7 @@
 }
 
 func TestWhoAsksAgain(t *testing.T) {
-	for s := Unknown; s <= Over; s++ {
+	for s := Unknown; s <= Ended; s++ {
 		if ResolveRequest(s, true, true) != Fresh || ResolveRequest(s, false, false) != Fresh {
 			t.Errorf("standing %d: heard, or of no record", s)
 		}
--- a/session/core.go
+++ b/session/core.go
@@ -339,7 +339,7 @@
 func (c *Core) standing(id string, r Ref) recovery.State {
 	switch p := c.plays[id]; {
 	case p == nil && c.ended[id].how != "":
-		return recovery.Over
+		return recovery.Ended
 	case p == nil:
 		return recovery.Unknown
 	case p.node != r.Node || p.try != r.Attempt || p.stage == waiting:
@@ -401,8 +401,8 @@
 		return
 	}
 	c.n++
-	p := &play{id: fmt.Sprintf("%s-%x-%d", c.name, c.epoch, c.n), ask: a, title: c.titles.Hold(a.Title),
-		viewer: c.viewers.Hold(a.Viewer)}
+	p := &play{id: fmt.Sprintf("%s-%x-%d", c.name, c.epoch, c.n), ask: a, title: c.titles.Acquire(a.Title),
+		viewer: c.viewers.Acquire(a.Viewer)}
 	c.plays[p.id], c.asking[key] = p, p
 	c.counts.Taken++
 	h, res := c.mod.AddPlay(now, decision.Request{Product: a.Product, Title: p.title, Viewer: p.viewer, Deadline: a.Deadline,
@@ -635,7 +635,7 @@
 func (c *Core) adopt(now int64, at int, life, mark int64, r Running) *play {
 	c.counts.Adopted++
 	p := &play{id: r.Play, stage: playing, node: at, life: life, mark: mark, try: r.Attempt, rung: r.Rung, seq: r.Seq,
-		adopted: true, title: c.titles.Hold(r.Title), viewer: c.viewers.Hold(r.Viewer),
+		adopted: true, title: c.titles.Acquire(r.Title), viewer: c.viewers.Acquire(r.Viewer),
 		ask: Request{Product: r.Product, Title: r.Title, FirstCell: r.FirstCell, CellCount: r.CellCount, Viewer: r.Viewer, MaxRung: r.MaxRung,
 			Length: r.TimeLeft}}
 	c.plays[p.id] = p
@@ -705,7 +705,7 @@
 
 // UpdateList brings the whole list of nodes, or what changed of it, from a list service that counts no versions.
 func (c *Core) UpdateList(now int64, lines []NodeEntry, whole bool) {
-	c.UpdateMembership(now, membership.Update{Source: membership.List, Full: whole, Lines: lines})
+	c.UpdateMembership(now, membership.Update{Source: membership.List, Full: whole, Entries: lines})
 }
 
 // UpdateMembership brings what a source says of the fleet, and tells whether it counts.
--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	Grace           = 10 * decision.Second // what a broken socket leaves is kept so long: a phone changes its network in a few
+	ReconnectGrace  = 10 * decision.Second // what a broken socket leaves is kept so long: a phone changes its network in a few
 	MaxOutbox       = 16                   // messages kept for one play: rungs change every few seconds at most
 	MaxMessageBytes = 8 << 10              // bytes of a player's message: a token and a few words
 	MaxPlays        = 4                    // requests and plays on one socket: a screen, a preview and room to change
@@ -183,7 +183,7 @@
 // Guards against an answer that is decided while nobody listens: it waits for its viewer until the time limit
 // and no longer, so that a seat is not held for somebody who was told nothing.
 func AfterDisconnect(now, limit, brokeAt int64, answered, plays, has bool) (Disposition, int64) {
-	over := brokeAt + Grace
+	over := brokeAt + ReconnectGrace
 	if !answered || plays && !has {
 		over = min(over, limit)
 	}
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -184,10 +184,10 @@
 		{limit - 1, true, true, false, Keep},
 		{limit, true, true, false, Abandon}, // told nothing: its seat is free at its limit
 		{limit, true, true, true, Keep},     // it plays and its viewer knows
-		{broke + Grace - 1, true, true, true, Keep},
-		{broke + Grace, true, true, true, Forget},
-		{broke + Grace - 1, true, false, false, Keep}, // a refusal waits to be fetched
-		{broke + Grace, true, false, false, Forget},
+		{broke + ReconnectGrace - 1, true, true, true, Keep},
+		{broke + ReconnectGrace, true, true, true, Forget},
+		{broke + ReconnectGrace - 1, true, false, false, Keep}, // a refusal waits to be fetched
+		{broke + ReconnectGrace, true, false, false, Forget},
 	} {
 		got, again := AfterDisconnect(c.at, limit, broke, c.answered, c.plays, c.has)
 		if got != c.want || got == Keep && again <= c.at {
--- a/store/salvage.go
+++ b/store/salvage.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Gap is a place where records are missing.
-type Gap struct {
+// MissingRange is a place where records are missing.
+type MissingRange struct {
 	File     string
 	From, To int64 // bytes that hold no whole record
 	Records  uint64
@@ -20,8 +20,8 @@
 // Salvaged is what can be had of a store, whole or not.
 type Salvaged struct {
 	Records [][]byte
-	Gaps    []Gap  // in their order
-	Lost    uint64 // records that were acknowledged, or must have been written, and are not there; at least
+	Gaps    []MissingRange // in their order
+	Lost    uint64         // records that were acknowledged, or must have been written, and are not there; at least
 }
 
 // Salvage reads what can be had of a store without changing it. It never invents: each record that it returns
@@ -44,7 +44,7 @@
 		} else if unborn {
 			return s, nil
 		}
-		s.lose(Gap{File: markFile, To: int64(len(mark)), Records: 1, What: "no slot of it holds: how far the log was acknowledged is not known"})
+		s.lose(MissingRange{File: markFile, To: int64(len(mark)), Records: 1, What: "no slot of it holds: how far the log was acknowledged is not known"})
 		segment, err := lastSegment(files)
 		if err != nil {
 			return nil, err
@@ -55,7 +55,7 @@
 	text, err := files.Read(name)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		s.lose(Gap{File: name, Records: c.Acked + 1 - min(c.First, c.Acked), What: "the segment is missing"})
+		s.lose(MissingRange{File: name, Records: c.Acked + 1 - min(c.First, c.Acked), What: "the segment is missing"})
 		return s, nil
 	case err != nil:
 		return nil, fmt.Errorf("store: %w", err)
@@ -73,20 +73,20 @@
 		to, found := resume(text, at, next, c.Acked)
 		if found == 0 {
 			if next <= c.Acked {
-				s.lose(Gap{name, at, int64(len(text)), c.Acked + 1 - next, why})
+				s.lose(MissingRange{name, at, int64(len(text)), c.Acked + 1 - next, why})
 			}
 			return s, nil // the rest was never acknowledged
 		}
-		s.lose(Gap{name, at, to, found - next, why})
+		s.lose(MissingRange{name, at, to, found - next, why})
 		next, at = found, to
 	}
 	if next <= c.Acked {
-		s.lose(Gap{name, int64(len(text)), int64(len(text)), c.Acked + 1 - next, "the file ends"})
+		s.lose(MissingRange{name, int64(len(text)), int64(len(text)), c.Acked + 1 - next, "the file ends"})
 	}
 	return s, nil
 }
 
-func (s *Salvaged) lose(g Gap) {
+func (s *Salvaged) lose(g MissingRange) {
 	s.Gaps = append(s.Gaps, g)
 	s.Lost += g.Records
 }
--- a/testbed/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -42,9 +42,9 @@
 	Denied      int     `json:"denied"`
 	Interrupted int     `json:"cut"`  // requests whose front was killed, or gone, while they waited
 	Abandoned   int     `json:"left"` // requests whose client went away first
-	MostAnswers int     `json:"answers_per_play"`
+	MaxAnswers  int     `json:"answers_per_play"`
 	Doubled     int     `json:"allocations_doubled"`
-	Retried     int     `json:"further_allocations"`
+	Reallocated int     `json:"further_allocations"`
 	Worth       float64 `json:"worth"` // earned by segments over what viewers came for: rungs and stalls count
 	Service     float64 `json:"service"`
 	FirstMs     []int64 `json:"-"` // first-frame latencies of plays, sorted
@@ -184,7 +184,7 @@
 				continue // judged below, as a request without an answer
 			}
 			q.answers++
-			a.rep.MostAnswers = max(a.rep.MostAnswers, q.answers)
+			a.rep.MaxAnswers = max(a.rep.MaxAnswers, q.answers)
 			from := a.lines[q.line]
 			if q.answers > 1 {
 				a.broken(1, "lines %d and %d: request %d has a second answer", q.line+1, i+1, l.ID)
@@ -300,7 +300,7 @@
 				plays[l.Play] = &state{line: i, try: l.Attempt, node: l.Node, out: true}
 				continue
 			}
-			a.rep.Retried++
+			a.rep.Reallocated++
 			switch {
 			case l.Attempt <= s.try:
 				a.broken(2, "lines %d and %d: play %s has allocation %d twice", s.line+1, i+1, l.Play, l.Attempt)
--- a/testbed/fleet_test.go
+++ b/testbed/fleet_test.go
@@ -13,10 +13,10 @@
 // saved starts a front, lets it write its list down, and stops it and the list service.
 func saved(t *testing.T, n int) *rig {
 	t.Helper()
-	r := newRigWith(t, n, func(r *rig) { r.settings.State = t.TempDir() })
+	r := newRigWith(t, n, func(r *rig) { r.settings.StateFolder = t.TempDir() })
 	r.playing("clip", "safe", "v")
 	r.eventually("the saved list", func() bool {
-		logs, _ := filepath.Glob(filepath.Join(r.settings.State, "fleet", "log-*"))
+		logs, _ := filepath.Glob(filepath.Join(r.settings.StateFolder, "fleet", "log-*"))
 		for _, l := range logs {
 			if i, err := os.Stat(l); err == nil && i.Size() > 100 {
 				return true
@@ -62,7 +62,7 @@
 func TestSavedListThatIsDamagedOrAnotherSitesIsNotUsed(t *testing.T) {
 	for name, harm := range map[string]func(r *rig){
 		"damaged": func(r *rig) {
-			dir := filepath.Join(r.settings.State, "fleet")
+			dir := filepath.Join(r.settings.StateFolder, "fleet")
 			entries, err := os.ReadDir(dir)
 			if err != nil {
 				t.Fatal(err)
--- a/testbed/list.go
+++ b/testbed/list.go
@@ -33,8 +33,8 @@
 	return &ListService{tape: t, lines: map[string]nodes.Line{}, woken: make(chan struct{}), late: late}
 }
 
-// Set enters what became of some nodes, as one version.
-func (s *ListService) Set(lines ...nodes.Line) {
+// UpdateNodes enters what became of some nodes, as one version.
+func (s *ListService) UpdateNodes(lines ...nodes.Line) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range lines {
@@ -60,8 +60,8 @@
 	s.woken = make(chan struct{})
 }
 
-// Late changes how late changes are told from now on.
-func (s *ListService) Late(d time.Duration) {
+// SetDelay changes how late changes are told from now on.
+func (s *ListService) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	s.late = d
 	s.mu.Unlock()
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -86,7 +86,7 @@
 		case 10:
 			line := r.nodes[0].line
 			line.Phase = "draining"
-			r.registry.Set(line)
+			r.registry.UpdateNodes(line)
 		case 15:
 			r.nodes[1].crash(trace.Crash)
 			r.nodes[1].wg.Wait()
@@ -94,7 +94,7 @@
 				t.Fatal(err)
 			}
 			r.nodes[1].line.StartedMs = time.Now().UnixMilli()
-			r.registry.Set(r.nodes[1].line)
+			r.registry.UpdateNodes(r.nodes[1].line)
 		}
 		var asking sync.WaitGroup
 		for i := range fronts {
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -296,7 +296,7 @@
 func (n *Node) report(w http.ResponseWriter) {
 	link, uplink := n.told()
 	l := decision.Load{Streams: float64(len(n.plays)), Link: link, Uplink: -1}
-	if n.fleet.set.Uplinks {
+	if n.fleet.set.ReportUplinks {
 		l.Uplink = uplink
 	}
 	w.Header().Set(nodes.LoadHeader, nodes.FormatLoad(l))
@@ -340,7 +340,7 @@
 		}
 		ends(trace.Refused, refusal)
 		f.mu.Lock()
-		if f.set.Reports == "answers" {
+		if f.set.ReportMode == "answers" {
 			n.report(w)
 		}
 		f.mu.Unlock()
@@ -377,7 +377,7 @@
 		p.until = time.Now().Add(time.Duration(ask.LengthMs) * time.Millisecond)
 	}
 	out := nodes.Started{Life: n.life, Mark: n.mark, Rung: p.Rung}
-	if f.set.Reports == "answers" {
+	if f.set.ReportMode == "answers" {
 		n.report(w)
 	}
 	f.mu.Unlock()
@@ -512,7 +512,7 @@
 	}
 	cl, err := n.fleet.check.Check(r.PathValue("token"), time.Now())
 	switch {
-	case errors.Is(err, token.ErrForeign):
+	case errors.Is(err, token.ErrWrongType):
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	case err != nil:
@@ -572,7 +572,7 @@
 	}
 	n.epochs[name] = epoch
 	n.streams[name] = s
-	hello := nodes.Note{Kind: nodes.Hello, Node: n.line.Name, Life: n.life, Mark: n.mark}
+	hello := nodes.Note{Kind: nodes.NoteHello, Node: n.line.Name, Life: n.life, Mark: n.mark}
 	for _, p := range n.plays {
 		if p.front == name && p.playing {
 			play := p.Play
@@ -603,7 +603,7 @@
 	beat := time.NewTicker(session.Duration(liveness.HeartbeatInterval))
 	defer beat.Stop()
 	for {
-		note := nodes.Note{Kind: nodes.Beat}
+		note := nodes.Note{Kind: nodes.NoteHeartbeat}
 		if n.cutOff(w, name) {
 			return
 		}
@@ -661,7 +661,7 @@
 			}
 			delete(n.plays, id)
 			f.tape.Add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Attempt: p.Attempt})
-			n.tell(p.front, nodes.Note{Kind: nodes.Ended, Play: id, Attempt: p.Attempt, EndReason: nodes.Over})
+			n.tell(p.front, nodes.Note{Kind: nodes.NoteEnded, Play: id, Attempt: p.Attempt, EndReason: nodes.EndOver})
 		}
 		if beat%4 == 0 {
 			n.tellShares(now, lag, beat%12 == 0)
@@ -702,16 +702,16 @@
 	}
 	sort.Strings(names)
 	link, uplink = n.told()
-	if !n.fleet.set.Uplinks {
+	if !n.fleet.set.ReportUplinks {
 		uplink = -1
 	}
 	for _, name := range names {
 		p := one[name]
 		if old < 0.98 || before < 0.98 {
-			n.tell(name, nodes.Note{Kind: nodes.Share, Play: p.Play.Play, Attempt: p.Attempt, Share: old})
+			n.tell(name, nodes.Note{Kind: nodes.NoteShare, Play: p.Play.Play, Attempt: p.Attempt, Share: old})
 		}
-		if loads && n.fleet.set.Reports == "answers" {
-			n.tell(name, nodes.Note{Kind: nodes.Load, Play: p.Play.Play, Attempt: p.Attempt, Link: link, Uplink: uplink})
+		if loads && n.fleet.set.ReportMode == "answers" {
+			n.tell(name, nodes.Note{Kind: nodes.NoteLoad, Play: p.Play.Play, Attempt: p.Attempt, Link: link, Uplink: uplink})
 		}
 	}
 }
--- a/testbed/path_test.go
+++ b/testbed/path_test.go
@@ -324,7 +324,7 @@
 	r.eventually("it is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
 	gone := r.nodes[0].line
 	gone.Phase = "gone"
-	r.registry.Set(gone)
+	r.registry.UpdateNodes(gone)
 	x := <-got
 	if x.status != http.StatusOK || r.count(trace.SetUp, "") != 1 {
 		t.Fatalf("what was on its way comes to its end: %d %s", x.status, x.body)
@@ -342,7 +342,7 @@
 	x := r.playing("only-0", "safe", "v0")
 	line := r.nodes[0].line
 	line.Phase = "draining"
-	r.registry.Set(line)
+	r.registry.UpdateNodes(line)
 	r.eventually("the front was told", func() bool { return r.count(trace.ListSent, "") == 3 })
 	r.eventually("nothing new is set up there", func() bool {
 		before := r.count(trace.SetUp, "")
@@ -464,8 +464,8 @@
 		t.Fatal(err)
 	}
 	rep := out.Report
-	if rep.Asked < 2000 || rep.MostAnswers != 1 || rep.Doubled != 0 || rep.Plays == 0 {
-		t.Errorf("asked %d, plays %d, answers %d, doubled %d", rep.Asked, rep.Plays, rep.MostAnswers, rep.Doubled)
+	if rep.Asked < 2000 || rep.MaxAnswers != 1 || rep.Doubled != 0 || rep.Plays == 0 {
+		t.Errorf("asked %d, plays %d, answers %d, doubled %d", rep.Asked, rep.Plays, rep.MaxAnswers, rep.Doubled)
 	}
 	for i, rule := range rep.Rules {
 		for _, b := range rule.Violations {
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit+2*time.Second) // longer than its limit, to see what comes late
 	defer cancel()
 	p.Trace.Add(line)
-	got, err := client.Manifest(ctx, p.Client, target)
+	got, err := client.RequestManifest(ctx, p.Client, target)
 	ans := trace.Event{Kind: trace.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Reason}
 	if err != nil {
 		ans.Note = err.Error()
@@ -95,7 +95,7 @@
 
 // firstURL asks for the title anew.
 func (p *ViewerClients) firstURL(v *Viewer, at int, left time.Duration) string {
-	return client.FirstManifest("http", v.Fronts[at], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: left})
+	return client.FirstManifestURL("http", v.Fronts[at], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: left})
 }
 
 // Watch lives through one viewer's wish: asks, fetches, retries, returns after breaks and moves, and
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -39,7 +39,7 @@
 	tape     *trace.Recorder
 	fleet    *Fleet
 	registry *ListService // the list service, where it is in this process
-	list     Announcer
+	list     NodeUpdater
 	rnd      *rand.Rand
 	fronts   []*frontProcess
 	byNumber map[int]*Node // those in this process
@@ -51,8 +51,8 @@
 	wg       sync.WaitGroup
 }
 
-// Announcer is told what becomes of nodes: the list service, here or in another process.
-type Announcer interface{ Set(lines ...nodes.Line) }
+// NodeUpdater is told what becomes of nodes: the list service, here or in another process.
+type NodeUpdater interface{ UpdateNodes(lines ...nodes.Line) }
 
 // frontProcess is one front end, in as many lives as the script gives it.
 type frontProcess struct {
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	r.registry.Set(lines...)
+	r.registry.UpdateNodes(lines...)
 	addr, err := freePort()
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 	for i := range key.Seed {
 		key.Seed[i] = byte(r.rnd.UintN(256))
 	}
-	minter, err := frontend.Minter([]config.Key{key})
+	minter, err := frontend.NewMinter([]config.Key{key})
 	if err != nil {
 		return key, err
 	}
@@ -361,7 +361,7 @@
 	if err != nil {
 		return err
 	}
-	claim, err := frontend.LockFolder(set.State)
+	claim, err := frontend.LockFolder(set.StateFolder)
 	if err != nil {
 		return err
 	}
@@ -577,9 +577,9 @@
 		each(func(n *Node) {
 			line := n.line
 			line.Phase = "gone"
-			r.list.Set(line)
+			r.list.UpdateNodes(line)
 			if f.For > 0 && wait(ctx, f.For) {
-				r.list.Set(n.line)
+				r.list.UpdateNodes(n.line)
 			}
 		})
 	case "silence":
@@ -616,9 +616,9 @@
 			return
 		}
 		usual := time.Duration(r.Scenario.ListLateMs) * time.Millisecond
-		r.registry.Late(usual + time.Duration(f.Amount*float64(time.Second)))
+		r.registry.SetDelay(usual + time.Duration(f.Amount*float64(time.Second)))
 		if f.For > 0 && wait(ctx, f.For) {
-			r.registry.Late(usual)
+			r.registry.SetDelay(usual)
 		}
 	case "crowd":
 		r.mu.Lock()
@@ -716,13 +716,13 @@
 	line := n.line
 	line.Phase = "draining"
 	r.change(func() { n.draining = true })
-	r.list.Set(line)
+	r.list.UpdateNodes(line)
 	if !wait(ctx, f.Amount) {
 		return
 	}
 	n.crash(trace.Crash)
 	line.Phase = "gone"
-	r.list.Set(line)
+	r.list.UpdateNodes(line)
 	if f.For <= 0 || !wait(ctx, f.For) {
 		return
 	}
@@ -747,5 +747,5 @@
 	n.line.StartedMs = time.Now().UnixMilli()
 	line := n.line
 	r.fleet.mu.Unlock()
-	r.list.Set(line)
+	r.list.UpdateNodes(line)
 }
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -74,7 +74,7 @@
 	}
 	r.set = &set
 	keys := []config.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
-	if r.minter, err = frontend.Minter(keys); err != nil {
+	if r.minter, err = frontend.NewMinter(keys); err != nil {
 		t.Fatal(err)
 	}
 	r.fleet = &Fleet{set: r.set, check: r.minter.Checker, tape: r.tape, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 	}
-	r.registry.Set(lines...)
+	r.registry.UpdateNodes(lines...)
 	if err := r.registry.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -250,14 +250,14 @@
 	s := &scripted{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/stream", func(w http.ResponseWriter, r *http.Request) {
-		json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.Hello, Node: name, Life: 1})
+		json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.NoteHello, Node: name, Life: 1})
 		for {
 			http.NewResponseController(w).Flush()
 			select {
 			case <-r.Context().Done():
 				return
 			case <-time.After(500 * time.Millisecond):
-				json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.Beat})
+				json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.NoteHeartbeat})
 			}
 		}
 	})
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -159,7 +159,7 @@
 		link, uplink = n.shares[max(0, k)].link, n.shares[max(0, k)].uplink
 	}
 	l := decision.Load{Streams: float64(len(n.held)), Link: link, Uplink: -1}
-	if n.sim.Scenario.Service.Uplinks {
+	if n.sim.Scenario.Service.ReportUplinks {
 		l.Uplink = uplink
 	}
 	return l
@@ -310,7 +310,7 @@
 		if share < 0.98 || before < 0.98 {
 			f.call(hop, func(now int64, c *session.Core) { c.DeliveryReported(now, f.ref(ref, n), share) })
 		}
-		if s.Scenario.Service.Reports == "answers" && beat%12 == 0 {
+		if s.Scenario.Service.ReportMode == "answers" && beat%12 == 0 {
 			f.call(hop, func(now int64, c *session.Core) { c.LoadReported(now, f.ref(ref, n), load) })
 		}
 	}
@@ -529,7 +529,7 @@
 	delete(f.pending, r)
 	n := p.node
 	load := decision.UnknownLoad
-	if f.sim.Scenario.Service.Reports == "answers" && (how == decision.Served || how == decision.Rejected) {
+	if f.sim.Scenario.Service.ReportMode == "answers" && (how == decision.Served || how == decision.Rejected) {
 		load = n.load()
 	}
 	if how == decision.Served {
--- a/testbed/sim_test.go
+++ b/testbed/sim_test.go
@@ -50,7 +50,7 @@
 		for seed := range uint64(12) {
 			d.Seed = seed + 1
 			rep := (&Sim{Scenario: d}).Run().Report
-			if !rep.RulesKept() || rep.MostAnswers != 1 || rep.Plays == 0 {
+			if !rep.RulesKept() || rep.MaxAnswers != 1 || rep.Plays == 0 {
 				t.Errorf("%s, seed %d: %+v", name, d.Seed, rep.Rules)
 			}
 		}
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -38,15 +38,15 @@
 	for i, a := range v.Fronts {
 		names[a] = v.Names[i]
 	}
-	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, Trace: func(t client.Exchange) {
+	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, OnExchange: func(t client.Exchange) {
 		mu.Lock()
 		defer mu.Unlock()
-		if t.Answer == nil && t.Lost == nil {
+		if t.Answer == nil && t.Err == nil {
 			id := p.ids.Add(1)
 			ids[t.Ticket], asked[t.Ticket] = id, time.Now()
 			line := trace.Event{Kind: trace.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
-				LimitMs: int64(v.Product.LimitMs), Play: t.Before, First: first}
-			if t.Broken {
+				LimitMs: int64(v.Product.LimitMs), Play: t.PreviousPlay, First: first}
+			if t.NotDelivered {
 				line.Note = "broken"
 			}
 			if first {
@@ -64,10 +64,10 @@
 		line := trace.Event{Kind: trace.Answer, ID: id}
 		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.LimitMs)*time.Millisecond
 		delete(asked, t.Ticket)
-		if errors.Is(t.Lost, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
+		if errors.Is(t.Err, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
 			line.Kind = trace.Gone
-		} else if t.Lost != nil {
-			line.Note = t.Lost.Error()
+		} else if t.Err != nil {
+			line.Note = t.Err.Error()
 		} else {
 			line.Status, line.Note = statusOf(t.Answer.Verdict, t.Answer.Why), t.Answer.Why
 			if t.Answer.Grant != nil {
@@ -85,7 +85,7 @@
 		}
 		if p.fetchAll(ctx, v, play, began) {
 			p.Trace.Add(trace.Event{Kind: trace.Leave, Play: play.Grant().Play})
-			play.Leave()
+			play.End()
 			return
 		}
 	}
@@ -122,7 +122,7 @@
 					waiting = away // it fetches there at once
 					away = false
 				}
-				if e.Kind == client.Away {
+				if e.Kind == client.Interrupted {
 					away = true
 				}
 			case <-tick:
--- a/testbed/stand.go
+++ b/testbed/stand.go
@@ -33,15 +33,15 @@
 	}
 	r.registry = NewListService(r.tape, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
 	r.list = r.registry
-	r.registry.Set(lines...)
+	r.registry.UpdateNodes(lines...)
 	if addr, err = freePort(); err != nil {
 		return "", err
 	}
 	return addr, r.registry.Start(addr)
 }
 
-// AnnounceAt lets the nodes of this process be announced at a list service's back door.
-func (r *Rehearsal) AnnounceAt(addr string) { r.list = remote{addr, r.Say} }
+// ForwardUpdatesTo lets the nodes of this process be announced at a list service's back door.
+func (r *Rehearsal) ForwardUpdatesTo(addr string) { r.list = remote{addr, r.Say} }
 
 // remote is a list service in another process.
 type remote struct {
@@ -49,7 +49,7 @@
 	say  func(format string, args ...any)
 }
 
-func (a remote) Set(lines ...nodes.Line) {
+func (a remote) UpdateNodes(lines ...nodes.Line) {
 	body, err := json.Marshal(lines)
 	if err == nil {
 		var resp *http.Response
@@ -62,14 +62,14 @@
 	}
 }
 
-// Announce is the list service's back door: it works also while players' side is down.
-func (r *Rehearsal) Announce(w http.ResponseWriter, req *http.Request) {
+// HandleUpdateNodes is the list service's back door: it works also while players' side is down.
+func (r *Rehearsal) HandleUpdateNodes(w http.ResponseWriter, req *http.Request) {
 	var lines []nodes.Line
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 1<<20)).Decode(&lines); err != nil || len(lines) == 0 {
 		http.Error(w, fmt.Sprint("announce: ", err), http.StatusBadRequest)
 		return
 	}
-	r.registry.Set(lines...)
+	r.registry.UpdateNodes(lines...)
 }
 
 // Script plays this process's part of the script, until all of it is done or the context ends.
--- a/testbed/store_test.go
+++ b/testbed/store_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestRecordsLetAFrontStartAgainBesideASilentNode(t *testing.T) {
-	r := newRigWith(t, 4, func(r *rig) { r.settings.State = t.TempDir() })
+	r := newRigWith(t, 4, func(r *rig) { r.settings.StateFolder = t.TempDir() })
 	var held []reply
 	for i := range 3 {
 		held = append(held, r.playing("clip", "paid", fmt.Sprint("v", i)))
@@ -39,7 +39,7 @@
 }
 
 func TestWithoutItsStoreAFrontDeclinesWhatMustBeRecorded(t *testing.T) {
-	r := newRigWith(t, 4, func(r *rig) { r.settings.State = t.TempDir() })
+	r := newRigWith(t, 4, func(r *rig) { r.settings.StateFolder = t.TempDir() })
 	r.playing("clip", "paid", "v")
 	var was syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &was); err != nil {
@@ -66,7 +66,7 @@
 
 func TestDamagedStoreIsToldAtTheStart(t *testing.T) {
 	dir := t.TempDir()
-	r := newRigWith(t, 2, func(r *rig) { r.settings.State = dir })
+	r := newRigWith(t, 2, func(r *rig) { r.settings.StateFolder = dir })
 	r.playing("clip", "paid", "v")
 	r.stop()
 	r.stop = nil
--- a/testbed/trace/trace.go
+++ b/testbed/trace/trace.go
@@ -20,13 +20,13 @@
 	Answer       = "answer"   // it was answered: ID, Status, Play; Status 0 is no answer, Note says why
 	Gone         = "gone"     // the player went away before an answer: ID
 	Leave        = "leave"    // the player is about to tell its front that it is done: Play
-	SetUp        = "setup"    // a node received a set-up: Node, Front, Play, Try, Product, Title, Rung
+	SetUp        = "setup"    // a node received a set-up: Node, Front, Play, Attempt, Product, Title, Rung
 	Started      = "started"  // and answered that it plays
 	Refused      = "refused"  // or that it never ran
 	Errored      = "errored"  // or that it failed
 	Dropped      = "dropped"  // or the front closed the connection first
 	Rung         = "rung"     // a node received a new rung: Node, Front, Play, Product, Rung
-	End          = "end"      // a node received the word to end a play: Node, Front, Play, Try
+	End          = "end"      // a node received the word to end a play: Node, Front, Play, Attempt
 	Ended        = "ended"    // a node ended a play by itself: Node, Front, Play
 	Served       = "served"   // a node sent a segment: Node, Play, Rung
 	Load         = "load"     // once a second: Node, Share is what is asked of its link over what it gives, Uplink the same
@@ -75,9 +75,9 @@
 // New starts a trace and its clock.
 func New() *Recorder { return &Recorder{began: time.Now()} }
 
-// NewAt starts a trace whose clock began at a moment of the machine's monotonic clock, so that the traces of
+// NewSince starts a trace whose clock began at a moment of the machine's monotonic clock, so that the traces of
 // several processes of one machine go by one clock.
-func NewAt(base time.Duration) *Recorder {
+func NewSince(base time.Duration) *Recorder {
 	return &Recorder{began: time.Now(), base: Monotonic() - base}
 }
 
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -17,7 +17,7 @@
 	if len(fronts) == 0 {
 		fronts = []string{r.addr}
 	}
-	c := client.New(client.Options{Fronts: fronts, Viewer: name, Herd: 100 * time.Millisecond})
+	c := client.New(client.Options{Fronts: fronts, Viewer: name, ReconnectSpread: 100 * time.Millisecond})
 	r.t.Cleanup(c.Close)
 	return c
 }
@@ -67,7 +67,7 @@
 	if x.status != 200 || x.play != g.Play || r.count(trace.SetUp, "") != 1 {
 		t.Fatalf("%d %s of %s", x.status, x.play, g.Play)
 	}
-	p.Leave()
+	p.End()
 	r.eventually("its end at the node", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
 }
 
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	r.fleet.nodes[cl.Node].crash(trace.Crash)
-	r.event(p, client.Away)
+	r.event(p, client.Interrupted)
 	e := r.event(p, client.Moved)
 	if e.Grant.Play == was.Play || r.fetches(e.Grant) != 200 {
 		t.Fatalf("placed anew: %+v", e.Grant)
@@ -93,7 +93,7 @@
 }
 
 func TestSocketResumesAfterTheFrontStartsAgain(t *testing.T) {
-	r := newRigWith(t, 4, func(r *rig) { r.settings.State = t.TempDir() })
+	r := newRigWith(t, 4, func(r *rig) { r.settings.StateFolder = t.TempDir() })
 	c := r.viewer("v")
 	p := r.asks(c, "clip", "paid", 5)
 	was := p.Grant()
--- a/token/token.go
+++ b/token/token.go
@@ -24,7 +24,7 @@
 	ErrMalformed = errors.New("token: malformed")
 	ErrSignature = errors.New("token: not signed by a key in use")
 	ErrExpired   = errors.New("token: expired")
-	ErrForeign   = errors.New("token: made for something else")
+	ErrWrongType = errors.New("token: made for something else")
 )
 
 // Claims is what a token binds.
@@ -84,7 +84,7 @@
 	case err != nil: // an unknown key, another algorithm, a wrong signature
 		return Claims{}, fmt.Errorf("%w: %v", ErrSignature, err)
 	case t.Header["typ"] != typ || len(cl.Audience) != 1 || cl.Audience[0] != audience:
-		return Claims{}, fmt.Errorf("%w: type or audience", ErrForeign)
+		return Claims{}, fmt.Errorf("%w: type or audience", ErrWrongType)
 	case cl.ExpiresAt == nil || cl.Play == "" || cl.Title == "" || cl.Product == "" || cl.Viewer == "" ||
 		cl.Node == "" || cl.Front == "" || cl.Rung < 0 || cl.Top < 0:
 		return Claims{}, fmt.Errorf("%w: a claim is missing", ErrMalformed)
--- a/wsapi/many_test.go
+++ b/wsapi/many_test.go
@@ -65,7 +65,7 @@
 					}
 					pause := 20 * time.Millisecond
 					if resp != nil {
-						if ms, e := strconv.Atoi(resp.Header.Get(ComeBackHeader)); heed && e == nil {
+						if ms, e := strconv.Atoi(resp.Header.Get(RetryAfterMsHeader)); heed && e == nil {
 							pause = time.Duration(ms) * time.Millisecond
 						}
 					} else {
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -86,7 +86,7 @@
 		h := w.Header()
 		h.Set("Cache-Control", "no-store")
 		h.Set("Retry-After", strconv.FormatInt((max(back, decision.Second)+decision.Second-1)/decision.Second, 10))
-		h.Set(ComeBackHeader, strconv.FormatInt(session.Duration(max(back, decision.Second)).Milliseconds(), 10))
+		h.Set(RetryAfterMsHeader, strconv.FormatInt(session.Duration(max(back, decision.Second)).Milliseconds(), 10))
 		why := refused.String()
 		if shut {
 			why = "the front is ending"
@@ -141,9 +141,9 @@
 	f.mu.Unlock()
 }
 
-// ComeBackHeader tells, in milliseconds, when one who was not let in may come back; Retry-After can say whole
+// RetryAfterMsHeader tells, in milliseconds, when one who was not let in may come back; Retry-After can say whole
 // seconds only.
-const ComeBackHeader = "Gullrail-Come-Back-Ms"
+const RetryAfterMsHeader = "Gullrail-Come-Back-Ms"
 
 // shed chooses sockets to let go; the caller holds the lock and ends them without it.
 func (f *Front) shed() (gone []*socket) {
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -470,7 +470,7 @@
 		t.Fatalf("code %d", code)
 	}
 	_, resp, err := websocket.Dial(t.Context(), "ws"+strings.TrimPrefix(b.server.URL, "http")+"?viewer=bad", &websocket.DialOptions{Subprotocols: []string{Subprotocol}})
-	if err == nil || resp == nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || resp.Header.Get(ComeBackHeader) == "" {
+	if err == nil || resp == nil || resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" || resp.Header.Get(RetryAfterMsHeader) == "" {
 		t.Fatalf("let in at once again: %v %v", resp, err)
 	}
 	x.OnEvent(session.Event{Answer: plays("p1", 1)})
