--- a/admission/admission.go
+++ b/admission/admission.go
@@ -92,123 +92,123 @@
 }
 
 // Len is the number of requests that wait.
-func (g *Queue) Len() int { return len(g.queue) }
+func (q *Queue) Len() int { return len(q.queue) }
 
 // Deadline is the time by which the module is to have answered: a little before the client gives up.
 func Deadline(now, limit int64) int64 { return max(now, limit-reserve) }
 
 // Offer brings a request. What it says holds for the request itself; gone is another that had to
 // make room, or nil. The request's limit is brought forward where it may have lain unread.
-func (g *Queue) Offer(now int64, a *Request) (v Verdict, comeBack int64, gone *Rejection) {
-	if !g.earned(now, a.Client) {
-		return RateLimited, g.advice(), nil
+func (q *Queue) Offer(now int64, a *Request) (v Verdict, comeBack int64, gone *Rejection) {
+	if !q.earned(now, a.Client) {
+		return RateLimited, q.advice(), nil
 	}
-	if a.Deadline -= g.waited(now); a.Deadline-now < leastLeft+reserve {
-		return TooLate, g.advice(), nil
+	if a.Deadline -= q.waited(now); a.Deadline-now < leastLeft+reserve {
+		return TooLate, q.advice(), nil
 	}
-	if len(g.queue) >= g.most {
+	if len(q.queue) >= q.most {
 		worst := 0
-		for i := range g.queue {
-			if worse(g.queue[i], g.queue[worst]) {
+		for i := range q.queue {
+			if worse(q.queue[i], q.queue[worst]) {
 				worst = i
 			}
 		}
-		if worse(a, g.queue[worst]) {
-			return Full, g.advice(), nil
+		if worse(a, q.queue[worst]) {
+			return Full, q.advice(), nil
 		}
-		gone = &Rejection{g.remove(worst), Full, g.advice()}
+		gone = &Rejection{q.remove(worst), Full, q.advice()}
 	}
-	g.queue = append(g.queue, a)
+	q.queue = append(q.queue, a)
 	return Queued, 0, gone
 }
 
 // Heartbeat says that the front runs. A long gap since the one before means that the whole process stood still.
-func (g *Queue) Heartbeat(now int64) {
-	if gap := now - g.beatAt; g.beatAt > 0 && gap > stallOver {
-		g.stall, g.stallTo = gap, now
+func (q *Queue) Heartbeat(now int64) {
+	if gap := now - q.beatAt; q.beatAt > 0 && gap > stallOver {
+		q.stall, q.stallTo = gap, now
 	}
-	g.beatAt = now
+	q.beatAt = now
 }
 
 // waited is how long a request read now may have lain unread. Guards against answers that come after the
 // client's time limit because a front that stood still counts from when it read the request. It harms
 // requests that come new within stallTail after a stall: they are given less time than they have.
-func (g *Queue) waited(now int64) int64 {
+func (q *Queue) waited(now int64) int64 {
 	age := int64(0)
-	if gap := now - g.beatAt; g.beatAt > 0 && gap > stallOver { // read before the beat that will notice
+	if gap := now - q.beatAt; q.beatAt > 0 && gap > stallOver { // read before the beat that will notice
 		age = gap
 	}
-	if g.stall > 0 && now-g.stallTo < stallTail {
-		age = max(age, g.stall)
+	if q.stall > 0 && now-q.stallTo < stallTail {
+		age = max(age, q.stall)
 	}
 	return age
 }
 
 // Next takes the request that matters most out of the queue, or nil. Those whose time has run out
 // while they waited come first, one a call, to be answered as turned away.
-func (g *Queue) Next(now int64) (a *Request, late *Rejection) {
-	if len(g.queue) == 0 {
-		g.busy = false
+func (q *Queue) Next(now int64) (a *Request, late *Rejection) {
+	if len(q.queue) == 0 {
+		q.busy = false
 		return nil, nil
 	}
 	pick := 0
-	for i, x := range g.queue {
+	for i, x := range q.queue {
 		if x.Deadline-now < leastLeft+reserve {
-			return nil, &Rejection{g.remove(i), TooLate, g.advice()}
+			return nil, &Rejection{q.remove(i), TooLate, q.advice()}
 		}
-		if worse(g.queue[pick], x) {
+		if worse(q.queue[pick], x) {
 			pick = i
 		}
 	}
-	if g.busy {
-		gap := float64(now - g.lastOut)
-		g.gap += (gap - g.gap) / serviceOver
+	if q.busy {
+		gap := float64(now - q.lastOut)
+		q.gap += (gap - q.gap) / serviceOver
 	}
-	g.lastOut, g.busy = now, true
-	return g.remove(pick), nil
+	q.lastOut, q.busy = now, true
+	return q.remove(pick), nil
 }
 
 // RejectNext takes one request out of the queue of a front that is ending, or returns nil.
-func (g *Queue) RejectNext() *Rejection {
-	if len(g.queue) == 0 {
+func (q *Queue) RejectNext() *Rejection {
+	if len(q.queue) == 0 {
 		return nil
 	}
-	return g.Reject(g.remove(0), ShuttingDown)
+	return q.Reject(q.remove(0), ShuttingDown)
 }
 
 // Reject turns a request away that is not in the queue.
-func (g *Queue) Reject(a *Request, why Verdict) *Rejection { return &Rejection{a, why, g.advice()} }
+func (q *Queue) Reject(a *Request, why Verdict) *Rejection { return &Rejection{a, why, q.advice()} }
 
 // Withdraw takes a request out whose client went away; it does nothing if it no longer waits.
-func (g *Queue) Withdraw(a *Request) bool {
-	i := slices.Index(g.queue, a)
+func (q *Queue) Withdraw(a *Request) bool {
+	i := slices.Index(q.queue, a)
 	if i >= 0 {
-		g.remove(i)
+		q.remove(i)
 	}
 	return i >= 0
 }
 
 // advice is when a client turned away should come back: drawn evenly over the time in which the queue
 // is worked off, so that those turned away together do not return together.
-func (g *Queue) advice() int64 {
-	drain := min(float64(spreadMost), float64(spreadLeast)+min(g.gap, float64(slowest))*float64(len(g.queue)))
-	return spreadLeast + int64(g.rnd.Float()*(max(drain, 2*float64(spreadLeast))-float64(spreadLeast)))
+func (q *Queue) advice() int64 {
+	drain := min(float64(spreadMost), float64(spreadLeast)+min(q.gap, float64(slowest))*float64(len(q.queue)))
+	return spreadLeast + int64(q.rnd.Float()*(max(drain, 2*float64(spreadLeast))-float64(spreadLeast)))
 }
 
 // earned counts a client's request against what it has earned. Guards against one client that
 // floods; many viewers behind one name would share its allowance, so the name must be a viewer's.
-func (g *Queue) earned(now int64, name string) bool {
-	e, ok := g.clients[name]
+func (q *Queue) earned(now int64, name string) bool {
+	e, ok := q.clients[name]
 	if !ok {
-		if g.recent.Len() >= clientsKept {
-			old := g.recent.Back()
-			delete(g.clients, old.Value.(*client).name)
-			g.recent.Remove(old)
+		if q.recent.Len() >= clientsKept {
+			old := q.recent.Back()
+			delete(q.clients, old.Value.(*client).name)
+			q.recent.Remove(old)
 		}
-		e = g.recent.PushFront(&client{name, perClient, now})
-		g.clients[name] = e
+		e = q.recent.PushFront(&client{name, perClient, now})
+		q.clients[name] = e
 	}
-	g.recent.MoveToFront(e)
+	q.recent.MoveToFront(e)
 	c := e.Value.(*client)
 	c.tokens = min(perClient, c.tokens+clientRate*float64(now-c.at)/float64(decision.Second))
 	c.at = now
@@ -227,8 +227,8 @@
 	return a.Deadline > b.Deadline
 }
 
-func (g *Queue) remove(i int) *Request {
-	a := g.queue[i]
-	g.queue = slices.Delete(g.queue, i, i+1)
+func (q *Queue) remove(i int) *Request {
+	a := q.queue[i]
+	q.queue = slices.Delete(q.queue, i, i+1)
 	return a
 }
--- a/config/doc.go
+++ b/config/doc.go
@@ -21,19 +21,19 @@
 	Message string
 }
 
-func (m Problem) String() string {
-	if m.Field == "" {
-		return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.Message)
+func (p Problem) String() string {
+	if p.Field == "" {
+		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", m.File, m.Line, m.Field, m.Message)
+	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Field, p.Message)
 }
 
 // Problems is an error that lists them all, a line each.
 type Problems []Problem
 
-func (ms Problems) Error() string {
-	lines := make([]string, len(ms))
-	for i, m := range ms {
+func (p Problems) Error() string {
+	lines := make([]string, len(p))
+	for i, m := range p {
 		lines[i] = m.String()
 	}
 	return strings.Join(lines, "\n")
--- a/frontend/life.go
+++ b/frontend/life.go
@@ -107,8 +107,8 @@
 }
 
 // Release lets go of the folder.
-func (c *FolderLock) Release() {
-	if c.lock != nil {
-		c.lock.Close()
+func (l *FolderLock) Release() {
+	if l.lock != nil {
+		l.lock.Close()
 	}
 }
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -200,8 +200,8 @@
 }
 
 // Number is a setting that the module has no use for, by its path, or what stands in for one not given.
-func (t *Settings) Number(path string, or float64) float64 {
-	v, _ := lookup(t.root, path)
+func (s *Settings) Number(path string, or float64) float64 {
+	v, _ := lookup(s.root, path)
 	if n, ok := v.(float64); ok {
 		return n
 	}
@@ -209,8 +209,8 @@
 }
 
 // LongestLimit is the longest time limit of a product, milliseconds.
-func (t *Settings) LongestLimit() (longest float64) {
-	lanes, _ := t.root["lanes"].([]any)
+func (s *Settings) LongestLimit() (longest float64) {
+	lanes, _ := s.root["lanes"].([]any)
 	for _, l := range lanes {
 		lane, _ := l.(map[string]any)
 		ms, _ := lane["deadline-ms"].(float64)
@@ -250,9 +250,9 @@
 
 // Load is a report of which a field is told by its column and that column's place; fields that no call uses are
 // passed over.
-func (t *Settings) Load(value func(i int, column string) (float64, bool)) decision.Load {
+func (s *Settings) Load(value func(i int, column string) (float64, bool)) decision.Load {
 	l := decision.UnknownLoad
-	for i, col := range t.Columns {
+	for i, col := range s.Columns {
 		v, ok := value(i, col)
 		if !ok {
 			continue
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -15,46 +15,46 @@
 func New() *Table { return &Table{at: map[string]int{}} }
 
 // Acquire returns a name's number and counts one reference.
-func (n *Table) Acquire(name string) int {
-	i, ok := n.at[name]
+func (t *Table) Acquire(name string) int {
+	i, ok := t.at[name]
 	if !ok {
-		if k := len(n.free); k > 0 {
-			i, n.free = n.free[k-1], n.free[:k-1]
-			n.names[i], n.refs[i] = name, 0
+		if k := len(t.free); k > 0 {
+			i, t.free = t.free[k-1], t.free[:k-1]
+			t.names[i], t.refs[i] = name, 0
 		} else {
-			i = len(n.names)
-			n.names, n.refs = append(n.names, name), append(n.refs, 0)
+			i = len(t.names)
+			t.names, t.refs = append(t.names, name), append(t.refs, 0)
 		}
-		n.at[name] = i
+		t.at[name] = i
 	}
-	n.refs[i]++
+	t.refs[i]++
 	return i
 }
 
 // Release takes a reference away.
-func (n *Table) Release(i int) {
-	if n.refs[i]--; n.refs[i] == 0 {
-		n.idle = append(n.idle, i)
+func (t *Table) Release(i int) {
+	if t.refs[i]--; t.refs[i] == 0 {
+		t.idle = append(t.idle, i)
 	}
 }
 
 // Sweep gives back idle numbers that may be forgotten, looking at so many at most; the others
 // come round again.
-func (n *Table) Sweep(most int, forget func(i int) bool) {
-	looked := min(most, len(n.idle))
-	for _, i := range n.idle[:looked] {
+func (t *Table) Sweep(most int, forget func(i int) bool) {
+	looked := min(most, len(t.idle))
+	for _, i := range t.idle[:looked] {
 		switch {
-		case n.refs[i] != 0 || n.names[i] == "": // in use again, or given back already
+		case t.refs[i] != 0 || t.names[i] == "": // in use again, or given back already
 		case forget(i):
-			delete(n.at, n.names[i])
-			n.names[i] = ""
-			n.free = append(n.free, i)
+			delete(t.at, t.names[i])
+			t.names[i] = ""
+			t.free = append(t.free, i)
 		default:
-			n.idle = append(n.idle, i)
+			t.idle = append(t.idle, i)
 		}
 	}
-	n.idle = n.idle[:copy(n.idle, n.idle[looked:])]
+	t.idle = t.idle[:copy(t.idle, t.idle[looked:])]
 }
 
 // Len is how many names have a number.
-func (n *Table) Len() int { return len(n.at) }
+func (t *Table) Len() int { return len(t.at) }
--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -53,33 +53,33 @@
 // New makes a watch at the front's start.
 func New(now int64, seed uint64) *Monitor { return &Monitor{rnd: pcg.New(seed), began: now} }
 
-func (w *Monitor) of(node int) *Stream {
-	for node >= len(w.streams) {
-		w.streams = append(w.streams, Stream{})
+func (m *Monitor) of(node int) *Stream {
+	for node >= len(m.streams) {
+		m.streams = append(m.streams, Stream{})
 	}
-	return &w.streams[node]
+	return &m.streams[node]
 }
 
 // Forget blanks a node's record, so that its number may name another.
-func (w *Monitor) Forget(node int) { *w.of(node) = Stream{} }
+func (m *Monitor) Forget(node int) { *m.of(node) = Stream{} }
 
 // StreamOpened says that a stream is alive and has told which plays it runs.
-func (w *Monitor) StreamOpened(now int64, node int) {
-	*w.of(node) = Stream{alive: true, met: true, heardAt: now}
+func (m *Monitor) StreamOpened(now int64, node int) {
+	*m.of(node) = Stream{alive: true, met: true, heardAt: now}
 }
 
 // FirstDial is when a node newly listed is dialled, of so many listed together. Guards against hundreds of
 // fronts that start at once and dial each node in the same moment.
-func (w *Monitor) FirstDial(now int64, listed int) int64 {
-	return now + int64(w.rnd.Float()*float64(min(firstMost, int64(listed)*firstEach)))
+func (m *Monitor) FirstDial(now int64, listed int) int64 {
+	return now + int64(m.rnd.Float()*float64(min(firstMost, int64(listed)*firstEach)))
 }
 
 // StreamActive says that something came on a stream.
-func (w *Monitor) StreamActive(now int64, node int) { w.of(node).heardAt = now }
+func (m *Monitor) StreamActive(now int64, node int) { m.of(node).heardAt = now }
 
 // Silent tells that a stream has said nothing for so long that it is to be closed and dialled anew.
-func (w *Monitor) Silent(now int64, node int) bool {
-	s := w.of(node)
+func (m *Monitor) Silent(now int64, node int) bool {
+	s := m.of(node)
 	return s.alive && Silent(now, s.heardAt)
 }
 
@@ -87,8 +87,8 @@
 // plays there have surely ended: gone says that the node's machine refused the connection, so that no
 // process is there to run them. Backoff says how the
 // dials are spread.
-func (w *Monitor) StreamBroke(now int64, node int, gone bool) (dialAt int64, ended bool) {
-	s := w.of(node)
+func (m *Monitor) StreamBroke(now int64, node int, gone bool) (dialAt int64, ended bool) {
+	s := m.of(node)
 	if s.alive || s.failures == 0 && s.brokeAt == 0 {
 		s.brokeAt = max(1, s.heardAt)
 		if s.heardAt == 0 {
@@ -96,7 +96,7 @@
 		}
 	}
 	s.alive = false
-	dialAt = now + Backoff(s.failures, w.rnd.Float())
+	dialAt = now + Backoff(s.failures, m.rnd.Float())
 	s.failures++
 	if gone {
 		s.met = true
@@ -106,8 +106,8 @@
 }
 
 // LeaseExpired tells, once, that the plays of a node whose stream stays broken must have ended by now.
-func (w *Monitor) LeaseExpired(now int64, node int) bool {
-	s := w.of(node)
+func (m *Monitor) LeaseExpired(now int64, node int) bool {
+	s := m.of(node)
 	if s.alive || s.lost || s.brokeAt == 0 || now-s.brokeAt < Lease+margin {
 		return false
 	}
@@ -119,18 +119,18 @@
 // was met or seen gone, or what it held has ended. Once ready it stays so. Guards against seats
 // counted too low and plays adopted too late after a restart; costs a start of Lease where a node
 // is silent.
-func (w *Monitor) Ready(now int64, listed []int) bool {
-	switch age := now - w.began; {
-	case w.ready:
+func (m *Monitor) Ready(now int64, listed []int) bool {
+	switch age := now - m.began; {
+	case m.ready:
 	case age >= startMost:
-		w.ready = true
+		m.ready = true
 	case age >= startLeast && len(listed) > 0:
-		w.ready = true
+		m.ready = true
 		for _, n := range listed {
-			w.ready = w.ready && w.of(n).met
+			m.ready = m.ready && m.of(n).met
 		}
 	}
-	return w.ready
+	return m.ready
 }
 
 // Backoff is how long to wait before a stream, from a node or from the list service, is dialled again
--- a/playapi/playapi.go
+++ b/playapi/playapi.go
@@ -140,11 +140,11 @@
 }
 
 // Post brings an event to the core.
-func (d *Service) Post(ev func(now int64, c *session.Core)) { d.asker.Post(ev) }
+func (s *Service) Post(ev func(now int64, c *session.Core)) { s.asker.Post(ev) }
 
 // EndPlay ends a play whose viewer is done, or who never learned of it.
-func (d *Service) EndPlay(play string) {
-	d.asker.Post(func(now int64, c *session.Core) { c.EndPlay(now, play) })
+func (s *Service) EndPlay(play string) {
+	s.asker.Post(func(now int64, c *session.Core) { c.EndPlay(now, play) })
 }
 
 // Pending is a request that waits for its answer.
@@ -159,13 +159,13 @@
 // RequestPlay asks the core. Then is called exactly once with the one answer: the core's, or that the time limit passed,
 // or that the request was withdrawn; on any goroutine, and it must neither block nor call the core. Follow, which may
 // be nil, hears of the play's changes from its answer on, on the core's goroutine, under the same terms.
-func (d *Service) RequestPlay(r Request, follow func(session.Event), then func(session.Answer)) *Pending {
-	home, copies, _ := d.Config.Title(r.Title)
+func (s *Service) RequestPlay(r Request, follow func(session.Event), then func(session.Answer)) *Pending {
+	home, copies, _ := s.Config.Title(r.Title)
 	p := &Pending{then: then}
 	p.reply = session.NewReplyFunc(func(ans session.Answer) { p.settle(ans) })
-	a := session.Request{Product: r.Product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Deadline: d.asker.Clock().Now() + session.Ticks(r.Timeout),
+	a := session.Request{Product: r.Product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Deadline: s.asker.Clock().Now() + session.Ticks(r.Timeout),
 		Length: session.Ticks(r.Length), MaxRung: r.MaxRung, Previous: r.Previous, OnEvent: follow, Reply: p.reply}
-	p.withdraw = d.asker.RequestPlay(a, r.Viewer, d.Config.Products[r.Product].Importance)
+	p.withdraw = s.asker.RequestPlay(a, r.Viewer, s.Config.Products[r.Product].Importance)
 	late := time.AfterFunc(r.Timeout, func() { p.cancel(session.Answer{Verdict: session.Failed, TimedOut: true, Reason: "time limit"}) })
 	p.once.Do(func() { p.late = late }) // unless the answer came meanwhile
 	if p.late == nil {
@@ -176,9 +176,9 @@
 
 // Log writes down what became of a request; the protocol front calls it when it has answered, as the core must not
 // wait for a log.
-func (d *Service) Log(r Request, ans session.Answer, protocol string, took time.Duration) {
-	d.log.Info().Str("play", ans.Play).Str("viewer", r.Viewer).Str("title", r.Title).Str("by", protocol).
-		Str("product", d.Config.Products[r.Product].Name).Str("verdict", ans.Verdict.String()).Str("why", ans.Reason).
+func (s *Service) Log(r Request, ans session.Answer, protocol string, took time.Duration) {
+	s.log.Info().Str("play", ans.Play).Str("viewer", r.Viewer).Str("title", r.Title).Str("by", protocol).
+		Str("product", s.Config.Products[r.Product].Name).Str("verdict", ans.Verdict.String()).Str("why", ans.Reason).
 		Str("node", ans.Node).Int("rung", ans.Rung).Bool("again", r.Previous != nil).Dur("took", took).Msg("asked")
 }
 
@@ -225,20 +225,20 @@
 }
 
 // Grant mints the token of a play and says where it is fetched. The answer's verdict is Plays.
-func (d *Service) Grant(ans session.Answer) (Grant, error) {
-	p := &d.Config.Products[ans.Product]
-	raw, err := d.Tokens.Mint(token.Claims{Play: ans.Play, Front: d.name, Title: ans.Title, Product: p.Name,
-		Viewer: ans.Viewer, Node: ans.Node, Rung: ans.Rung, Top: ans.MaxRung}, time.Now(), d.life)
+func (s *Service) Grant(ans session.Answer) (Grant, error) {
+	p := &s.Config.Products[ans.Product]
+	raw, err := s.Tokens.Mint(token.Claims{Play: ans.Play, Front: s.name, Title: ans.Title, Product: p.Name,
+		Viewer: ans.Viewer, Node: ans.Node, Rung: ans.Rung, Top: ans.MaxRung}, time.Now(), s.life)
 	if err != nil {
 		return Grant{}, fmt.Errorf("token of %s: %w", ans.Play, err)
 	}
-	g := Grant{Play: ans.Play, Token: raw, Base: d.media + "://" + ans.Address + "/v1/media/" + raw + "/" + url.PathEscape(ans.Title) + "/",
-		Title: ans.Title, Segment: d.Config.SegmentMs}
-	if t, ok := d.Config.Lookup(ans.Title); ok {
+	g := Grant{Play: ans.Play, Token: raw, Base: s.media + "://" + ans.Address + "/v1/media/" + raw + "/" + url.PathEscape(ans.Title) + "/",
+		Title: ans.Title, Segment: s.Config.SegmentMs}
+	if t, ok := s.Config.Lookup(ans.Title); ok {
 		g.Seconds = t.Length
 	}
 	for rung := p.MinRung; rung <= ans.Rung; rung++ {
-		g.Rungs = append(g.Rungs, Rung{rung, RungID(rung), d.Config.RatesKB[rung] * p.Rate * 8000})
+		g.Rungs = append(g.Rungs, Rung{rung, RungID(rung), s.Config.RatesKB[rung] * p.Rate * 8000})
 	}
 	return g, nil
 }
--- a/playlog/playlog.go
+++ b/playlog/playlog.go
@@ -132,79 +132,79 @@
 // Apply takes a record in. Every record has its place in every state: an end of a play that is not open is
 // one written twice, and an allocation of an open play is its next one. The error tells of an order that a front
 // never writes; the safe side is kept: the play stays open, at the node of its latest allocation.
-func (b *State) Apply(r Record) error {
-	b.records++
+func (s *State) Apply(r Record) error {
+	s.records++
 	switch r.Kind {
 	case Ended:
-		delete(b.open, r.Play)
+		delete(s.open, r.Play)
 		if r.EndReason != "" {
-			b.remember(EndedPlay{r.Play, r.EndReason, r.At})
+			s.remember(EndedPlay{r.Play, r.EndReason, r.At})
 		}
 		return nil
 	case Started:
-		if p, ok := b.open[r.Play]; ok && p.Attempt == r.Attempt {
+		if p, ok := s.open[r.Play]; ok && p.Attempt == r.Attempt {
 			p.Answered = true
-			b.open[r.Play] = p
+			s.open[r.Play] = p
 		}
 		return nil
 	case Token:
-		b.remember(EndedPlay{r.Play, Returned, r.At})
+		s.remember(EndedPlay{r.Play, Returned, r.At})
 		return nil
 	case Lost:
-		b.lost += r.Count
+		s.lost += r.Count
 		return nil
 	case Recovered:
-		b.lost = 0
+		s.lost = 0
 		return nil
 	}
-	last, ok := b.open[r.Play]
+	last, ok := s.open[r.Play]
 	if ok && r.Attempt < last.Attempt {
 		return fmt.Errorf("ledger: allocation %d of %s follows allocation %d", r.Attempt, r.Play, last.Attempt)
 	}
-	b.open[r.Play] = Play{Record: r}
+	s.open[r.Play] = Play{Record: r}
 	if ok && r.Attempt == last.Attempt && r.Node != last.Node {
 		return fmt.Errorf("ledger: allocation %d of %s is written at two nodes", r.Attempt, r.Play)
 	}
 	return nil
 }
 
-func (b *State) remember(p EndedPlay) {
-	if was, ok := b.past[p.Play]; ok && was.EndReason == Returned { // used up stays used up, whatever is told of its play
+func (s *State) remember(p EndedPlay) {
+	if was, ok := s.past[p.Play]; ok && was.EndReason == Returned { // used up stays used up, whatever is told of its play
 		return
 	}
-	b.ends++
-	b.past[p.Play] = ended{p, b.ends}
-	b.order = append(b.order, b.past[p.Play])
+	s.ends++
+	s.past[p.Play] = ended{p, s.ends}
+	s.order = append(s.order, s.past[p.Play])
 	// The oldest go as new ones come, so that what is needed, by which a compaction is due, does not grow with
 	// every play that ever ended.
-	for len(b.order) > 1 && (p.At-b.order[0].At > TokenRetentionMs || len(b.order) > 2*pastMost) {
-		if first := b.order[0]; b.past[first.Play] == first {
-			delete(b.past, first.Play)
+	for len(s.order) > 1 && (p.At-s.order[0].At > TokenRetentionMs || len(s.order) > 2*pastMost) {
+		if first := s.order[0]; s.past[first.Play] == first {
+			delete(s.past, first.Play)
 		}
-		b.order = b.order[1:]
+		s.order = s.order[1:]
 	}
 }
 
 // Expire forgets ends whose tokens can't be good any more.
-func (b *State) Expire(nowMs int64) {
-	kept := b.order[:0]
-	for i, p := range b.order {
+func (s *State) Expire(nowMs int64) {
+	kept := s.order[:0]
+	for i, p := range s.order {
 		switch {
-		case b.past[p.Play] != p: // written over
-		case nowMs-p.At > TokenRetentionMs || len(b.order)-i > pastMost:
-			delete(b.past, p.Play)
+		case s.past[p.Play] != p: // written over
+		case nowMs-p.At > TokenRetentionMs || len(s.order)-i > pastMost:
+			delete(s.past, p.Play)
 		default:
 			kept = append(kept, p)
 		}
 	}
-	clear(b.order[len(kept):])
-	b.order = kept
+	clear(s.order[len(kept):])
+	s.order = kept
 }
 
 // OpenPlays lists the plays that may still run, by their ids.
-func (b *State) OpenPlays() []Play {
-	out := make([]Play, 0, len(b.open))
-	for _, r := range b.open {
+func (s *State) OpenPlays() []Play {
+	out := make([]Play, 0, len(s.open))
+	for _, r := range s.open {
 		out = append(out, r)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Play < out[j].Play })
@@ -212,9 +212,9 @@
 }
 
 // EndedPlays lists the plays whose tokens are good no more, in the order of their ends.
-func (b *State) EndedPlays() (out []EndedPlay) {
-	for _, p := range b.order {
-		if b.past[p.Play] == p {
+func (s *State) EndedPlays() (out []EndedPlay) {
+	for _, p := range s.order {
+		if s.past[p.Play] == p {
 			out = append(out, p.EndedPlay)
 		}
 	}
@@ -223,21 +223,21 @@
 
 // Lost counts the records that were acknowledged and that a salvage did not find. While there are any, plays
 // that this state does not have may run: the front must wait until every node has told or its lease has passed.
-func (b *State) Lost() uint64 { return b.lost }
+func (s *State) Lost() uint64 { return s.lost }
 
 // Records are the fewest records that come to the same state.
-func (b *State) Records() (out []Record) {
-	if b.lost > 0 {
-		out = append(out, Record{Kind: Lost, Count: b.lost})
+func (s *State) Records() (out []Record) {
+	if s.lost > 0 {
+		out = append(out, Record{Kind: Lost, Count: s.lost})
 	}
-	for _, p := range b.EndedPlays() {
+	for _, p := range s.EndedPlays() {
 		if p.EndReason == Returned {
 			out = append(out, Record{Kind: Token, Play: p.Play, At: p.At})
 		} else {
 			out = append(out, Record{Kind: Ended, Play: p.Play, EndReason: p.EndReason, At: p.At})
 		}
 	}
-	for _, p := range b.OpenPlays() {
+	for _, p := range s.OpenPlays() {
 		out = append(out, p.Record)
 		if p.Answered {
 			out = append(out, Record{Kind: Started, Play: p.Play, Attempt: p.Attempt})
@@ -247,8 +247,8 @@
 }
 
 // Seats counts the open plays of a title and product.
-func (b *State) Seats(product, title string) (n int) {
-	for _, r := range b.open {
+func (s *State) Seats(product, title string) (n int) {
+	for _, r := range s.open {
 		if r.Product == product && r.Title == title {
 			n++
 		}
@@ -262,15 +262,15 @@
 )
 
 // needed is how many records the state comes to, about.
-func (b *State) needed() int { return 2*len(b.open) + len(b.past) }
+func (s *State) needed() int { return 2*len(s.open) + len(s.past) }
 
 // NeedsCompaction tells whether the store should be compacted to what is needed now.
-func (b *State) NeedsCompaction() bool {
-	return b.records >= compactLeast && b.records >= compactTimes*b.needed()
+func (s *State) NeedsCompaction() bool {
+	return s.records >= compactLeast && s.records >= compactTimes*s.needed()
 }
 
 // Compacted says that the store now holds just so many records.
-func (b *State) Compacted(records int) { b.records = records }
+func (s *State) Compacted(records int) { s.records = records }
 
 // Read makes a state of a store's records. It stops at the first that does not hold.
 func Read(records [][]byte) (*State, error) {
--- a/sockets/outbox.go
+++ b/sockets/outbox.go
@@ -33,30 +33,30 @@
 func NewOutboxAt(cursor uint64) Outbox { return Outbox{last: cursor, acked: cursor} }
 
 // Put adds a message and returns its cursor.
-func (b *Outbox) Put(k Kind, value any) uint64 {
-	if len(b.kept) >= MaxOutbox {
-		for i, m := range b.kept {
+func (o *Outbox) Put(k Kind, value any) uint64 {
+	if len(o.kept) >= MaxOutbox {
+		for i, m := range o.kept {
 			if m.Kind == Rung {
-				b.kept = append(b.kept[:i], b.kept[i+1:]...)
-				if i < len(b.kept) {
-					b.kept[i].Omitted += m.Omitted + 1
+				o.kept = append(o.kept[:i], o.kept[i+1:]...)
+				if i < len(o.kept) {
+					o.kept[i].Omitted += m.Omitted + 1
 				} else {
-					b.last++
-					b.kept = append(b.kept, Message{Cursor: b.last, Kind: k, Omitted: m.Omitted + 1, Value: value})
-					return b.last
+					o.last++
+					o.kept = append(o.kept, Message{Cursor: o.last, Kind: k, Omitted: m.Omitted + 1, Value: value})
+					return o.last
 				}
 				break
 			}
 		}
 	}
-	b.last++
-	b.kept = append(b.kept, Message{Cursor: b.last, Kind: k, Value: value})
-	return b.last
+	o.last++
+	o.kept = append(o.kept, Message{Cursor: o.last, Kind: k, Value: value})
+	return o.last
 }
 
 // Next is the first message kept after a cursor.
-func (b *Outbox) Next(cursor uint64) (Message, bool) {
-	for _, m := range b.kept {
+func (o *Outbox) Next(cursor uint64) (Message, bool) {
+	for _, m := range o.kept {
 		if m.Cursor > cursor {
 			return m, true
 		}
@@ -65,22 +65,22 @@
 }
 
 // Ack says that the viewer has all up to a cursor. One that was never given, or that goes back, does nothing.
-func (b *Outbox) Ack(cursor uint64) {
-	if cursor > b.last || cursor <= b.acked {
+func (o *Outbox) Ack(cursor uint64) {
+	if cursor > o.last || cursor <= o.acked {
 		return
 	}
-	b.acked = cursor
+	o.acked = cursor
 	n := 0
-	for n < len(b.kept) && b.kept[n].Cursor <= cursor {
+	for n < len(o.kept) && o.kept[n].Cursor <= cursor {
 		n++
 	}
-	rest := copy(b.kept, b.kept[n:])
-	clear(b.kept[rest:])
-	b.kept = b.kept[:rest]
+	rest := copy(o.kept, o.kept[n:])
+	clear(o.kept[rest:])
+	o.kept = o.kept[:rest]
 }
 
 // Acked is up to where the viewer has said that it has all.
-func (b *Outbox) Acked() uint64 { return b.acked }
+func (o *Outbox) Acked() uint64 { return o.acked }
 
 // Len is how many messages are kept.
-func (b *Outbox) Len() int { return len(b.kept) }
+func (o *Outbox) Len() int { return len(o.kept) }
--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -83,43 +83,43 @@
 }
 
 // Admit judges a new socket of a client, while so many are open, and says when to come back if it is not let in.
-func (d *Admission) Admit(now int64, client string, open int) (Refusal, int64) {
-	if until, ok := d.barred.Get(client); ok {
+func (a *Admission) Admit(now int64, client string, open int) (Refusal, int64) {
+	if until, ok := a.barred.Get(client); ok {
 		if now < until {
 			return Banned, max(MinRetryAfter, until-now)
 		}
-		d.barred.Remove(client)
+		a.barred.Remove(client)
 	}
-	if open >= d.most {
-		return Full, d.slot(now)
+	if open >= a.most {
+		return Full, a.slot(now)
 	}
-	d.tokens = min(paceBurst, d.tokens+float64(now-d.at)/float64(decision.Second)*paceRate)
-	d.at = now
-	if d.tokens < 1 {
-		return RateLimited, d.slot(now)
+	a.tokens = min(paceBurst, a.tokens+float64(now-a.at)/float64(decision.Second)*paceRate)
+	a.at = now
+	if a.tokens < 1 {
+		return RateLimited, a.slot(now)
 	}
-	d.tokens--
+	a.tokens--
 	return Admitted, 0
 }
 
 // slot gives the next free time away, as a pause from now, a little moved by chance.
-func (d *Admission) slot(now int64) int64 {
+func (a *Admission) slot(now int64) int64 {
 	each := int64(float64(decision.Second) / paceRate)
-	d.next = max(d.next, now+MinRetryAfter) + each
-	if d.next > now+paceAhead { // more wait than come in that time: begin again, mixed by chance
-		d.next = now + MinRetryAfter
+	a.next = max(a.next, now+MinRetryAfter) + each
+	if a.next > now+paceAhead { // more wait than come in that time: begin again, mixed by chance
+		a.next = now + MinRetryAfter
 	}
-	return d.next - now + int64(d.rnd.Float()*float64(each))
+	return a.next - now + int64(a.rnd.Float()*float64(each))
 }
 
 // Ban keeps a client out for a while.
-func (d *Admission) Ban(now int64, client string) { d.barred.Add(client, now+barredFor) }
+func (a *Admission) Ban(now int64, client string) { a.barred.Add(client, now+barredFor) }
 
 // SpreadReturns spreads those who are told to go: of so many, each gets a pause drawn from the time that their return
 // takes at the pace of one front.
-func (d *Admission) SpreadReturns(sockets int) int64 {
+func (a *Admission) SpreadReturns(sockets int) int64 {
 	window := max(MinRetryAfter, int64(float64(sockets)/paceRate*float64(decision.Second)))
-	return MinRetryAfter + int64(d.rnd.Float()*float64(min(window, paceAhead)))
+	return MinRetryAfter + int64(a.rnd.Float()*float64(min(window, paceAhead)))
 }
 
 // SocketState is a socket as the shedding sees it.
@@ -222,22 +222,22 @@
 
 // Message judges one more message. Guards against a player in a loop: it costs itself its socket, and others nothing, as what
 // is over the rate is not looked at.
-func (c *Behavior) Message(now int64) Response {
-	c.tokens = min(sayBurst, c.tokens+float64(now-c.at)/float64(decision.Second)*sayRate)
-	c.at = now
-	if c.tokens >= 1 {
-		c.tokens--
+func (b *Behavior) Message(now int64) Response {
+	b.tokens = min(sayBurst, b.tokens+float64(now-b.at)/float64(decision.Second)*sayRate)
+	b.at = now
+	if b.tokens >= 1 {
+		b.tokens--
 		return Accept
 	}
-	if c.warned++; c.warned > warnings {
+	if b.warned++; b.warned > warnings {
 		return Disconnect
 	}
 	return Ignore
 }
 
 // Malformed judges a message that does not hold.
-func (c *Behavior) Malformed() Response {
-	if c.bad++; c.bad >= malformed {
+func (b *Behavior) Malformed() Response {
+	if b.bad++; b.bad >= malformed {
 		return Disconnect
 	}
 	return Ignore
@@ -245,12 +245,12 @@
 
 // NotDelivered judges a player's word that its node does not deliver. Each ends the play there and asks for another place. Guards against a
 // player whose own line is broken, or who lies, and would be moved from node to node.
-func (c *Behavior) NotDelivered(now int64) Response {
-	oldest := c.claims[c.next]
+func (b *Behavior) NotDelivered(now int64) Response {
+	oldest := b.claims[b.next]
 	if oldest != 0 && now-oldest < claimsOver {
 		return Ignore
 	}
-	c.claims[c.next] = now
-	c.next = (c.next + 1) % claimsMost
+	b.claims[b.next] = now
+	b.next = (b.next + 1) % claimsMost
 	return Accept
 }
--- a/testbed/trace/trace.go
+++ b/testbed/trace/trace.go
@@ -91,11 +91,11 @@
 }
 
 // Add records a line, with its time.
-func (t *Recorder) Add(l Event) {
-	t.mu.Lock()
-	l.T = (t.base + time.Since(t.began)).Microseconds()
-	t.lines = append(t.lines, l)
-	t.mu.Unlock()
+func (r *Recorder) Add(l Event) {
+	r.mu.Lock()
+	l.T = (r.base + time.Since(r.began)).Microseconds()
+	r.lines = append(r.lines, l)
+	r.mu.Unlock()
 }
 
 // Merge puts the events of several traces of one clock in the order of their times.
@@ -109,10 +109,10 @@
 }
 
 // Events is a copy of what was recorded.
-func (t *Recorder) Events() []Event {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]Event(nil), t.lines...)
+func (r *Recorder) Events() []Event {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]Event(nil), r.lines...)
 }
 
 // Write writes lines as JSON, one a line.
