--- a/frontend/history_test.go
+++ b/frontend/history_test.go
@@ -21,7 +21,7 @@
 	"gullrail/store"
 )
 
-// historyKills asks for the long form: go test ./serve -run History -kills 200 -v
+// historyKills asks for the long form: go test ./frontend -run History -kills 200 -v
 var historyKills = flag.Int("kills", 40, "times that the journal's process is killed in the history test")
 
 const (
--- a/frontend/journal_test.go
+++ b/frontend/journal_test.go
@@ -15,7 +15,7 @@
 	"gullrail/store"
 )
 
-// recoverRecords asks for a measurement: go test ./serve -run Recover -records 1000000 -v
+// recoverRecords asks for a measurement: go test ./frontend -run Recover -records 1000000 -v
 var recoverRecords = flag.Int("records", 2000, "records to recover in the recovery test")
 
 func TestRecoverWhatIsOpen(t *testing.T) {
@@ -57,7 +57,7 @@
 	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, wrote, syncs, len(book.OpenPlays()), time.Since(began))
 }
 
-// weekPlays asks for a measurement: go test ./serve -run Week -week 7000000 -v
+// weekPlays asks for a measurement: go test ./frontend -run Week -week 7000000 -v
 var weekPlays = flag.Int("week", 60000, "recorded plays of the test that a store stays small")
 
 // A store that plays go through stays as small as what is open and whose tokens may still be shown, however
--- a/internal/benchproto/codec.go
+++ b/internal/benchproto/codec.go
@@ -1,5 +1,5 @@
-// Package benchproto speaks the bench's wire: it decodes lines into calls on the decision module
-// and encodes what they return. It hosts many instances and shares nothing among them.
+// Package benchproto implements the bench's protocol: it decodes lines into calls on the decision module and
+// encodes what they return. It hosts many instances and shares nothing among them.
 package benchproto
 
 import (
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -1,4 +1,4 @@
-// Package intern gives names small numbers.
+// Package intern maps names to small integers and reuses the integers of names no longer referenced.
 package intern
 
 // Table gives names small numbers, and gives a number back once nothing refers to it and
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -225,7 +225,7 @@
 	}
 }
 
-// The roster against a naive model under shuffled, repeated and lost messages of one list service: once all that it said
+// The fleet against a naive model under shuffled, repeated and lost messages of one list service: once all that it said
 // has come in its order, or a whole list, the front believes what it says; and at no time is a node given new plays
 // after a word that it drains or is gone was heard, until a newer one.
 func TestAgainstANaiveModel(t *testing.T) {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,4 +1,5 @@
-// Package placement decides where plays go, at which rung, and when to let go of them.
+// Package placement is the policy of a front end: it decides on which node and at which rung plays are placed, and
+// when they are moved or ended.
 //
 // The front end makes one Policy with New and tells it all it learns through the calls of decision.Policy:
 // package decision holds that interface and its words. Each call returns the orders to carry out, the nodes to
--- a/playapi/playapi.go
+++ b/playapi/playapi.go
@@ -1,6 +1,6 @@
-// Package playapi is the half that all protocol fronts share: what a request for a play must hold, its one answer
-// within its time limit, and what a viewer is granted with it. A protocol front reads requests and writes answers
-// in its protocol's terms, and does nothing else.
+// Package playapi is the part of the API for plays that all protocol front ends share: validation of a request,
+// its one answer within its time limit, and what a viewer is granted with it. A protocol front end reads requests
+// and writes answers in its protocol's terms, and does nothing else.
 package playapi
 
 import (
--- a/playlog/playlog.go
+++ b/playlog/playlog.go
@@ -1,5 +1,5 @@
-// Package playlog decides what a front end writes down of its plays before and after it acts, and what a
-// front started again may conclude from it. No I/O: records come in and go out as bytes for a store.
+// Package playlog decides which records of its plays a front end writes before and after it acts, and what a
+// restarted front end may conclude from them. No I/O: records come in and go out as bytes for a store.
 //
 // The rule is one line: before an allocation that must not be doubled, or that takes a seat, leaves the
 // front, its record is durable. Its end is written down afterwards, without waiting: an end that is lost in a
@@ -59,7 +59,7 @@
 func (r Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(fmt.Sprintf("ledger: %v", err)) // strings and numbers always encode
+		panic(fmt.Sprintf("playlog: %v", err)) // strings and numbers always encode
 	}
 	return b
 }
--- a/rundir/rundir.go
+++ b/rundir/rundir.go
@@ -1,5 +1,5 @@
-// Package rundir runs rehearsals as processes of their own under one run folder, and finds and ends them
-// whatever became of the one who started them.
+// Package rundir runs the processes of a rehearsal under one run folder, and finds and ends them even if the
+// process that started them is gone.
 //
 // The protocol of a run folder. The run file names the run by a nonce and says whether it goes on. Each
 // process of the run gets the nonce in its environment, registers in the folder before it does anything
@@ -329,7 +329,7 @@
 	return (&Run{Folder: abs}).Remove()
 }
 
-// Remove takes the folder's files of the run away, but what the kit did not write.
+// Remove takes the folder's files of the run away, but what this package did not write.
 func (r *Run) Remove() error {
 	for _, name := range []string{"run.json", "begins"} {
 		if err := os.Remove(filepath.Join(r.Folder, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/session/core.go
+++ b/session/core.go
@@ -724,7 +724,7 @@
 // ListSnapshot is the list as it is worth writing down.
 func (c *Core) ListSnapshot() (version int64, lines []NodeEntry) { return c.fleet.Snapshot() }
 
-// learn takes over what the roster believes now.
+// learn takes over what the membership holds now.
 func (c *Core) learn(now int64) {
 	lines, wake := c.fleet.Due(now)
 	c.fleetAt = wake
--- a/testbed/htmlreport/htmlreport.go
+++ b/testbed/htmlreport/htmlreport.go
@@ -1,5 +1,5 @@
-// Package htmlreport draws what a rehearsal came to as one self-contained HTML page: its figures, the six rules,
-// and how service, rungs, deliveries, answers and first frames went over the day, with the faults as bands.
+// Package htmlreport writes the result of a rehearsal as one self-contained HTML page: its figures, the six rules,
+// and how service, rungs, deliveries, answers and first frames went over time, with the faults as bands.
 package htmlreport
 
 import (
--- a/testbed/trace/trace.go
+++ b/testbed/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace records what passed on the sockets of stand-in nodes, the list service and simulated
-// players, by one monotonic clock.
+// Package trace records the events on the sockets of simulated nodes, the list service and simulated players, by
+// one monotonic clock.
 package trace
 
 import (
