--- a/testbed/htmlreport/htmlreport.go
+++ b/testbed/htmlreport/htmlreport.go
@@ -255,8 +255,8 @@
 <table><tr><th>service</th><td>{{printf "%.3f" .Report.Service}}</td></tr><tr><th>worth</th><td>{{printf "%.3f" .Report.Worth}}</td></tr>
 <tr><th>plays asked</th><td>{{.Report.Asked}}</td></tr><tr><th>plays</th><td>{{.Report.Plays}}</td></tr>
 <tr><th>declined</th><td>{{.Report.Declined}}</td></tr><tr><th>failed</th><td>{{.Report.Failed}}</td></tr>
-<tr><th>allocations doubled</th><td>{{.Report.Doubled}}</td></tr><tr><th>further allocations</th><td>{{.Report.Retried}}</td></tr></table>
-<h2>The six rules</h2><table>{{range .Report.Rules}}<tr><td>{{.Name}}</td><td>{{if .Breaks}}<span class="broken">broken {{len .Breaks}} times: {{index .Breaks 0}}</span>{{else}}kept{{end}}</td></tr>{{end}}</table>
+<tr><th>allocations doubled</th><td>{{.Report.Doubled}}</td></tr><tr><th>further allocations</th><td>{{.Report.Reallocated}}</td></tr></table>
+<h2>The six rules</h2><table>{{range .Report.Rules}}<tr><td>{{.Name}}</td><td>{{if .Violations}}<span class="broken">broken {{len .Violations}} times: {{index .Violations 0}}</span>{{else}}kept{{end}}</td></tr>{{end}}</table>
 {{range .Charts}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}
 <h2>Faults</h2><table>{{range .Faults}}<tr><td>{{printf "%.1f s" .From}}</td><td>{{.Name}}</td></tr>{{end}}</table>
 </body></html>
