--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -154,7 +154,7 @@
 	if err := s.await(ctx, "list", &list); err != nil {
 		return s, err
 	}
-	s.stage = &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Say: say, Command: func(name, file string) *exec.Cmd {
+	s.stage = &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Logf: say, Command: func(name, file string) *exec.Cmd {
 		return s.command("--file", file, name)
 	}}
 	if err := s.stage.StartFronts(ctx, list.Players, s.tape); err != nil {
@@ -231,7 +231,7 @@
 	var short struct{ Short float64 }
 	if err == nil {
 		fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback, processes)\n", filepath.Base(v.File),
-			s.day.Seed, s.day.Service.Fronts, s.day.Nodes, s.day.Rate, s.day.Seconds)
+			s.day.Seed, s.day.Service.Fronts, s.day.Nodes, s.day.ViewersPerSecond, s.day.Seconds)
 		err = s.play(ctx, &short)
 	}
 	_, e := s.run.Clean(endsWithin)
@@ -433,7 +433,7 @@
 	}
 	day.Seed = run.Seed
 	t := trace.NewSince(time.Duration(run.BaseNs))
-	part := &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
+	part := &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Logf: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
 	defer part.Stop()
 	var lines []trace.Event
 	if v.Name == "viewers" {
--- a/cmd/gullrail/load.go
+++ b/cmd/gullrail/load.go
@@ -43,16 +43,16 @@
 	fmt.Printf("%d fronts, %d nodes (loopback, all on this machine)\n", day.Service.Fronts, day.Nodes)
 	fmt.Println("   rate    asked    plays declined   failed   broken  p50 ms  p99 ms p99.9 ms   max ms  allocs/req  kB/req  cpu us/req  core us/req  goroutines  heap MB")
 	for i, rate := range v.Rate {
-		l := &testbed.Load{Scenario: day, Fronts: run.Fronts(), Rate: rate, For: v.For, PlayTime: v.Hold, Name: fmt.Sprint("load", i)}
+		l := &testbed.Load{Scenario: day, Fronts: run.Fronts(), PlaysPerSecond: rate, Duration: v.For, PlayTime: v.Hold, Name: fmt.Sprint("load", i)}
 		res, err := l.Run(ctx)
 		if err != nil {
 			return err
 		}
 		ms := func(p float64) float64 { return float64(res.Latency.ValueAtPercentile(p)) / 1000 }
 		per := func(name string, scale float64) float64 {
-			return res.MetricIncrease(name) * scale / max(1, float64(res.Asked))
+			return res.MetricIncrease(name) * scale / max(1, float64(res.Requests))
 		}
-		fmt.Printf("%7.0f %8d %8d %8d %8d %8d %7.1f %7.1f %8.1f %8.1f %11.0f %7.1f %11.0f %12.1f %11.0f %8.1f\n", rate, res.Asked, res.Plays,
+		fmt.Printf("%7.0f %8d %8d %8d %8d %8d %7.1f %7.1f %8.1f %8.1f %11.0f %7.1f %11.0f %12.1f %11.0f %8.1f\n", rate, res.Requests, res.Plays,
 			res.Declined, res.Failed, res.Broken, ms(50), ms(99), ms(99.9), float64(res.Latency.Max())/1000,
 			per("go_memstats_mallocs_total", 1), per("go_memstats_alloc_bytes_total", 1e-3), per("process_cpu_seconds_total", 1e6),
 			per("gullrail_core_busy_seconds_total", 1e6), res.MetricAtEnd("go_goroutines"), res.MetricAtEnd("go_memstats_heap_alloc_bytes")/1e6)
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -113,9 +113,9 @@
 	_, root, err := config.Open(v.File)
 	if err == nil {
 		switch {
-		case root.At("day").Given():
+		case root.At("day").Present():
 			_, err = testbed.ReadScenario(v.File)
-		case root.At("known").Given() || root.At("channel").Given():
+		case root.At("known").Present() || root.At("channel").Present():
 			_, err = platform.ReadOptions(v.File)
 		default:
 			_, err = config.ReadFront(v.File)
@@ -155,7 +155,7 @@
 		out := (&testbed.Sim{Scenario: day, Policy: testbed.Baseline(v.Module)}).Run()
 		if !v.JSON {
 			fmt.Printf("%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (simulated, module %s)\n", filepath.Base(v.File), day.Seed,
-				day.Service.Fronts, day.Nodes, day.Rate, day.Seconds, v.Module)
+				day.Service.Fronts, day.Nodes, day.ViewersPerSecond, day.Seconds, v.Module)
 		}
 		if v.Keep != "" {
 			if err := os.MkdirAll(v.Keep, 0o755); err != nil {
@@ -188,8 +188,8 @@
 		say = os.Stderr
 	}
 	fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback)\n", filepath.Base(v.File), day.Seed,
-		day.Service.Fronts, day.Nodes, day.Rate, day.Seconds)
-	run := &testbed.Rehearsal{Scenario: day, Program: self, Folder: folder, Say: func(format string, args ...any) {
+		day.Service.Fronts, day.Nodes, day.ViewersPerSecond, day.Seconds)
+	run := &testbed.Rehearsal{Scenario: day, Program: self, Folder: folder, Logf: func(format string, args ...any) {
 		fmt.Fprintf(say, "  "+format+"\n", args...)
 	}}
 	out, err := run.Run(ctx)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	s := f.Service
-	if f.MaxWaiting != 256 || s.MaxAttempts != 4 || s.Products[0].MaxRung != 1 || s.Products[0].Rate != 1 || s.BudgetWindowMs != 0 {
+	if f.MaxWaiting != 256 || s.MaxAttempts != 4 || s.Products[0].MaxRung != 1 || s.Products[0].RateFactor != 1 || s.BudgetWindowMs != 0 {
 		t.Fatalf("%+v", f)
 	}
 	terms := s.PolicySettings(1, "z")
--- a/config/doc.go
+++ b/config/doc.go
@@ -102,8 +102,8 @@
 	v.doc.mistakes = append(v.doc.mistakes, Problem{v.doc.file, line, v.field, fmt.Sprintf(format, args...)})
 }
 
-// Given tells that the value is there.
-func (v Value) Given() bool { return v.val != nil }
+// Present tells that the value is there.
+func (v Value) Present() bool { return v.val != nil }
 
 // Raw is the value as it stands in the file.
 func (v Value) Raw() []byte { return v.doc.text[v.at:v.end] }
@@ -133,7 +133,7 @@
 
 // Object checks that the value is an object, if it is given or required.
 func (v Value) Object(required bool) Value {
-	if _, ok := v.val.(*hujson.Object); !ok && (required || v.Given()) {
+	if _, ok := v.val.(*hujson.Object); !ok && (required || v.Present()) {
 		v.Report("an object is needed here")
 	}
 	return v
@@ -165,7 +165,7 @@
 func (v Value) List(required bool) []Value {
 	arr, ok := v.val.(*hujson.Array)
 	if !ok || required && len(arr.Elements) == 0 {
-		if required || v.Given() && !ok {
+		if required || v.Present() && !ok {
 			v.Report("a list is needed here")
 		}
 		return nil
@@ -195,14 +195,14 @@
 
 // TextOr is Text, or a default where nothing is given.
 func (v Value) TextOr(or string) string {
-	if !v.Given() {
+	if !v.Present() {
 		return or
 	}
 	return v.Text()
 }
 
-// Number reads a number from least to most.
-func (v Value) Number(least, most float64) float64 {
+// Float reads a number from least to most.
+func (v Value) Float(least, most float64) float64 {
 	lit, ok := v.literal('0')
 	x := lit.Float()
 	if !ok || math.IsNaN(x) || x < least || x > most {
@@ -212,17 +212,17 @@
 	return x
 }
 
-// NumberOr is Number, or a default where nothing is given.
-func (v Value) NumberOr(or, least, most float64) float64 {
-	if !v.Given() {
+// FloatOr is Number, or a default where nothing is given.
+func (v Value) FloatOr(or, least, most float64) float64 {
+	if !v.Present() {
 		return or
 	}
-	return v.Number(least, most)
+	return v.Float(least, most)
 }
 
 // Int reads a whole number from least to most.
 func (v Value) Int(least, most int) int {
-	x := v.Number(float64(least), float64(most))
+	x := v.Float(float64(least), float64(most))
 	if x != math.Trunc(x) {
 		v.Report("a whole number is needed here")
 	}
@@ -231,7 +231,7 @@
 
 // IntOr is Int, or a default where nothing is given.
 func (v Value) IntOr(or, least, most int) int {
-	if !v.Given() {
+	if !v.Present() {
 		return or
 	}
 	return v.Int(least, most)
@@ -239,7 +239,7 @@
 
 // BoolOr reads true or false, or a default where nothing is given.
 func (v Value) BoolOr(or bool) bool {
-	if !v.Given() {
+	if !v.Present() {
 		return or
 	}
 	if _, ok := v.literal('t'); ok {
@@ -251,8 +251,8 @@
 	return false
 }
 
-// Choice reads one of some words, the first where nothing is given.
-func (v Value) Choice(words ...string) string {
+// OneOf reads one of some words, the first where nothing is given.
+func (v Value) OneOf(words ...string) string {
 	got := v.TextOr(words[0])
 	for _, w := range words {
 		if got == w {
@@ -265,11 +265,11 @@
 	return words[0]
 }
 
-// Numbers reads a list of numbers from least to most.
-func (v Value) Numbers(least, most float64) []float64 {
+// Floats reads a list of numbers from least to most.
+func (v Value) Floats(least, most float64) []float64 {
 	var out []float64
 	for _, e := range v.List(true) {
-		out = append(out, e.Number(least, most))
+		out = append(out, e.Float(least, most))
 	}
 	return out
 }
--- a/config/service.go
+++ b/config/service.go
@@ -12,8 +12,8 @@
 	Name       string
 	Importance float64
 	TargetMs   float64 // first-frame target
-	LimitMs    float64 // time limit
-	Rate       float64 // its rates over those of the ladder
+	DeadlineMs float64 // time limit
+	RateFactor float64 // its rates over those of the ladder
 	Paid       bool    // set up at most once
 	MinRung    int     // lowest rung
 	MaxRung    int     // highest rung
@@ -50,7 +50,7 @@
 	SharedStreamShare float64 // part of its rate that a further viewer of a live stream adds; 1 is nothing shared
 	MaxAttempts       int     // allocations of one play at most
 
-	ColdShare, ColdDurationMs, FallMultiple, FallOverMs, DrainGraceMs float64
+	ColdShare, ColdDurationMs, OverloadMultiple, OverloadWindowMs, DrainGraceMs float64
 
 	BudgetFree, BudgetShare, BudgetWindowMs, MaxRetryAfterMs float64
 
@@ -71,13 +71,13 @@
 // ReadService reads and checks a service.
 func ReadService(v Value) Service {
 	v.Object(true)
-	s := Service{RatesKB: v.At("rates_kb").Numbers(0.001, mostNumber), RungWorth: v.At("worth").Numbers(0, 1e6),
-		SegmentMs:     v.At("segment_ms").NumberOr(2000, 100, 60000),
-		SwitchSeconds: v.At("switch_s").NumberOr(0, 0, 3600), Cells: v.At("cells").Int(1, 1<<20),
-		Racks: v.At("racks").Int(1, 1<<20), WeightKB: v.At("link_kb").Number(0.001, mostNumber),
-		UplinkKB: v.At("uplink_kb").NumberOr(0, 0, mostNumber), Fronts: v.At("fronts").Int(1, 1<<20),
-		MaxAttempts: v.At("tries").IntOr(4, 1, 100), MaxRetryAfterMs: v.At("come_back_ms").NumberOr(1000, 0, mostMs),
-		SharedStreamShare: v.At("join_adds").NumberOr(1, 0.001, 1)}
+	s := Service{RatesKB: v.At("rates_kb").Floats(0.001, mostNumber), RungWorth: v.At("worth").Floats(0, 1e6),
+		SegmentMs:     v.At("segment_ms").FloatOr(2000, 100, 60000),
+		SwitchSeconds: v.At("switch_s").FloatOr(0, 0, 3600), Cells: v.At("cells").Int(1, 1<<20),
+		Racks: v.At("racks").Int(1, 1<<20), WeightKB: v.At("link_kb").Float(0.001, mostNumber),
+		UplinkKB: v.At("uplink_kb").FloatOr(0, 0, mostNumber), Fronts: v.At("fronts").Int(1, 1<<20),
+		MaxAttempts: v.At("tries").IntOr(4, 1, 100), MaxRetryAfterMs: v.At("come_back_ms").FloatOr(1000, 0, mostMs),
+		SharedStreamShare: v.At("join_adds").FloatOr(1, 0.001, 1)}
 	if len(s.RungWorth) != len(s.RatesKB) {
 		v.At("worth").Report("%d rungs have a worth, %d a rate", len(s.RungWorth), len(s.RatesKB))
 	}
@@ -104,7 +104,7 @@
 	for _, e := range v.At("titles").List(true) {
 		e.Object(true)
 		s.Titles = append(s.Titles, Title{unique(names, e.At("name")), e.At("home").Int(0, max(0, s.Cells-1)),
-			e.At("copies").Int(1, max(1, s.Cells)), e.At("seconds").NumberOr(0, 0, 86400)})
+			e.At("copies").Int(1, max(1, s.Cells)), e.At("seconds").FloatOr(0, 0, 86400)})
 		e.RejectUnknown()
 	}
 	s.titleAt = make(map[string]int, len(s.Titles))
@@ -112,18 +112,18 @@
 		s.titleAt[t.Name] = i
 	}
 	r := v.At("reports").Object(true)
-	s.ReportMode = r.At("how").Choice("probe", "answers", "none")
+	s.ReportMode = r.At("how").OneOf("probe", "answers", "none")
 	s.ReportUplinks = r.At("uplinks").BoolOr(false)
-	s.ReportDelayMs = r.At("note_lag_ms").NumberOr(1000, 0, mostMs)
+	s.ReportDelayMs = r.At("note_lag_ms").FloatOr(1000, 0, mostMs)
 	r.RejectUnknown()
 	r = v.At("rules").Object(true)
-	s.ColdShare, s.ColdDurationMs = r.At("cold_share").Number(0.001, 1), r.At("cold_lasts_ms").Number(1, mostMs)
-	s.FallMultiple, s.FallOverMs = r.At("fall_multiple").Number(0.1, 1000), r.At("fall_over_ms").Number(1, mostMs)
-	s.DrainGraceMs = r.At("drain_grace_ms").Number(0, mostMs)
-	if b := r.At("budget"); b.Given() {
+	s.ColdShare, s.ColdDurationMs = r.At("cold_share").Float(0.001, 1), r.At("cold_lasts_ms").Float(1, mostMs)
+	s.OverloadMultiple, s.OverloadWindowMs = r.At("fall_multiple").Float(0.1, 1000), r.At("fall_over_ms").Float(1, mostMs)
+	s.DrainGraceMs = r.At("drain_grace_ms").Float(0, mostMs)
+	if b := r.At("budget"); b.Present() {
 		b.Object(true)
-		s.BudgetFree, s.BudgetShare = b.At("free").Number(0, 1e6), b.At("share").Number(0, 1000)
-		s.BudgetWindowMs = b.At("over_ms").Number(1, mostMs)
+		s.BudgetFree, s.BudgetShare = b.At("free").Float(0, 1e6), b.At("share").Float(0, 1000)
+		s.BudgetWindowMs = b.At("over_ms").Float(1, mostMs)
 		b.RejectUnknown()
 	}
 	r.RejectUnknown()
@@ -133,16 +133,16 @@
 
 func readProduct(e Value, names map[string]bool, rungs int) Product {
 	e.Object(true)
-	p := Product{Name: unique(names, e.At("name")), Importance: e.At("importance").Number(0.001, 1e6),
-		TargetMs: e.At("target_ms").Number(1, mostMs), LimitMs: e.At("limit_ms").Number(1, mostMs),
-		Rate: e.At("rate").NumberOr(1, 0.001, 1000), Paid: e.At("paid").BoolOr(false),
+	p := Product{Name: unique(names, e.At("name")), Importance: e.At("importance").Float(0.001, 1e6),
+		TargetMs: e.At("target_ms").Float(1, mostMs), DeadlineMs: e.At("limit_ms").Float(1, mostMs),
+		RateFactor: e.At("rate").FloatOr(1, 0.001, 1000), Paid: e.At("paid").BoolOr(false),
 		MinRung: e.At("floor").IntOr(0, 0, max(0, rungs-1)), MaxRung: e.At("top").IntOr(max(0, rungs-1), 0, max(0, rungs-1)),
 		Live:     e.At("live").BoolOr(false),
 		MaxSeats: e.At("seats").IntOr(0, 0, 1<<20)}
 	if p.MaxRung < p.MinRung {
 		e.At("top").Report("lies under the floor")
 	}
-	if p.LimitMs < p.TargetMs {
+	if p.DeadlineMs < p.TargetMs {
 		e.At("limit_ms").Report("is shorter than the first-frame target")
 	}
 	e.RejectUnknown()
@@ -174,7 +174,7 @@
 		"note.lag": one(s.ReportDelayMs * 10), "switch.seconds": one(s.SwitchSeconds), "tries": one(float64(s.MaxAttempts)),
 		"probing": yes(s.ReportMode == "probe"), "recall": one(1), "comeback": yes(s.MaxRetryAfterMs > 0),
 		"comeback.most": one(s.MaxRetryAfterMs * 10), "cold.share": one(s.ColdShare), "cold.lasts": one(s.ColdDurationMs * 10),
-		"fall.multiple": one(s.FallMultiple), "fall.over": one(s.FallOverMs * 10)}
+		"fall.multiple": one(s.OverloadMultiple), "fall.over": one(s.OverloadWindowMs * 10)}
 	if s.BudgetWindowMs > 0 {
 		out["budget.free"], out["budget.share"] = one(s.BudgetFree), one(s.BudgetShare)
 		out["budget.over"] = one(s.BudgetWindowMs * 10)
@@ -189,7 +189,7 @@
 	}
 	for _, p := range s.Products {
 		add := func(name string, x float64) { out["product."+name] = append(out["product."+name], x) }
-		add("rate", p.Rate)
+		add("rate", p.RateFactor)
 		add("paid", yes(p.Paid)[0])
 		add("floor", float64(p.MinRung))
 		add("top", float64(p.MaxRung))
@@ -209,10 +209,10 @@
 // Product is the name of a product's number; ProductNumber and Title look a name up.
 func (s *Service) Product(number int) string { return s.Products[number].Name }
 
-// LongestMs is the longest time limit of any product, in milliseconds.
-func (s *Service) LongestMs() (longest float64) {
+// LongestLimitMs is the longest time limit of any product, in milliseconds.
+func (s *Service) LongestLimitMs() (longest float64) {
 	for _, p := range s.Products {
-		longest = max(longest, p.LimitMs)
+		longest = max(longest, p.DeadlineMs)
 	}
 	return longest
 }
@@ -321,25 +321,25 @@
 	if f.Number >= f.Service.Fronts {
 		e.At("number").Report("fronts are numbered from 0 and service.fronts is %d", f.Service.Fronts)
 	}
-	f.Zone = e.At("zone").Choice(append([]string{}, orOne(f.Service.Zones)...)...)
+	f.Zone = e.At("zone").OneOf(append([]string{}, orOne(f.Service.Zones)...)...)
 	f.Listen = Address(e.At("listen"))
 	f.Seed = uint64(e.At("seed").IntOr(1, 0, 1<<53))
-	f.Log = e.At("log").Choice("info", "debug", "warn", "error")
+	f.Log = e.At("log").OneOf("info", "debug", "warn", "error")
 	f.MaxWaiting, f.MaxSockets = e.At("waiting").IntOr(256, 1, 1<<20), e.At("sockets").IntOr(8192, 1, 1<<20)
-	f.TokenMs = e.At("token_ms").NumberOr(600_000, 1000, 24*mostMs)
-	f.StateFolder, f.ShutdownMs = e.At("state").TextOr(""), e.At("end_within_ms").NumberOr(max(1000, f.Service.LongestMs()), 100, mostMs)
+	f.TokenMs = e.At("token_ms").FloatOr(600_000, 1000, 24*mostMs)
+	f.StateFolder, f.ShutdownMs = e.At("state").TextOr(""), e.At("end_within_ms").FloatOr(max(1000, f.Service.LongestLimitMs()), 100, mostMs)
 	f.ReleasePlays = e.At("retire").BoolOr(false)
-	if t := e.At("tls"); t.Given() {
+	if t := e.At("tls"); t.Present() {
 		t.Object(true)
 		f.Cert, f.CertKey = t.At("cert").Text(), t.At("key").Text()
 		t.RejectUnknown()
 	}
-	if t := e.At("nodes_tls"); t.Given() {
+	if t := e.At("nodes_tls"); t.Present() {
 		t.Object(true)
 		f.NodesCA = t.At("ca").Text()
 		t.RejectUnknown()
 	}
-	if p := e.At("peers"); p.Given() {
+	if p := e.At("peers"); p.Present() {
 		f.Peers = readPeers(p, f.Service.Fronts)
 	}
 	e.RejectUnknown()
@@ -405,7 +405,7 @@
 	for _, e := range v.List(true) {
 		e.Object(true)
 		k := Key{ID: unique(names, e.At("id")), Signs: e.At("signs").BoolOr(false)}
-		if seed := e.At("seed"); seed.Given() {
+		if seed := e.At("seed"); seed.Present() {
 			if k.Seed = bytes32(seed); k.Seed != nil {
 				k.Public = ed25519.NewKeyFromSeed(k.Seed).Public().(ed25519.PublicKey)
 			}
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -10,8 +10,8 @@
 	Second            = 1000 * Millisecond
 )
 
-// Key is a name's number that all fronts work out alike, for Node.Key and Request.Key. Two names may share one.
-func Key(name string) uint32 {
+// HashName is a name's number that all fronts work out alike, for Node.Key and Request.Key. Two names may share one.
+func HashName(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
@@ -34,14 +34,14 @@
 
 // Node is one line of the list of playout nodes.
 type Node struct {
-	Index   int // small number, the same for the same address
-	Phase   Phase
-	Kind    int
-	Zone    int
-	Cell    int
-	Started int64 // latest start; 0 is long past
-	Weight  float64
-	Key     uint32 // the same at every front for the same node; used where fronts tell each other
+	Index     int // small number, the same for the same address
+	Phase     Phase
+	Kind      int
+	Zone      int
+	Cell      int
+	StartedAt int64 // latest start; 0 is long past
+	Weight    float64
+	Key       uint32 // the same at every front for the same node; used where fronts tell each other
 }
 
 // Request is what a viewer asks for.
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -122,7 +122,7 @@
 	mux.Handle("GET /metrics", f.metrics())
 	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(admission.HeaderTimeout),
 		IdleTimeout: session.Duration(admission.IdleTimeout), MaxHeaderBytes: 16 << 10,
-		WriteTimeout: time.Duration(service.LongestMs()*float64(time.Millisecond)) + session.Duration(admission.WriteTimeout)}
+		WriteTimeout: time.Duration(service.LongestLimitMs()*float64(time.Millisecond)) + session.Duration(admission.WriteTimeout)}
 	return f, nil
 }
 
--- a/internal/benchproto/host.go
+++ b/internal/benchproto/host.go
@@ -295,7 +295,7 @@
 	in.list = in.list[:0]
 	for _, r := range h.pages[page] {
 		in.list = append(in.list, convert.Row{Phase: r.phase, Name: r.addr, Kind: known(in.terms.Kinds, "generation-hw", r.kind),
-			Zone: known(in.terms.Zones, "campus", r.zone), Cell: r.cell, Started: r.started, Weight: r.weight}.Node(in.node(r.addr)))
+			Zone: known(in.terms.Zones, "campus", r.zone), Cell: r.cell, StartedAt: r.started, Weight: r.weight}.Node(in.node(r.addr)))
 	}
 	h.encode(in, in.mod.UpdateNodes(h.now, in.list, how != "update"))
 	return nil
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -230,7 +230,7 @@
 
 // PolicyRequest is a request in the module's words.
 func (r Request) PolicyRequest(now int64) decision.Request {
-	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.Key(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
+	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.HashName(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
 		Length: Ticks(r.HintMs), FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Moved: r.Moved, Retry: r.Retry}
 }
 
@@ -239,13 +239,13 @@
 	Phase            decision.Phase
 	Name             string // the same at every front
 	Kind, Zone, Cell int
-	Started          int64
+	StartedAt        int64
 	Weight           float64
 }
 
 // Node is a line of the list in the module's words, with the front's own number for its name.
 func (r Row) Node(index int) decision.Node {
-	return decision.Node{Index: index, Phase: r.Phase, Kind: r.Kind, Zone: r.Zone, Cell: r.Cell, Started: r.Started, Weight: r.Weight, Key: decision.Key(r.Name)}
+	return decision.Node{Index: index, Phase: r.Phase, Kind: r.Kind, Zone: r.Zone, Cell: r.Cell, StartedAt: r.StartedAt, Weight: r.Weight, Key: decision.HashName(r.Name)}
 }
 
 // Load is a report of which a field is told by its column and that column's place; fields that no call uses are
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -52,14 +52,14 @@
 
 // Entry is one playout node, by name.
 type Entry struct {
-	Name    string
-	Address string // host:port
-	Phase   decision.Phase
-	Kind    int
-	Zone    int
-	Cell    int
-	Started int64 // on the front's clock; 0 is long past
-	Weight  float64
+	Name      string
+	Address   string // host:port
+	Phase     decision.Phase
+	Kind      int
+	Zone      int
+	Cell      int
+	StartedAt int64 // on the front's clock; 0 is long past
+	Weight    float64
 }
 
 // Update is what a source says: the whole list, or what changed.
@@ -170,14 +170,14 @@
 	}
 	n := &f.nodes[i]
 	if w.Source == Saved {
-		l.Started = now // not known any more: it counts as cold for the pace
+		l.StartedAt = now // not known any more: it counts as cold for the pace
 		if ok {
 			return
 		}
 	}
 	// A lower source says nothing of a node that a higher one has, but that it drains or is gone.
 	lower := ok && w.Source < n.by && n.has[n.by]
-	later := l.Started > n.line.Started && (l.Started > 0 && n.line.Started > 0)
+	later := l.StartedAt > n.line.StartedAt && (l.StartedAt > 0 && n.line.StartedAt > 0)
 	parts := l.Phase != decision.Ready
 	n.has[w.Source] = l.Phase != decision.Gone
 	if parts && !n.parted {
@@ -200,7 +200,7 @@
 			n.alive = false
 		}
 	}
-	l.Started = max(l.Started, n.line.Started)
+	l.StartedAt = max(l.StartedAt, n.line.StartedAt)
 	n.line, n.by, n.saidAt, n.missing, n.unsure = l, w.Source, now, 0, unsure
 }
 
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -83,17 +83,17 @@
 func TestALaterStartIsAnotherProcess(t *testing.T) {
 	f, c := heard(4)
 	l := line(0, decision.Gone)
-	l.Started = 50
+	l.StartedAt = 50
 	f.Apply(now, Update{Source: List, Version: 11, Entries: []Entry{l}})
 	c.due(f, now)
-	l.Phase, l.Started = decision.Ready, 900
+	l.Phase, l.StartedAt = decision.Ready, 900
 	f.Apply(now+1, Update{Source: List, Version: 12, Entries: []Entry{l}})
-	if c.due(f, now+1); c["n0"].Phase != decision.Ready || c["n0"].Started != 900 {
+	if c.due(f, now+1); c["n0"].Phase != decision.Ready || c["n0"].StartedAt != 900 {
 		t.Fatalf("%+v", c["n0"])
 	}
-	l.Started = 100
+	l.StartedAt = 100
 	f.Apply(now+2, Update{Source: List, Version: 13, Entries: []Entry{l}})
-	if c.due(f, now+2); c["n0"].Started != 900 {
+	if c.due(f, now+2); c["n0"].StartedAt != 900 {
 		t.Fatal("a start went back")
 	}
 }
@@ -144,7 +144,7 @@
 		f, c := New(), core{}
 		lines := whole(8)
 		lines[1].Phase = decision.Draining
-		lines[0].Started = 77
+		lines[0].StartedAt = 77
 		f.Apply(now, Update{Source: Saved, Version: 5, Full: true, Age: x.age, Entries: lines})
 		c.due(f, now)
 		want := x.ready
@@ -159,7 +159,7 @@
 		if x.spoken == 1 && c.ready() != 1 {
 			t.Errorf("age %d: %d ready after one answered", x.age, c.ready())
 		}
-		if l, ok := c["n0"]; ok && l.Started != now {
+		if l, ok := c["n0"]; ok && l.StartedAt != now {
 			t.Errorf("age %d: a node of unknown start counts as warm", x.age)
 		}
 		// The list service is back: a third of the fleet was replaced since.
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -99,7 +99,7 @@
 			return wrong("started_ms", n.StartedMs)
 		}
 		if n.StartedMs > 0 {
-			l.Started = clock.At(time.UnixMilli(n.StartedMs))
+			l.StartedAt = clock.At(time.UnixMilli(n.StartedMs))
 		}
 		lines = append(lines, l)
 	}
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -89,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		_, lines, err := ParseChange([]byte(s), set, clock)
 		for _, l := range lines {
-			if err == nil && (l.Cell < 0 || l.Cell >= set.Cells || l.Kind != 0 || l.Zone != 0 || l.Started < 0) {
+			if err == nil && (l.Cell < 0 || l.Cell >= set.Cells || l.Kind != 0 || l.Zone != 0 || l.StartedAt < 0) {
 				t.Fatalf("taken: %+v", l)
 			}
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -119,7 +119,7 @@
 	}
 	for _, l := range list {
 		n := f.known(l.Index)
-		if l.Started > n.started { // a fresh process: cold, healthy, its load unknown
+		if l.StartedAt > n.started { // a fresh process: cold, healthy, its load unknown
 			n.slot, n.link, n.seen, n.strikes, n.skipUntil = -1, account{}, memory{}, 0, 0
 		}
 		n.listed = l.Phase != decision.Gone
@@ -127,7 +127,7 @@
 			n.unlistedAt = now
 		}
 		n.phase, n.kind, n.zone, n.cell = l.Phase, l.Kind, l.Zone, l.Cell
-		n.rack, n.started, n.weight, n.key = l.Cell%len(f.racks), l.Started, l.Weight, l.Key
+		n.rack, n.started, n.weight, n.key = l.Cell%len(f.racks), l.StartedAt, l.Weight, l.Key
 		f.keys[l.Key] = l.Index
 	}
 	f.relist()
--- a/playapi/playapi.go
+++ b/playapi/playapi.go
@@ -88,7 +88,7 @@
 }
 
 func (r *Request) rest(set *config.Service, w Params) error {
-	most := int(set.Products[r.Product].LimitMs)
+	most := int(set.Products[r.Product].DeadlineMs)
 	if w.LimitMs < 0 {
 		return BadRequest{"limit_ms", "a whole number from 1 is needed"}
 	}
@@ -238,7 +238,7 @@
 		g.Seconds = t.Length
 	}
 	for rung := p.MinRung; rung <= ans.Rung; rung++ {
-		g.Rungs = append(g.Rungs, Rung{rung, RungID(rung), s.Config.RatesKB[rung] * p.Rate * 8000})
+		g.Rungs = append(g.Rungs, Rung{rung, RungID(rung), s.Config.RatesKB[rung] * p.RateFactor * 8000})
 	}
 	return g, nil
 }
--- a/session/core.go
+++ b/session/core.go
@@ -406,7 +406,7 @@
 	c.plays[p.id], c.asking[key] = p, p
 	c.counts.Taken++
 	h, res := c.mod.AddPlay(now, decision.Request{Product: a.Product, Title: p.title, Viewer: p.viewer, Deadline: a.Deadline,
-		Length: a.Length, FirstCell: a.FirstCell, CellCount: a.CellCount, MaxRung: a.MaxRung, Key: decision.Key(a.Title), Moved: isMoved, Retry: a.Previous != nil})
+		Length: a.Length, FirstCell: a.FirstCell, CellCount: a.CellCount, MaxRung: a.MaxRung, Key: decision.HashName(a.Title), Moved: isMoved, Retry: a.Previous != nil})
 	c.enter(p, h)
 	c.carry(now, res)
 }
@@ -641,7 +641,7 @@
 	c.plays[p.id] = p
 	c.nodes[at].plays++
 	h, res := c.mod.AdoptPlay(now, decision.Request{Product: r.Product, Title: p.title, Viewer: p.viewer, Deadline: now,
-		Length: r.TimeLeft, FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Key: decision.Key(r.Title)}, at)
+		Length: r.TimeLeft, FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Key: decision.HashName(r.Title)}, at)
 	c.enter(p, h)
 	c.carry(now, res)
 	c.carry(now, c.mod.RungReported(now, p.h, r.Rung))
@@ -757,7 +757,7 @@
 			c.follow(now, at, c.watch.FirstDial(now, len(lines)))
 		}
 		c.list = append(c.list, decision.Node{Index: at, Phase: l.Phase, Kind: l.Kind, Zone: l.Zone, Cell: l.Cell,
-			Started: l.Started, Weight: l.Weight, Key: decision.Key(n.name)})
+			StartedAt: l.StartedAt, Weight: l.Weight, Key: decision.HashName(n.name)})
 	}
 	c.listed = c.listed[:0]
 	for i := range c.nodes {
--- a/testbed/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -405,12 +405,12 @@
 			}
 			most := Allowance(a.set, streams, float64(l.T-began)/1000)
 			times := append(recent[l.Node], l.T)
-			for len(times) > 0 && float64(l.T-times[0]) > a.set.FallOverMs*1000 {
+			for len(times) > 0 && float64(l.T-times[0]) > a.set.OverloadWindowMs*1000 {
 				times = times[1:]
 			}
 			recent[l.Node] = times
 			if float64(len(times)) > most+cross {
-				a.broken(4, "line %d: %d set-ups at cold %s within %v ms, %.1f allowed", i+1, len(times), l.Node, a.set.FallOverMs, most)
+				a.broken(4, "line %d: %d set-ups at cold %s within %v ms, %.1f allowed", i+1, len(times), l.Node, a.set.OverloadWindowMs, most)
 			}
 		}
 	}
@@ -420,7 +420,7 @@
 // after its start.
 func Allowance(set *config.Service, streams int, ageMs float64) float64 {
 	warmth := min(1, set.ColdShare+(1-set.ColdShare)*ageMs/set.ColdDurationMs)
-	return set.FallMultiple * float64(streams) / set.ColdDurationMs * warmth * set.FallOverMs
+	return set.OverloadMultiple * float64(streams) / set.ColdDurationMs * warmth * set.OverloadWindowMs
 }
 
 // terms checks rule 5: rungs under a floor, and plays held of one title and product by one front.
--- a/testbed/audit/audit_test.go
+++ b/testbed/audit/audit_test.go
@@ -11,9 +11,9 @@
 
 func service() *config.Service {
 	return &config.Service{Products: []config.Product{
-		{Name: "paid", Importance: 2, TargetMs: 1500, LimitMs: 5000, Paid: true, MinRung: 1, MaxSeats: 2},
-		{Name: "safe", Importance: 1, TargetMs: 1000, LimitMs: 5000}},
-		Kinds: []config.Kind{{Name: "std", MaxStreams: 20}}, ColdShare: 0.4, ColdDurationMs: 10000, FallMultiple: 2.5, FallOverMs: 1000,
+		{Name: "paid", Importance: 2, TargetMs: 1500, DeadlineMs: 5000, Paid: true, MinRung: 1, MaxSeats: 2},
+		{Name: "safe", Importance: 1, TargetMs: 1000, DeadlineMs: 5000}},
+		Kinds: []config.Kind{{Name: "std", MaxStreams: 20}}, ColdShare: 0.4, ColdDurationMs: 10000, OverloadMultiple: 2.5, OverloadWindowMs: 1000,
 		DrainGraceMs: 1000, BudgetFree: 2, BudgetShare: 0.1, BudgetWindowMs: 10000}
 }
 
--- a/testbed/day.go
+++ b/testbed/day.go
@@ -15,8 +15,8 @@
 	Seconds          float64
 	Seed             uint64
 	Nodes            int
-	Rate             float64 // new viewers a second
-	Zipf             float64
+	ViewersPerSecond float64 // new viewers a second
+	ZipfExponent     float64
 	SmallScreenShare float64 // share of viewers who can't use the upper rungs
 	BandwidthSpread  float64 // spread of links and uplinks
 	SetUpMs          [2]float64
@@ -41,15 +41,15 @@
 
 // Fault is one thing that the script does.
 type Fault struct {
-	At     float64 // seconds
-	Do     string
-	Nodes  []int
-	Front  int
-	Rack   int
-	Zone   int
-	Title  string
-	For    float64 // seconds; 0 is for good
-	Amount float64
+	At       float64 // seconds
+	Action   string
+	Nodes    []int
+	Front    int
+	Rack     int
+	Zone     int
+	Title    string
+	Duration float64 // seconds; 0 is for good
+	Amount   float64
 }
 
 // The faults, with what Amount means.
@@ -99,30 +99,30 @@
 	v.Object(true)
 	sv, d := v.At("service"), &Scenario{}
 	var shared *config.Doc
-	if file := v.At("service_file"); file.Given() { // a service that several days share
+	if file := v.At("service_file"); file.Present() { // a service that several days share
 		var err error
 		if shared, sv, err = config.Open(filepath.Join(filepath.Dir(doc.File()), file.Text())); err != nil {
 			return nil, err
 		}
 	}
 	d.Service = config.ReadService(sv)
-	if sv.Given() {
+	if sv.Present() {
 		d.RawService = sv.Raw()
 	}
 	if shared != nil && shared.Err() != nil {
 		return nil, shared.Err()
 	}
 	e := v.At("day").Object(true)
-	d.Seconds, d.Seed = e.At("seconds").Number(1, 86400), uint64(e.At("seed").IntOr(1, 0, 1<<53))
-	d.Nodes, d.Rate = e.At("nodes").Int(1, 10000), e.At("rate").Number(0, 10000)
-	d.Zipf, d.SmallScreenShare = e.At("zipf").NumberOr(0.9, 0, 5), e.At("small_screens").NumberOr(0.25, 0, 1)
-	d.BandwidthSpread, d.MaxLinkLoad = e.At("uneven").NumberOr(0.2, 0, 0.9), e.At("guard").NumberOr(1, 0, 100)
+	d.Seconds, d.Seed = e.At("seconds").Float(1, 86400), uint64(e.At("seed").IntOr(1, 0, 1<<53))
+	d.Nodes, d.ViewersPerSecond = e.At("nodes").Int(1, 10000), e.At("rate").Float(0, 10000)
+	d.ZipfExponent, d.SmallScreenShare = e.At("zipf").FloatOr(0.9, 0, 5), e.At("small_screens").FloatOr(0.25, 0, 1)
+	d.BandwidthSpread, d.MaxLinkLoad = e.At("uneven").FloatOr(0.2, 0, 0.9), e.At("guard").FloatOr(1, 0, 100)
 	d.SetUpMs = pair(e.At("set_up_ms"), [2]float64{40, 120})
-	d.ListLateMs, d.IdleMs = e.At("list_late_ms").NumberOr(2000, 0, 3.6e6), e.At("idle_ms").NumberOr(6000, 100, 3.6e6)
+	d.ListLateMs, d.IdleMs = e.At("list_late_ms").FloatOr(2000, 0, 3.6e6), e.At("idle_ms").FloatOr(6000, 100, 3.6e6)
 	d.KeepRecords = e.At("records").BoolOr(true)
 	w := e.At("viewers").Object(false)
-	d.MaxRetries, d.PauseMs = w.At("tries").IntOr(3, 0, 1000), w.At("pause_ms").NumberOr(1500, 0, 3.6e6)
-	d.RetryAfterShare, d.SocketShare = w.At("honour").NumberOr(0.6, 0, 1), w.At("sockets").NumberOr(0, 0, 1)
+	d.MaxRetries, d.PauseMs = w.At("tries").IntOr(3, 0, 1000), w.At("pause_ms").FloatOr(1500, 0, 3.6e6)
+	d.RetryAfterShare, d.SocketShare = w.At("honour").FloatOr(0.6, 0, 1), w.At("sockets").FloatOr(0, 0, 1)
 	w.RejectUnknown()
 	for _, p := range e.At("products").List(true) {
 		p.Object(true)
@@ -130,7 +130,7 @@
 		if !ok {
 			p.At("name").Report("the service has no such product")
 		}
-		d.Products = append(d.Products, ScenarioProduct{n, p.At("share").Number(0, 1), pair(p.At("watch_s"), [2]float64{20, 60})})
+		d.Products = append(d.Products, ScenarioProduct{n, p.At("share").Float(0, 1), pair(p.At("watch_s"), [2]float64{20, 60})})
 		p.RejectUnknown()
 	}
 	for _, x := range e.At("faults").List(false) {
@@ -142,10 +142,10 @@
 }
 
 func pair(v config.Value, or [2]float64) [2]float64 {
-	if !v.Given() {
+	if !v.Present() {
 		return or
 	}
-	n := v.Numbers(0, 3.6e6)
+	n := v.Floats(0, 3.6e6)
 	if len(n) != 2 || n[1] < n[0] {
 		v.Report("two numbers, the lower first, are needed here")
 		return or
@@ -155,10 +155,10 @@
 
 func (d *Scenario) fault(v config.Value) Fault {
 	v.Object(true)
-	f := Fault{At: v.At("at_s").Number(0, d.Seconds), Do: v.At("do").Text(), For: v.At("for_s").NumberOr(0, 0, 86400)}
-	kind, ok := faults[f.Do]
+	f := Fault{At: v.At("at_s").Float(0, d.Seconds), Action: v.At("do").Text(), Duration: v.At("for_s").FloatOr(0, 0, 86400)}
+	kind, ok := faults[f.Action]
 	if !ok {
-		v.At("do").Report("no such fault: %.40q", f.Do)
+		v.At("do").Report("no such fault: %.40q", f.Action)
 		return f
 	}
 	switch kind.needs {
@@ -181,19 +181,19 @@
 			v.At("title").Report("the service has no such title")
 		}
 	}
-	if f.Do == "ageing" && f.For <= 0 {
+	if f.Action == "ageing" && f.Duration <= 0 {
 		v.At("for_s").Report("how long they age is needed here")
 	}
 	if kind.amount != "" {
-		f.Amount = v.At("amount").Number(0, 1e6)
+		f.Amount = v.At("amount").Float(0, 1e6)
 	}
 	v.RejectUnknown()
 	return f
 }
 
 func (f Fault) String() string {
-	s := f.Do
-	switch faults[f.Do].needs {
+	s := f.Action
+	switch faults[f.Action].needs {
 	case "nodes":
 		s += fmt.Sprintf(" nodes %v", f.Nodes)
 	case "front":
@@ -208,8 +208,8 @@
 	if f.Amount > 0 {
 		s += fmt.Sprintf(" by %v", f.Amount)
 	}
-	if f.For > 0 {
-		s += fmt.Sprintf(" for %v s", f.For)
+	if f.Duration > 0 {
+		s += fmt.Sprintf(" for %v s", f.Duration)
 	}
 	return s
 }
--- a/testbed/htmlreport/htmlreport.go
+++ b/testbed/htmlreport/htmlreport.go
@@ -167,9 +167,9 @@
 func bands(day *testbed.Scenario, lines []trace.Event) (out []band) {
 	lasts := map[string]float64{}
 	for _, f := range day.Faults {
-		lasts[f.String()] = max(1, f.For)
-		if f.Do == "drain" {
-			lasts[f.String()] = f.Amount + f.For
+		lasts[f.String()] = max(1, f.Duration)
+		if f.Action == "drain" {
+			lasts[f.String()] = f.Amount + f.Duration
 		}
 	}
 	for _, l := range lines {
--- a/testbed/load.go
+++ b/testbed/load.go
@@ -21,20 +21,20 @@
 // answered or not, and its latency counts from that time, so that a front that stands still is not
 // spared the requests that came meanwhile.
 type Load struct {
-	Scenario *Scenario // its products' shares, its titles by their Zipf, its seed
-	Fronts   []FrontAddress
-	Rate     float64       // new plays a second
-	For      time.Duration // of asking
-	PlayTime time.Duration // a play that plays is left after this
-	Name     string        // of this run, so that its viewers are nobody else's
+	Scenario       *Scenario // its products' shares, its titles by their Zipf, its seed
+	Fronts         []FrontAddress
+	PlaysPerSecond float64       // new plays a second
+	Duration       time.Duration // of asking
+	PlayTime       time.Duration // a play that plays is left after this
+	Name           string        // of this run, so that its viewers are nobody else's
 }
 
 // LoadResult is what a load run saw.
 type LoadResult struct {
-	Asked, Plays, Declined, Failed, Broken int
-	Latency                                *hdrhistogram.Histogram // microseconds, of all that were answered
-	Before, After                          []map[string]float64    // metrics of each front
-	Took                                   time.Duration
+	Requests, Plays, Declined, Failed, Broken int
+	Latency                                   *hdrhistogram.Histogram // microseconds, of all that were answered
+	MetricsBefore, MetricsAfter               []map[string]float64    // metrics of each front
+	Took                                      time.Duration
 }
 
 const loadRedials = 4096 // connections kept to a front, so that the tool measures no handshakes
@@ -46,11 +46,11 @@
 	defer client.CloseIdleConnections()
 	res := &LoadResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
 	var err error
-	if res.Before, err = l.scrape(ctx, client); err != nil {
+	if res.MetricsBefore, err = l.scrape(ctx, client); err != nil {
 		return nil, err
 	}
 	day := *l.Scenario
-	day.Rate, day.Seconds = l.Rate, l.For.Seconds()
+	day.ViewersPerSecond, day.Seconds = l.PlaysPerSecond, l.Duration.Seconds()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	start, n := time.Now(), 0
@@ -71,7 +71,7 @@
 			status, location := get(ctx, client, target)
 			took := time.Since(due)
 			mu.Lock()
-			res.Asked++
+			res.Requests++
 			switch status {
 			case http.StatusOK:
 				res.Plays++
@@ -104,10 +104,10 @@
 		}()
 	}
 	select {
-	case <-time.After(time.Until(start.Add(l.For))):
+	case <-time.After(time.Until(start.Add(l.Duration))):
 	case <-ctx.Done():
 	}
-	if res.After, err = l.scrape(ctx, client); err != nil {
+	if res.MetricsAfter, err = l.scrape(ctx, client); err != nil {
 		return nil, err
 	}
 	wg.Wait()
@@ -172,16 +172,16 @@
 
 // MetricIncrease is how much a metric grew over the run, all fronts together.
 func (r *LoadResult) MetricIncrease(name string) (sum float64) {
-	for i := range r.After {
-		sum += r.After[i][name] - r.Before[i][name]
+	for i := range r.MetricsAfter {
+		sum += r.MetricsAfter[i][name] - r.MetricsBefore[i][name]
 	}
 	return sum
 }
 
 // MetricAtEnd is a metric at the end of asking, all fronts together.
 func (r *LoadResult) MetricAtEnd(name string) (sum float64) {
-	for i := range r.After {
-		sum += r.After[i][name]
+	for i := range r.MetricsAfter {
+		sum += r.MetricsAfter[i][name]
 	}
 	return sum
 }
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -28,9 +28,9 @@
 	"gullrail/token"
 )
 
-// ShareHeader tells a simulated player what share of its rate it is delivered: the stand-in's segments are
+// DeliveredShareHeader tells a simulated player what share of its rate it is delivered: the stand-in's segments are
 // small, and its links are reckoned, not filled.
-const ShareHeader = "Lab-Share"
+const DeliveredShareHeader = "Lab-Share"
 
 // suggested is CTA-5006's dynamic response header; its key mb suggests the most bitrate, in kbit/s.
 const suggested = "CMSD-Dynamic"
@@ -153,7 +153,7 @@
 	goneAt time.Time // zero while it is open
 }
 
-func (f *Fleet) rate(r *running) float64 { return f.set.RatesKB[r.Rung] * r.product.Rate }
+func (f *Fleet) rate(r *running) float64 { return f.set.RatesKB[r.Rung] * r.product.RateFactor }
 
 // asked is what is asked of a node's link, kB a second.
 func (n *Node) asked() (sum float64) {
@@ -430,7 +430,7 @@
 	}
 	now := time.Now()
 	n.setUps = append(n.setUps, now)
-	for now.Sub(n.setUps[0]) > time.Duration(f.set.FallOverMs)*time.Millisecond {
+	for now.Sub(n.setUps[0]) > time.Duration(f.set.OverloadWindowMs)*time.Millisecond {
 		n.setUps = n.setUps[1:]
 	}
 	n.fallen = float64(len(n.setUps)) > audit.Allowance(f.set, f.set.Kinds[0].MaxStreams, age)+2
@@ -538,14 +538,14 @@
 	p.lastUsed = time.Now()
 	share, allowed := n.share(), p.Rung
 	f.mu.Unlock()
-	kbit := f.set.RatesKB[allowed] * p.product.Rate * 8
+	kbit := f.set.RatesKB[allowed] * p.product.RateFactor * 8
 	w.Header().Set(suggested, fmt.Sprintf("%q;mb=%d", n.line.Name, int64(kbit)))
 	if rung > min(allowed, cl.Rung) || rung < p.product.MinRung {
 		http.Error(w, "rung not allowed", http.StatusForbidden)
 		return
 	}
 	f.tape.Add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
-	w.Header().Set(ShareHeader, strconv.FormatFloat(share, 'f', 3, 64))
+	w.Header().Set(DeliveredShareHeader, strconv.FormatFloat(share, 'f', 3, 64))
 	w.Header().Set("Content-Type", "video/mp4")
 	w.Write(segment[:512*(rung+1)])
 }
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -73,14 +73,14 @@
 func (p *ViewerClients) ask(ctx context.Context, v *Viewer, at int, target, before string, first, broken bool) (res result) {
 	id := p.ids.Add(1)
 	line := trace.Event{Kind: trace.Ask, ID: id, Front: v.Names[at], Viewer: v.Name, Product: v.Product.Name,
-		Title: v.Title, LimitMs: int64(v.Product.LimitMs), Play: before, First: first}
+		Title: v.Title, LimitMs: int64(v.Product.DeadlineMs), Play: before, First: first}
 	if broken {
 		line.Note = "broken"
 	}
 	if first {
 		line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 	}
-	limit := time.Duration(v.Product.LimitMs) * time.Millisecond
+	limit := time.Duration(v.Product.DeadlineMs) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, limit+2*time.Second) // longer than its limit, to see what comes late
 	defer cancel()
 	p.Trace.Add(line)
@@ -219,7 +219,7 @@
 		}
 		return 0, ""
 	}
-	share, _ := strconv.ParseFloat(resp.Header.Get(ShareHeader), 64)
+	share, _ := strconv.ParseFloat(resp.Header.Get(DeliveredShareHeader), 64)
 	p.Counts.add(func(s *ViewerCounts) {
 		if resp.StatusCode == http.StatusOK {
 			s.Segments++
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -34,7 +34,7 @@
 	Program  string                            // the gullrail that serves; empty runs the fronts in this process, where they can't be killed
 	Command  func(name, file string) *exec.Cmd // what starts a front, in place of Program
 	Folder   string                            // for the fronts' settings and logs
-	Say      func(format string, args ...any)
+	Logf     func(format string, args ...any)
 
 	tape     *trace.Recorder
 	fleet    *Fleet
@@ -122,7 +122,7 @@
 
 // tail is how long after the last arrival the day goes on, in seconds: what was asked last is still to
 // be answered.
-func (d *Scenario) tail() float64 { return d.Service.LongestMs()/1000 + 1 }
+func (d *Scenario) tail() float64 { return d.Service.LongestLimitMs()/1000 + 1 }
 
 // Start starts the nodes, the list service and the fronts, and waits until the fronts are ready. Stop is owed
 // after it, also when it fails.
@@ -155,8 +155,8 @@
 	r.tape = t
 	r.rnd = rand.New(rand.NewPCG(d.Seed, 1))
 	r.crowd, r.byNumber = map[string]float64{}, map[int]*Node{}
-	if r.Say == nil {
-		r.Say = func(string, ...any) {}
+	if r.Logf == nil {
+		r.Logf = func(string, ...any) {}
 	}
 	key := config.Key{ID: "rehearsal", Seed: make([]byte, 32), Signs: true}
 	for i := range key.Seed {
@@ -434,11 +434,11 @@
 		weights := make([]float64, len(d.Service.Titles))
 		sum := 0.0
 		for i := range weights {
-			weights[i] = 1 / math.Pow(float64(i+1), d.Zipf)
+			weights[i] = 1 / math.Pow(float64(i+1), d.ZipfExponent)
 			sum += weights[i]
 		}
-		for n, at := 0, 0.0; d.Rate > 0; n++ {
-			if at += rnd.ExpFloat64() / d.Rate; at >= d.Seconds {
+		for n, at := 0, 0.0; d.ViewersPerSecond > 0; n++ {
+			if at += rnd.ExpFloat64() / d.ViewersPerSecond; at >= d.Seconds {
 				return
 			}
 			v := &Viewer{Name: fmt.Sprintf("v%d", n), MaxRetries: d.MaxRetries, Pause: time.Duration(d.PauseMs) * time.Millisecond,
@@ -540,7 +540,7 @@
 	if !wait(ctx, f.At-time.Since(start).Seconds()) {
 		return
 	}
-	r.Say("%5.1f s  %s", time.Since(start).Seconds(), f)
+	r.Logf("%5.1f s  %s", time.Since(start).Seconds(), f)
 	r.tape.Add(trace.Event{Kind: trace.Fault, Note: f.String()})
 	var all sync.WaitGroup
 	defer all.Wait()
@@ -558,18 +558,18 @@
 	set := func(at func(n *Node) *float64, usual float64) {
 		each(func(n *Node) {
 			r.change(func() { *at(n) = f.Amount })
-			if f.For > 0 && wait(ctx, f.For) {
+			if f.Duration > 0 && wait(ctx, f.Duration) {
 				r.change(func() { *at(n) = usual })
 			}
 		})
 	}
-	switch f.Do {
+	switch f.Action {
 	case "drain":
 		each(func(n *Node) { r.drain(ctx, n, f) })
 	case "crash":
 		each(func(n *Node) {
 			n.crash(trace.Crash)
-			if f.For > 0 && wait(ctx, f.For) {
+			if f.Duration > 0 && wait(ctx, f.Duration) {
 				r.back(n)
 			}
 		})
@@ -578,14 +578,14 @@
 			line := n.line
 			line.Phase = "gone"
 			r.list.UpdateNodes(line)
-			if f.For > 0 && wait(ctx, f.For) {
+			if f.Duration > 0 && wait(ctx, f.Duration) {
 				r.list.UpdateNodes(n.line)
 			}
 		})
 	case "silence":
 		each(func(n *Node) {
 			end := n.hush()
-			wait(ctx, f.For)
+			wait(ctx, f.Duration)
 			end()
 		})
 	case "slow":
@@ -598,7 +598,7 @@
 		set(func(n *Node) *float64 { return &n.taken }, 0)
 	case "uplink": // each process of nodes has a rack of its own
 		r.change(func() { r.fleet.racks[f.Rack].divided = max(0.001, f.Amount) })
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.change(func() { r.fleet.racks[f.Rack].divided = 1 })
 		}
 	case "list-down":
@@ -606,9 +606,9 @@
 			return
 		}
 		r.registry.Stop()
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			if err := r.registry.Start(r.registry.addr); err != nil {
-				r.Say("list service: %v", err)
+				r.Logf("list service: %v", err)
 			}
 		}
 	case "list-late":
@@ -617,14 +617,14 @@
 		}
 		usual := time.Duration(r.Scenario.ListLateMs) * time.Millisecond
 		r.registry.SetDelay(usual + time.Duration(f.Amount*float64(time.Second)))
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.registry.SetDelay(usual)
 		}
 	case "crowd":
 		r.mu.Lock()
 		r.crowd[f.Title] = f.Amount
 		r.mu.Unlock()
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.mu.Lock()
 			delete(r.crowd, f.Title)
 			r.mu.Unlock()
@@ -633,24 +633,24 @@
 		r.mu.Lock()
 		r.lean = lean{f.Front, f.Amount}
 		r.mu.Unlock()
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.mu.Lock()
 			r.lean = lean{}
 			r.mu.Unlock()
 		}
 	case "reports-late":
 		r.change(func() { r.fleet.late = f.Amount })
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.change(func() { r.fleet.late = 0 })
 		}
 	case "zone-cut":
 		r.change(func() { r.fleet.cut(f.Zone) })
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.change(func() { r.fleet.cut(-1) })
 		}
 	case "ageing":
 		each(func(n *Node) {
-			for age := 0.0; age < f.For; age++ {
+			for age := 0.0; age < f.Duration; age++ {
 				r.change(func() { n.slow, n.taken = aged(f, age) })
 				if !wait(ctx, 1) {
 					return
@@ -669,13 +669,13 @@
 		p := r.fronts[f.Front]
 		p.kill()
 		r.tape.Add(trace.Event{Kind: trace.FrontKilled, Front: p.name})
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			if err := r.startFront(p); err != nil {
-				r.Say("%v", err)
+				r.Logf("%v", err)
 				return
 			}
 			if err := p.awaitReady(ctx, 20*time.Second); err != nil {
-				r.Say("%v", err)
+				r.Logf("%v", err)
 				return
 			}
 			r.tape.Add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
@@ -687,7 +687,7 @@
 		p := r.fronts[f.Front]
 		r.tape.Add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
 		p.signal(syscall.SIGSTOP)
-		wait(ctx, f.For)
+		wait(ctx, f.Duration)
 		p.signal(syscall.SIGCONT)
 		r.tape.Add(trace.Event{Kind: trace.Continued, Front: p.name})
 	}
@@ -700,7 +700,7 @@
 
 // aged is how a node is after some seconds of ageing: slower, and with less of its link.
 func aged(f Fault, age float64) (slow, taken float64) {
-	part := age / f.For
+	part := age / f.Duration
 	return 1 + (f.Amount-1)*part, agedLink * part
 }
 
@@ -723,7 +723,7 @@
 	n.crash(trace.Crash)
 	line.Phase = "gone"
 	r.list.UpdateNodes(line)
-	if f.For <= 0 || !wait(ctx, f.For) {
+	if f.Duration <= 0 || !wait(ctx, f.Duration) {
 		return
 	}
 	r.mu.Lock()
@@ -733,14 +733,14 @@
 	if err == nil {
 		r.back(m)
 	} else {
-		r.Say("%v", err)
+		r.Logf("%v", err)
 	}
 }
 
 // back starts a node cold and tells the list service.
 func (r *Rehearsal) back(n *Node) {
 	if err := n.start(true); err != nil {
-		r.Say("%v", err)
+		r.Logf("%v", err)
 		return
 	}
 	r.fleet.mu.Lock()
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -173,7 +173,7 @@
 func (n *simNode) rerate(p *simPlay, rung int) {
 	p.Rung = rung
 	n.carry(-p.rate)
-	p.rate = n.sim.Scenario.Service.RatesKB[rung] * p.product.Rate
+	p.rate = n.sim.Scenario.Service.RatesKB[rung] * p.product.RateFactor
 	n.carry(p.rate)
 }
 
@@ -253,7 +253,7 @@
 		return false
 	}
 	n.setUps = append(n.setUps, n.sim.now)
-	for float64(n.sim.now-n.setUps[0])/10 > set.FallOverMs {
+	for float64(n.sim.now-n.setUps[0])/10 > set.OverloadWindowMs {
 		n.setUps = n.setUps[1:]
 	}
 	return float64(len(n.setUps)) > audit.Allowance(set, set.Kinds[0].MaxStreams, age)+2
@@ -760,7 +760,7 @@
 		}
 		s.add(trace.Event{Kind: trace.ListSent, Front: f.name, Node: l.Name, Note: l.Phase})
 		phase := map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[l.Phase]
-		e := session.NodeEntry{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, Started: l.StartedMs}
+		e := session.NodeEntry{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, StartedAt: l.StartedMs}
 		for i, k := range s.Scenario.Service.Kinds {
 			if k.Name == l.Kind {
 				e.Kind = i
@@ -802,7 +802,7 @@
 	s.ids++
 	id := s.ids
 	line := trace.Event{Kind: trace.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
-		LimitMs: int64(v.Product.LimitMs), Play: v.before, First: v.first}
+		LimitMs: int64(v.Product.DeadlineMs), Play: v.before, First: v.first}
 	if v.broken {
 		line.Note = "broken"
 	}
@@ -811,7 +811,7 @@
 	}
 	v.first = false
 	s.add(line)
-	limit := s.now + int64(v.Product.LimitMs)*decision.Millisecond
+	limit := s.now + int64(v.Product.DeadlineMs)*decision.Millisecond
 	if !f.up {
 		s.after(clientHop, func() { s.add(trace.Event{Kind: trace.Answer, ID: id, Note: "connection refused"}); v.again(0) })
 		return
@@ -1016,8 +1016,8 @@
 		}
 	}
 	lasts := func(undo func()) {
-		if f.For > 0 {
-			s.seconds(f.For, undo)
+		if f.Duration > 0 {
+			s.seconds(f.Duration, undo)
 		}
 	}
 	set := func(at func(n *simNode) *float64, usual float64) {
@@ -1032,7 +1032,7 @@
 		n.line.Phase = "ready"
 		s.announce(n.line)
 	}
-	switch f.Do {
+	switch f.Action {
 	case "drain":
 		each(func(n *simNode) {
 			n.drains = true
@@ -1098,10 +1098,10 @@
 		lasts(func() { s.apart = 0 })
 	case "ageing":
 		each(func(n *simNode) {
-			for age := 0.0; age < f.For; age++ {
+			for age := 0.0; age < f.Duration; age++ {
 				s.seconds(age, func() { n.slow, n.taken = aged(f, age) })
 			}
-			s.seconds(f.For, func() {
+			s.seconds(f.Duration, func() {
 				n.crash(trace.Crash)
 				n.slow, n.taken = 1, 0
 				s.seconds(agedBack, func() { back(n) })
@@ -1118,7 +1118,7 @@
 		p := s.fronts[f.Front]
 		p.stopped = true
 		s.add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
-		s.seconds(f.For, func() {
+		s.seconds(f.Duration, func() {
 			p.stopped = false
 			s.add(trace.Event{Kind: trace.Continued, Front: p.name})
 			held := p.held
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -45,7 +45,7 @@
 			id := p.ids.Add(1)
 			ids[t.Ticket], asked[t.Ticket] = id, time.Now()
 			line := trace.Event{Kind: trace.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
-				LimitMs: int64(v.Product.LimitMs), Play: t.PreviousPlay, First: first}
+				LimitMs: int64(v.Product.DeadlineMs), Play: t.PreviousPlay, First: first}
 			if t.NotDelivered {
 				line.Note = "broken"
 			}
@@ -62,7 +62,7 @@
 		}
 		delete(ids, t.Ticket)
 		line := trace.Event{Kind: trace.Answer, ID: id}
-		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.LimitMs)*time.Millisecond
+		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.DeadlineMs)*time.Millisecond
 		delete(asked, t.Ticket)
 		if errors.Is(t.Err, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
 			line.Kind = trace.Gone
@@ -78,7 +78,7 @@
 	}})
 	defer c.Close()
 	for tries := 0; ctx.Err() == nil && time.Since(began) < v.WatchTime && tries <= v.MaxRetries; tries++ {
-		play, err := c.RequestPlay(ctx, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Timeout: time.Duration(v.Product.LimitMs) * time.Millisecond,
+		play, err := c.RequestPlay(ctx, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Timeout: time.Duration(v.Product.DeadlineMs) * time.Millisecond,
 			Length: v.WatchTime - time.Since(began), MaxRetries: v.MaxRetries})
 		if err != nil {
 			return // its tries are used up
--- a/testbed/stand.go
+++ b/testbed/stand.go
@@ -41,7 +41,7 @@
 }
 
 // ForwardUpdatesTo lets the nodes of this process be announced at a list service's back door.
-func (r *Rehearsal) ForwardUpdatesTo(addr string) { r.list = remote{addr, r.Say} }
+func (r *Rehearsal) ForwardUpdatesTo(addr string) { r.list = remote{addr, r.Logf} }
 
 // remote is a list service in another process.
 type remote struct {
@@ -104,7 +104,7 @@
 // crowds plays the crowds of the script alone.
 func (r *Rehearsal) crowds(ctx context.Context, start time.Time) {
 	for _, f := range r.Scenario.Faults {
-		if f.Do == "crowd" || f.Do == "shift" {
+		if f.Action == "crowd" || f.Action == "shift" {
 			r.wg.Add(1)
 			go func() { defer r.wg.Done(); r.inject(ctx, start, f) }()
 		}
