--- a/config/doc.go
+++ b/config/doc.go
@@ -212,7 +212,7 @@
 	return x
 }
 
-// FloatOr is Number, or a default where nothing is given.
+// FloatOr is Float, or a default where nothing is given.
 func (v Value) FloatOr(or, least, most float64) float64 {
 	if !v.Present() {
 		return or
