--- a/nodes/client.go
+++ b/nodes/client.go
@@ -289,7 +289,7 @@
 	c.repeat(http.MethodDelete, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"?"+q.Encode(), nil, r)
 }
 
-// repeat makes a call that is safe to repeat, up to liveness.CallTries times. A node that hears none of
+// repeat makes a call that is safe to repeat, up to liveness.MaxCallAttempts times. A node that hears none of
 // them is asked for its plays when its stream is back, and what it shouldn't run is ended then.
 func (c *Client) repeat(method, target string, body []byte, r session.Ref) {
 	c.spawn(func() {
