--- a/client/client.go
+++ b/client/client.go
@@ -19,7 +19,7 @@
 
 	"github.com/coder/websocket"
 
-	"gullrail/desk"
+	"gullrail/playapi"
 	"gullrail/wsapi"
 )
 
@@ -36,57 +36,57 @@
 
 // Options say who the viewer is and where it asks. Fronts must not be empty.
 type Options struct {
-	Fronts []string // addresses, host:port; the first one is asked first
-	TLS    bool
-	Viewer string
-	HTTP   *http.Client // nil is http.DefaultClient
-	Trace  func(Trace)  // told of each request and answer, on the client's goroutine; may be nil
-	Herd   time.Duration
+	Fronts          []string // addresses, host:port; the first one is asked first
+	TLS             bool
+	Viewer          string
+	HTTP            *http.Client   // nil is http.DefaultClient
+	OnExchange      func(Exchange) // told of each request and answer, on the client's goroutine; may be nil
+	ReconnectSpread time.Duration
 }
 
-// Trace is a request or answer as it crossed the socket.
-type Trace struct {
+// Exchange is a request or answer as it crossed the socket.
+type Exchange struct {
 	Ticket, Front string
-	Want          Want   // of a request
-	Before        string // the play that its token names
-	Broken        bool
+	Request       Request // of a request
+	PreviousPlay  string  // the play that its token names
+	NotDelivered  bool
 	Answer        *wsapi.Message // nil for a request
-	Lost          error          // the request has no answer: its front is gone
+	Err           error          // the request has no answer: its front is gone
 }
 
-// Want is what a viewer asks for. Top below 0 is not told; Limit and Length 0 are not.
-type Want struct {
-	Title, Product string
-	Top            int
-	Limit, Length  time.Duration
-	Tries          int // further tries after a decline or a failure
+// Request is what a viewer asks for. Top below 0 is not told; Limit and Length 0 are not.
+type Request struct {
+	Title, Product  string
+	MaxRung         int
+	Timeout, Length time.Duration
+	MaxRetries      int // further tries after a decline or a failure
 }
 
-// What an event tells.
-type What uint8
+// EventKind an event tells.
+type EventKind uint8
 
 const (
-	Rung  What = iota // other rungs may be fetched from now on
-	Moved             // it plays elsewhere from now on
-	Away              // it plays nowhere; another place is being asked for
-	Ended             // it is over
+	Rung        EventKind = iota // other rungs may be fetched from now on
+	Moved                        // it plays elsewhere from now on
+	Interrupted                  // it plays nowhere; another place is being asked for
+	Ended                        // it is over
 )
 
 // Event is a change of a play.
 type Event struct {
-	What  What
-	Grant desk.Grant // with Rung and Moved
-	Why   string
+	Kind   EventKind
+	Grant  playapi.Grant // with Rung and Moved
+	Reason string
 }
 
-// Refused is the error of a request that was answered otherwise than with a play.
-type Refused struct {
-	Verdict  string // declined, failed or denied
-	Why      string
-	ComeBack time.Duration
+// RefusedError is the error of a request that was answered otherwise than with a play.
+type RefusedError struct {
+	Verdict    string // declined, failed or denied
+	Reason     string
+	RetryAfter time.Duration
 }
 
-func (r *Refused) Error() string { return r.Verdict + ": " + r.Why }
+func (r *RefusedError) Error() string { return r.Verdict + ": " + r.Reason }
 
 // Why a request or play is over without the front's doing.
 var (
@@ -110,8 +110,8 @@
 
 // New makes a client. Close ends it.
 func New(o Options) *Client {
-	if o.Herd == 0 {
-		o.Herd = herd
+	if o.ReconnectSpread == 0 {
+		o.ReconnectSpread = herd
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{o: o, ctx: ctx, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1)}
@@ -125,7 +125,7 @@
 	plays := append([]*Play(nil), c.plays...)
 	c.mu.Unlock()
 	for _, p := range plays {
-		p.Leave()
+		p.End()
 	}
 	if len(plays) > 0 {
 		c.settle()
@@ -160,12 +160,12 @@
 // Play is one request and the play that comes of it.
 type Play struct {
 	c        *Client
-	want     Want
+	want     Request
 	state    state
 	ticket   string
 	front    int // where it was asked
 	cursor   uint64
-	grant    desk.Grant
+	grant    playapi.Grant
 	broken   bool
 	tries    int
 	before   string // token of the play that it is to be placed again
@@ -177,10 +177,10 @@
 	playedBy string
 }
 
-// Ask asks for a play and waits until it plays, is refused for good, or the context ends, which withdraws it. The error of
-// a refusal is a *Refused.
-func (c *Client) Ask(ctx context.Context, w Want) (*Play, error) {
-	p := &Play{c: c, want: w, first: make(chan error, 1), events: make(chan Event, eventsHeld), tries: w.Tries}
+// RequestPlay asks for a play and waits until it plays, is refused for good, or the context ends, which withdraws it. The error of
+// a refusal is a *RefusedError.
+func (c *Client) RequestPlay(ctx context.Context, w Request) (*Play, error) {
+	p := &Play{c: c, want: w, first: make(chan error, 1), events: make(chan Event, eventsHeld), tries: w.MaxRetries}
 	c.mu.Lock()
 	if c.ctx.Err() != nil {
 		c.mu.Unlock()
@@ -189,7 +189,7 @@
 	for _, o := range c.plays {
 		if o.state <= asked && o.want.Title == w.Title && o.want.Product == w.Product {
 			c.mu.Unlock()
-			return nil, &Refused{Verdict: "denied", Why: "the same is being asked for"}
+			return nil, &RefusedError{Verdict: "denied", Reason: "the same is being asked for"}
 		}
 	}
 	c.plays = append(c.plays, p)
@@ -202,7 +202,7 @@
 		}
 		return p, nil
 	case <-ctx.Done():
-		p.Leave()
+		p.End()
 		return nil, ctx.Err()
 	case <-c.done:
 		return nil, ErrClosed
@@ -214,14 +214,14 @@
 func (p *Play) Events() <-chan Event { return p.events }
 
 // Grant is what may be fetched now.
-func (p *Play) Grant() desk.Grant {
+func (p *Play) Grant() playapi.Grant {
 	p.c.mu.Lock()
 	defer p.c.mu.Unlock()
 	return p.grant
 }
 
-// Broken says that the node does not deliver; the play is placed elsewhere, which Moved tells.
-func (p *Play) Broken() {
+// ReportNotDelivered says that the node does not deliver; the play is placed elsewhere, which Moved tells.
+func (p *Play) ReportNotDelivered() {
 	p.c.mu.Lock()
 	if p.state == plays {
 		p.c.say(wsapi.Message{Type: "report", Ticket: p.ticket, Broken: true})
@@ -230,13 +230,13 @@
 	p.c.wake()
 }
 
-// Leave ends the play, or the request for it.
-func (p *Play) Leave() {
+// End ends the play, or the request for it.
+func (p *Play) End() {
 	p.c.mu.Lock()
 	if p.state == asked || p.state == plays {
 		p.c.say(wsapi.Message{Type: "bye", Ticket: p.ticket})
 	}
-	p.c.end(p, Event{What: Ended, Why: "left"}, ErrLeft)
+	p.c.end(p, Event{Kind: Ended, Reason: "left"}, ErrLeft)
 	p.c.mu.Unlock()
 	p.c.wake()
 }
@@ -256,7 +256,7 @@
 		return
 	}
 	if p.state == asked {
-		c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: err})
+		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Err: err})
 	}
 	p.state = closed
 	if !p.ever {
@@ -305,7 +305,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for len(c.plays) > 0 {
-			c.end(c.plays[0], Event{What: Ended, Why: "closed"}, ErrClosed)
+			c.end(c.plays[0], Event{Kind: Ended, Reason: "closed"}, ErrClosed)
 		}
 	}()
 	failures := 0
@@ -337,7 +337,7 @@
 		if pause == 0 {
 			pause = drawn(min(pauseMost, pauseLeast<<min(failures, 8)))
 			if served && len(c.plays) > 0 { // it broke: others broke with it
-				pause = time.Duration(mathrand.Float64() * float64(c.o.Herd))
+				pause = time.Duration(mathrand.Float64() * float64(c.o.ReconnectSpread))
 			}
 		}
 		c.mu.Unlock()
@@ -374,7 +374,7 @@
 
 // comeBack reads a front's advice, in milliseconds where it is told, and in whole seconds else.
 func comeBack(h http.Header) time.Duration {
-	if ms, err := strconv.Atoi(h.Get(wsapi.ComeBackHeader)); err == nil && ms > 0 {
+	if ms, err := strconv.Atoi(h.Get(wsapi.RetryAfterMsHeader)); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
 	if s, err := strconv.Atoi(h.Get("Retry-After")); err == nil && s > 0 {
@@ -460,7 +460,7 @@
 			c.say(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor})
 			return
 		}
-		c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[p.front], Lost: errors.New("its front is gone")})
+		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Err: errors.New("its front is gone")})
 		p.state, p.askAt = toAsk, time.Now()
 	}
 }
@@ -472,8 +472,8 @@
 	c.out = nil
 	for _, p := range c.plays {
 		if p.state == asked && p.front == at && time.Now().After(p.limitAt) {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: err})
-			c.retry(p, &Refused{Verdict: "failed", Why: err.Error()})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Err: err})
+			c.retry(p, &RefusedError{Verdict: "failed", Reason: err.Error()})
 		}
 	}
 }
@@ -504,23 +504,23 @@
 func (c *Client) ask(p *Play, at int, now time.Time) {
 	p.ticket, p.front, p.state, p.cursor = ticket(), at, asked, 0
 	m := wsapi.Message{Type: "ask", Ticket: p.ticket, Title: p.want.Title, Product: p.want.Product, Viewer: c.o.Viewer,
-		LimitMs: int(p.want.Limit.Milliseconds()), LengthMs: int(p.want.Length.Milliseconds()), Token: p.before, Broken: p.broken && p.before != ""}
-	if p.want.Top >= 0 {
-		top := p.want.Top
+		LimitMs: int(p.want.Timeout.Milliseconds()), LengthMs: int(p.want.Length.Milliseconds()), Token: p.before, Broken: p.broken && p.before != ""}
+	if p.want.MaxRung >= 0 {
+		top := p.want.MaxRung
 		m.Top = &top
 	}
-	limit := p.want.Limit
+	limit := p.want.Timeout
 	if limit == 0 {
 		limit = 30 * time.Second
 	}
 	p.limitAt = now.Add(limit)
-	c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Want: p.want, Before: p.playedBy, Broken: m.Broken})
+	c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Request: p.want, PreviousPlay: p.playedBy, NotDelivered: m.Broken})
 	c.say(m)
 }
 
-func (c *Client) trace(t Trace) {
-	if c.o.Trace != nil {
-		c.o.Trace(t)
+func (c *Client) trace(t Exchange) {
+	if c.o.OnExchange != nil {
+		c.o.OnExchange(t)
 	}
 }
 
@@ -574,60 +574,60 @@
 	switch m.Type {
 	case "answer":
 		if p.state == asked {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &m})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &m})
 		}
 		if m.Grant != nil {
 			moved := p.ever && m.Grant.Play != p.playedBy
-			p.grant, p.state, p.before, p.broken, p.playedBy, p.tries = *m.Grant, plays, "", false, m.Grant.Play, p.want.Tries
+			p.grant, p.state, p.before, p.broken, p.playedBy, p.tries = *m.Grant, plays, "", false, m.Grant.Play, p.want.MaxRetries
 			switch {
 			case !p.ever:
 				p.ever = true
 				p.first <- nil
 			case moved:
-				p.emit(Event{What: Moved, Grant: p.grant})
+				p.emit(Event{Kind: Moved, Grant: p.grant})
 			default:
-				p.emit(Event{What: Rung, Grant: p.grant})
+				p.emit(Event{Kind: Rung, Grant: p.grant})
 			}
 			return
 		}
-		c.retry(p, &Refused{Verdict: m.Verdict, Why: m.Why, ComeBack: time.Duration(m.ComeBack) * time.Millisecond})
+		c.retry(p, &RefusedError{Verdict: m.Verdict, Reason: m.Why, RetryAfter: time.Duration(m.ComeBack) * time.Millisecond})
 	case "rung":
 		p.grant = *m.Grant
-		p.emit(Event{What: Rung, Grant: p.grant})
+		p.emit(Event{Kind: Rung, Grant: p.grant})
 	case "moved":
-		p.emit(Event{What: Away, Why: m.Why})
+		p.emit(Event{Kind: Interrupted, Reason: m.Why})
 		p.before, p.state, p.askAt = p.grant.Token, toAsk, time.Now()
 	case "ended":
-		c.end(p, Event{What: Ended, Why: m.Why}, &Refused{Verdict: "failed", Why: "ended"})
+		c.end(p, Event{Kind: Ended, Reason: m.Why}, &RefusedError{Verdict: "failed", Reason: "ended"})
 	case "taken":
-		c.end(p, Event{What: Ended, Why: "taken over by another socket"}, errors.New("client: taken over by another socket"))
+		c.end(p, Event{Kind: Ended, Reason: "taken over by another socket"}, errors.New("client: taken over by another socket"))
 	case "unknown":
 		if p.state == plays { // its front died: another place, by its token
 			p.before = p.grant.Token
-			p.emit(Event{What: Away, Why: "its front is gone"})
+			p.emit(Event{Kind: Interrupted, Reason: "its front is gone"})
 		} else if p.state == asked {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Lost: errors.New("its request is not known any more")})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Err: errors.New("its request is not known any more")})
 		}
 		p.state, p.askAt = toAsk, time.Now()
 	case "error":
 		if p.state == asked {
-			c.trace(Trace{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
+			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
 			p.before = "" // a token that is not taken
-			c.retry(p, &Refused{Verdict: "denied", Why: m.Why})
+			c.retry(p, &RefusedError{Verdict: "denied", Reason: m.Why})
 		}
 	}
 }
 
 // retry asks again later, as advised, or gives up; the caller holds the lock.
-func (c *Client) retry(p *Play, r *Refused) {
+func (c *Client) retry(p *Play, r *RefusedError) {
 	p.state = toAsk // answered: nothing is on its way
 	if p.tries--; p.tries < 0 {
-		c.end(p, Event{What: Ended, Why: r.Error()}, r)
+		c.end(p, Event{Kind: Ended, Reason: r.Error()}, r)
 		return
 	}
-	pause := drawn(min(pauseMost, pauseLeast<<min(p.want.Tries-p.tries, 8)))
-	if r.ComeBack > 0 {
-		pause = r.ComeBack + time.Duration(mathrand.Float64()*float64(r.ComeBack)/4)
+	pause := drawn(min(pauseMost, pauseLeast<<min(p.want.MaxRetries-p.tries, 8)))
+	if r.RetryAfter > 0 {
+		pause = r.RetryAfter + time.Duration(mathrand.Float64()*float64(r.RetryAfter)/4)
 	}
 	p.askAt = time.Now().Add(pause)
 }
--- a/client/example/main.go
+++ b/client/example/main.go
@@ -13,7 +13,7 @@
 	"github.com/alecthomas/kong"
 
 	"gullrail/client"
-	"gullrail/desk"
+	"gullrail/playapi"
 )
 
 type arguments struct {
@@ -40,7 +40,7 @@
 	defer cancel()
 	c := client.New(client.Options{Fronts: a.Front, Viewer: a.Viewer})
 	defer c.Close()
-	play, err := c.Ask(ctx, client.Want{Title: a.Title, Product: a.Product, Top: -1, Tries: 5})
+	play, err := c.RequestPlay(ctx, client.Request{Title: a.Title, Product: a.Product, MaxRung: -1, MaxRetries: 5})
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 				if !ok {
 					return fmt.Errorf("the play ended")
 				}
-				fmt.Println("event", e.What, e.Why, len(e.Grant.Rungs), "rungs")
+				fmt.Println("event", e.Kind, e.Reason, len(e.Grant.Rungs), "rungs")
 			case <-tick:
 				break wait
 			case <-ctx.Done():
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func segment(ctx context.Context, g desk.Grant, n int) error {
+func segment(ctx context.Context, g playapi.Grant, n int) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s%s/%d.m4s", g.Base, g.Rungs[len(g.Rungs)-1].ID, n), nil)
 	if err != nil {
 		return err
--- a/cmd/gullrail/compare.go
+++ b/cmd/gullrail/compare.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 
-	"gullrail/lab"
+	"gullrail/testbed"
 )
 
 type compareVerb struct {
@@ -18,15 +18,15 @@
 }
 
 func (v *compareVerb) Run(ctx context.Context) error {
-	side := func(file, module, build string) (lab.Side, error) {
-		day, err := lab.ReadDay(file)
+	side := func(file, module, build string) (testbed.Side, error) {
+		day, err := testbed.ReadScenario(file)
 		if err != nil {
 			return nil, wrong{err}
 		}
 		if build != "" {
-			return lab.BuildSide(ctx, build, file, module), nil
+			return testbed.BuildSide(ctx, build, file, module), nil
 		}
-		return lab.DaySide(day, module), nil
+		return testbed.ScenarioSide(day, module), nil
 	}
 	a, err := side(v.A, v.ModuleA, v.BuildA)
 	if err != nil {
@@ -43,19 +43,19 @@
 	for i := range v.Seeds {
 		seeds = append(seeds, uint64(i+1))
 	}
-	pairs, err := lab.Compare(a, b, seeds)
+	pairs, err := testbed.Compare(a, b, seeds)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("A: %s, %s; B: %s, %s (simulated)\n", v.A, v.ModuleA, v.B, v.ModuleB)
 	broken := 0
 	for _, p := range pairs {
-		for _, s := range p.Broken {
+		for _, s := range p.BrokenRules {
 			fmt.Println("  " + s)
 			broken++
 		}
 	}
-	for _, d := range lab.Differences(pairs) {
+	for _, d := range testbed.Differences(pairs) {
 		fmt.Println("  " + d.String())
 	}
 	if broken > 0 {
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -15,10 +15,10 @@
 	"syscall"
 	"time"
 
-	"gullrail/kit"
-	"gullrail/lab"
-	"gullrail/lab/tape"
 	"gullrail/nodes"
+	"gullrail/rundir"
+	"gullrail/testbed"
+	"gullrail/testbed/trace"
 )
 
 type kitVerbs struct {
@@ -43,11 +43,11 @@
 
 // started is a run that goes on, as the one who started it holds it.
 type started struct {
-	run   *kit.Run
-	day   *lab.Day
+	run   *rundir.Run
+	day   *testbed.Scenario
 	self  string
-	stage *lab.Rehearsal // the fronts' side
-	tape  *tape.Tape
+	stage *testbed.Rehearsal // the fronts' side
+	tape  *trace.Recorder
 	ended map[string]chan struct{} // closed once a member's process has ended
 }
 
@@ -55,7 +55,7 @@
 // terminal reaches the kit alone, which then ends it in order.
 func (s *started) command(args ...string) *exec.Cmd {
 	cmd := exec.Command(s.self, append([]string{"kit", "member", "--dir", s.run.Folder}, args...)...)
-	cmd.Env = append(os.Environ(), kit.Nonce+"="+s.run.Nonce)
+	cmd.Env = append(os.Environ(), rundir.NonceVariable+"="+s.run.Nonce)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd
 }
@@ -104,7 +104,7 @@
 
 // start begins a run and brings it up. What it started is to be ended by Clean, also when it fails.
 func start(ctx context.Context, folder, file string, seed uint64, say func(string, ...any)) (*started, error) {
-	day, err := lab.ReadDay(file)
+	day, err := testbed.ReadScenario(file)
 	if err != nil {
 		return nil, wrong{err}
 	}
@@ -118,8 +118,8 @@
 	if err != nil {
 		return nil, err
 	}
-	base := tape.Monotonic()
-	run, err := kit.Create(folder, file, day.Seed, base)
+	base := trace.Monotonic()
+	run, err := rundir.Create(folder, file, day.Seed, base)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 		os.Remove(filepath.Join(run.Folder, old))
 	}
 	os.RemoveAll(filepath.Join(run.Folder, "tapes"))
-	s := &started{run: run, day: day, self: self, tape: tape.NewAt(base), ended: map[string]chan struct{}{}}
+	s := &started{run: run, day: day, self: self, tape: trace.NewSince(base), ended: map[string]chan struct{}{}}
 	if err := os.MkdirAll(filepath.Join(run.Folder, "tapes"), 0o700); err != nil {
 		return s, fmt.Errorf("kit: %w", err)
 	}
@@ -154,7 +154,7 @@
 	if err := s.await(ctx, "list", &list); err != nil {
 		return s, err
 	}
-	s.stage = &lab.Rehearsal{Day: day, Folder: run.Folder, Say: say, Command: func(name, file string) *exec.Cmd {
+	s.stage = &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Logf: say, Command: func(name, file string) *exec.Cmd {
 		return s.command("--file", file, name)
 	}}
 	if err := s.stage.StartFronts(ctx, list.Players, s.tape); err != nil {
@@ -222,8 +222,8 @@
 	return report(out.Report, out.Short, time.Since(began), v.JSON)
 }
 
-// played plays the day and leaves its tape and page in the run folder.
-func (v *kitRun) played(ctx context.Context, say io.Writer) (*lab.Outcome, error) {
+// played plays the day and leaves its trace and page in the run folder.
+func (v *kitRun) played(ctx context.Context, say io.Writer) (*testbed.Outcome, error) {
 	s, err := start(ctx, v.Dir, v.File, v.Seed, func(format string, args ...any) { fmt.Fprintf(say, "  "+format+"\n", args...) })
 	if s == nil {
 		return nil, err
@@ -231,7 +231,7 @@
 	var short struct{ Short float64 }
 	if err == nil {
 		fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback, processes)\n", filepath.Base(v.File),
-			s.day.Seed, s.day.Service.Fronts, s.day.Nodes, s.day.Rate, s.day.Seconds)
+			s.day.Seed, s.day.Service.Fronts, s.day.Nodes, s.day.ViewersPerSecond, s.day.Seconds)
 		err = s.play(ctx, &short)
 	}
 	_, e := s.run.Clean(endsWithin)
@@ -242,20 +242,20 @@
 	if err != nil {
 		return nil, err
 	}
-	tapes := [][]tape.Line{s.tape.Lines()}
+	tapes := [][]trace.Event{s.tape.Events()}
 	for _, file := range files {
 		f, err := os.Open(file)
 		if err != nil {
 			return nil, err
 		}
-		lines, err := tape.Read(f)
+		lines, err := trace.Read(f)
 		f.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
 		tapes = append(tapes, lines)
 	}
-	out := &lab.Outcome{Short: short.Short}
+	out := &testbed.Outcome{Short: short.Short}
 	out.Report, out.Lines = s.day.Audit(tapes...)
 	return out, keep(s.run.Folder, v.File, s.day, out)
 }
@@ -275,17 +275,17 @@
 	fmt.Printf("%-18s %8s %8s %8s %8s %8s  %s\n", "day", "asked", "declined", "failed", "service", "worth", "rules")
 	broken := 0
 	for _, file := range files {
-		var out *lab.Outcome
+		var out *testbed.Outcome
 		name := strings.TrimSuffix(filepath.Base(file), ".jsonc")
 		if v.Sim {
-			day, err := lab.ReadDay(file)
+			day, err := testbed.ReadScenario(file)
 			if err != nil {
 				return wrong{err}
 			}
 			if v.Seed != 0 {
 				day.Seed = v.Seed
 			}
-			out = (&lab.Sim{Day: day}).Run()
+			out = (&testbed.Sim{Scenario: day}).Run()
 		} else {
 			run := kitRun{kitFolder: kitFolder{filepath.Join(v.Dir, name)}, File: file, Seed: v.Seed}
 			if out, err = run.played(ctx, io.Discard); err != nil {
@@ -294,8 +294,8 @@
 		}
 		rules := "kept"
 		for i, r := range out.Report.Rules {
-			if len(r.Breaks) > 0 {
-				rules = fmt.Sprintf("rule %d BROKEN: %s", i+1, r.Breaks[0])
+			if len(r.Violations) > 0 {
+				rules = fmt.Sprintf("rule %d BROKEN: %s", i+1, r.Violations[0])
 				broken++
 				break
 			}
@@ -311,7 +311,7 @@
 
 // play lets the viewers in and plays the fronts' part of the script until the viewers are done.
 func (s *started) play(ctx context.Context, short any) error {
-	at := tape.Monotonic() + before
+	at := trace.Monotonic() + before
 	if err := writeJSON(filepath.Join(s.run.Folder, "start.json"), at); err != nil {
 		return err
 	}
@@ -345,12 +345,12 @@
 }
 
 // moment is the wall clock's time of a moment of the monotonic clock.
-func moment(at time.Duration) time.Time { return time.Now().Add(at - tape.Monotonic()) }
+func moment(at time.Duration) time.Time { return time.Now().Add(at - trace.Monotonic()) }
 
 type kitDown struct{ kitFolder }
 
 func (v *kitDown) Run() error {
-	run, err := kit.Open(v.Dir)
+	run, err := rundir.Open(v.Dir)
 	if err != nil {
 		return wrong{err}
 	}
@@ -362,7 +362,7 @@
 type kitStatus struct{ kitFolder }
 
 func (v *kitStatus) Run() error {
-	run, err := kit.Open(v.Dir)
+	run, err := rundir.Open(v.Dir)
 	if err != nil {
 		return wrong{err}
 	}
@@ -384,10 +384,10 @@
 type kitClean struct{ kitFolder }
 
 func (v *kitClean) Run() error {
-	run, err := kit.Open(v.Dir)
-	if errors.Is(err, kit.ErrNoRun) {
+	run, err := rundir.Open(v.Dir)
+	if errors.Is(err, rundir.ErrNoRun) {
 		fmt.Println("nothing to clean")
-		return kit.Tidy(v.Dir)
+		return rundir.RemoveUnstarted(v.Dir)
 	}
 	if err != nil {
 		return wrong{err}
@@ -411,7 +411,7 @@
 }
 
 func (v *kitMember) Run(ctx context.Context) error {
-	run, err := kit.Open(v.Dir)
+	run, err := rundir.Open(v.Dir)
 	if err != nil {
 		return err
 	}
@@ -427,21 +427,21 @@
 		run.Leave(v.Name + ".starting")
 		return (&serveVerb{File: v.File}).Run(ctx)
 	}
-	day, err := lab.ReadDay(run.Day)
+	day, err := testbed.ReadScenario(run.Day)
 	if err != nil {
 		return err
 	}
 	day.Seed = run.Seed
-	t := tape.NewAt(time.Duration(run.BaseNs))
-	part := &lab.Rehearsal{Day: day, Folder: run.Folder, Say: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
-	defer part.Down()
-	var lines []tape.Line
+	t := trace.NewSince(time.Duration(run.BaseNs))
+	part := &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Logf: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
+	defer part.Stop()
+	var lines []trace.Event
 	if v.Name == "viewers" {
 		if err := run.Join(v.Name, nil); err != nil {
 			return err
 		}
 		run.Leave(v.Name + ".starting")
-		var fronts []lab.Reached
+		var fronts []testbed.FrontAddress
 		if err := readJSON(filepath.Join(run.Folder, "fronts.json"), &fronts); err != nil {
 			return err
 		}
@@ -477,7 +477,7 @@
 			return err
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("POST /announce", part.Announce)
+		mux.HandleFunc("POST /announce", part.HandleUpdateNodes)
 		server := &http.Server{Handler: mux}
 		go server.Serve(back)
 		defer server.Close()
@@ -493,11 +493,11 @@
 			if ok, err := run.Find("list", &list); !ok {
 				return fmt.Errorf("kit: no list service: %w", err)
 			}
-			part.AnnounceAt(list.Announce)
+			part.ForwardUpdatesTo(list.Announce)
 		}
 		part.Script(ctx, start)
 	}
-	lines = t.Lines()
+	lines = t.Events()
 	return writeTape(filepath.Join(run.Folder, "tapes", v.Name+".jsonl"), lines)
 }
 
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -17,13 +17,13 @@
 	"github.com/alecthomas/kong"
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/lab"
-	"gullrail/lab/audit"
-	"gullrail/lab/page"
-	"gullrail/lab/tape"
+	"gullrail/config"
+	"gullrail/frontend"
 	"gullrail/platform"
-	"gullrail/serve"
+	"gullrail/testbed"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/htmlreport"
+	"gullrail/testbed/trace"
 )
 
 // Exit codes beside 0.
@@ -50,7 +50,7 @@
 }
 
 func (v *serveVerb) Run(ctx context.Context) error {
-	set, err := conf.ReadFront(v.File)
+	set, err := config.ReadFront(v.File)
 	if err != nil {
 		return wrong{err}
 	}
@@ -59,12 +59,12 @@
 		return wrong{err}
 	}
 	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", set.Name).Logger()
-	claim, err := serve.NewClaim(set.State)
+	claim, err := frontend.LockFolder(set.StateFolder)
 	if err != nil {
 		return err
 	}
 	defer claim.Release()
-	f, err := serve.Listen(set, claim.Epoch, log)
+	f, err := frontend.Listen(set, claim.Epoch, log)
 	if err != nil {
 		return err
 	}
@@ -110,15 +110,15 @@
 }
 
 func (v *checkVerb) Run() error {
-	_, root, err := conf.Open(v.File)
+	_, root, err := config.Open(v.File)
 	if err == nil {
 		switch {
-		case root.At("day").Given():
-			_, err = lab.ReadDay(v.File)
-		case root.At("known").Given() || root.At("channel").Given():
+		case root.At("day").Present():
+			_, err = testbed.ReadScenario(v.File)
+		case root.At("known").Present() || root.At("channel").Present():
 			_, err = platform.ReadOptions(v.File)
 		default:
-			_, err = conf.ReadFront(v.File)
+			_, err = config.ReadFront(v.File)
 		}
 	}
 	if err != nil {
@@ -139,7 +139,7 @@
 }
 
 func (v *rehearseVerb) Run(ctx context.Context) error {
-	day, err := lab.ReadDay(v.File)
+	day, err := testbed.ReadScenario(v.File)
 	if err != nil {
 		return wrong{err}
 	}
@@ -149,13 +149,13 @@
 	if v.Sockets > 1 {
 		return wrong{fmt.Errorf("--sockets: a share up to 1 is needed, not %v", v.Sockets)}
 	} else if v.Sockets >= 0 {
-		day.Sockets = v.Sockets
+		day.SocketShare = v.Sockets
 	}
 	if v.Sim {
-		out := (&lab.Sim{Day: day, Module: lab.Baseline(v.Module)}).Run()
+		out := (&testbed.Sim{Scenario: day, Policy: testbed.Baseline(v.Module)}).Run()
 		if !v.JSON {
 			fmt.Printf("%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (simulated, module %s)\n", filepath.Base(v.File), day.Seed,
-				day.Service.Fronts, day.Nodes, day.Rate, day.Seconds, v.Module)
+				day.Service.Fronts, day.Nodes, day.ViewersPerSecond, day.Seconds, v.Module)
 		}
 		if v.Keep != "" {
 			if err := os.MkdirAll(v.Keep, 0o755); err != nil {
@@ -188,8 +188,8 @@
 		say = os.Stderr
 	}
 	fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback)\n", filepath.Base(v.File), day.Seed,
-		day.Service.Fronts, day.Nodes, day.Rate, day.Seconds)
-	run := &lab.Rehearsal{Day: day, Program: self, Folder: folder, Say: func(format string, args ...any) {
+		day.Service.Fronts, day.Nodes, day.ViewersPerSecond, day.Seconds)
+	run := &testbed.Rehearsal{Scenario: day, Program: self, Folder: folder, Logf: func(format string, args ...any) {
 		fmt.Fprintf(say, "  "+format+"\n", args...)
 	}}
 	out, err := run.Run(ctx)
@@ -204,8 +204,8 @@
 	return report(out.Report, out.Short, out.Took, v.JSON)
 }
 
-// keep writes a run's tape and its page into a folder.
-func keep(folder, file string, day *lab.Day, out *lab.Outcome) error {
+// keep writes a run's trace and its page into a folder.
+func keep(folder, file string, day *testbed.Scenario, out *testbed.Outcome) error {
 	if err := writeTape(filepath.Join(folder, "tape.jsonl"), out.Lines); err != nil {
 		return err
 	}
@@ -214,19 +214,19 @@
 		return err
 	}
 	defer f.Close()
-	if err := page.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), day.Seed), day, out.Lines, out.Report); err != nil {
+	if err := htmlreport.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), day.Seed), day, out.Lines, out.Report); err != nil {
 		return err
 	}
 	return f.Close()
 }
 
-func writeTape(file string, lines []tape.Line) error {
+func writeTape(file string, lines []trace.Event) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if err := tape.Write(f, lines); err != nil {
+	if err := trace.Write(f, lines); err != nil {
 		return err
 	}
 	return f.Close()
@@ -239,7 +239,7 @@
 }
 
 func (v *auditVerb) Run() error {
-	day, err := lab.ReadDay(v.Day)
+	day, err := testbed.ReadScenario(v.Day)
 	if err != nil {
 		return wrong{err}
 	}
@@ -248,7 +248,7 @@
 		return wrong{err}
 	}
 	defer f.Close()
-	lines, err := tape.Read(f)
+	lines, err := trace.Read(f)
 	if err != nil {
 		return wrong{fmt.Errorf("%s: %w", v.Tape, err)}
 	}
@@ -267,7 +267,7 @@
 			P99   int64   `json:"first_frame_p99_ms"`
 			Short float64 `json:"segments_short"`
 			Kept  bool    `json:"rules_kept"`
-		}{r, p50, p99, short, r.Kept()}); err != nil {
+		}{r, p50, p99, short, r.RulesKept()}); err != nil {
 			return err
 		}
 	} else {
@@ -278,10 +278,10 @@
 		row("declined", r.Declined)
 		row("failed", r.Failed)
 		row("denied", r.Denied)
-		row("cut by a front's end", r.Cut)
-		row("answers to a request, most", r.MostAnswers)
+		row("cut by a front's end", r.Interrupted)
+		row("answers to a request, most", r.MaxAnswers)
 		row("allocations doubled", r.Doubled)
-		row("further allocations", r.Retried)
+		row("further allocations", r.Reallocated)
 		row("first frame p50, p99", fmt.Sprintf("%d ms, %d ms", p50, p99))
 		row("segments by rung", r.Rungs)
 		if short >= 0 {
@@ -291,11 +291,11 @@
 		row("service", fmt.Sprintf("%.3f", r.Service))
 		for i, x := range r.Rules {
 			verdict := "kept"
-			if n := len(x.Breaks); n > 0 {
+			if n := len(x.Violations); n > 0 {
 				verdict = fmt.Sprintf("BROKEN %d times", n)
 			}
 			row(fmt.Sprintf("rule %d, %s", i+1, x.Name), verdict)
-			for _, b := range x.Breaks[:min(5, len(x.Breaks))] {
+			for _, b := range x.Violations[:min(5, len(x.Violations))] {
 				fmt.Println("      " + b)
 			}
 		}
@@ -303,7 +303,7 @@
 			row("took", took.Round(100*time.Millisecond))
 		}
 	}
-	if !r.Kept() {
+	if !r.RulesKept() {
 		return fmt.Errorf("a rule is broken")
 	}
 	return nil
--- a/cmd/gullrail/store.go
+++ b/cmd/gullrail/store.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 
-	"gullrail/ledger"
-	"gullrail/serve"
+	"gullrail/frontend"
+	"gullrail/playlog"
 	"gullrail/store"
 )
 
@@ -33,12 +33,12 @@
 		}
 		return fmt.Errorf("%s: %w", v.Folder, err)
 	}
-	book, err := ledger.Read(c.Records)
+	book, err := playlog.Read(c.Records)
 	if err != nil {
 		return fmt.Errorf("%s: %w", v.Folder, err)
 	}
 	fmt.Printf("%s: whole: segment %d, %d records, %d bytes, the last acknowledged is number %d, %d plays open\n", v.Folder, c.Segment,
-		len(c.Records), c.Bytes, c.Acked, len(book.Open()))
+		len(c.Records), c.Bytes, c.Acked, len(book.OpenPlays()))
 	return nil
 }
 
@@ -51,7 +51,7 @@
 	}
 	enc := json.NewEncoder(os.Stdout)
 	for i, raw := range c.Records {
-		r, e := ledger.Decode(raw)
+		r, e := playlog.Decode(raw)
 		if e != nil {
 			err = errors.Join(err, fmt.Errorf("record %d: %w", c.First+uint64(i), e))
 			continue
@@ -69,7 +69,7 @@
 type storeCompact struct{ storeFolder }
 
 func (v *storeCompact) Run() error {
-	c, err := serve.CompactStore(v.Folder)
+	c, err := frontend.CompactStore(v.Folder)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 }
 
 func (v *storeSalvage) Run() error {
-	s, err := serve.SalvageStore(v.Folder, v.Into)
+	s, err := frontend.SalvageStore(v.Folder, v.Into)
 	for _, g := range s.Gaps {
 		fmt.Printf("%s: bytes %d to %d: %d records missing: %s\n", g.File, g.From, g.To, g.Records, g.What)
 	}
--- a/conf/conf_test.go
+++ b/config/config_test.go
@@ -1,4 +1,4 @@
-package conf
+package config
 
 import (
 	"errors"
@@ -29,10 +29,10 @@
 		t.Fatal(err)
 	}
 	s := f.Service
-	if f.Waiting != 256 || s.Tries != 4 || s.Products[0].Top != 1 || s.Products[0].Rate != 1 || s.BudgetOverMs != 0 {
+	if f.MaxWaiting != 256 || s.MaxAttempts != 4 || s.Products[0].MaxRung != 1 || s.Products[0].RateFactor != 1 || s.BudgetWindowMs != 0 {
 		t.Fatalf("%+v", f)
 	}
-	terms := s.Terms(1, "z")
+	terms := s.PolicySettings(1, "z")
 	if terms["front"][0] != 1 || terms["product.target"][0] != 10000 || terms["cold.lasts"][0] != 100000 || terms["zone"][0] != 0 {
 		t.Fatalf("%v", terms)
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := f.Terms(); !reflect.DeepEqual(got, beforeMove) {
+	if got := f.PolicySettings(); !reflect.DeepEqual(got, beforeMove) {
 		t.Fatalf("got %v", got)
 	}
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := f.Terms()
+	terms := f.PolicySettings()
 	for name, want := range map[string]float64{"peers": 1, "join": 0.3, "product.live": 1} {
 		if v := terms[name]; len(v) != 1 || v[0] != want {
 			t.Errorf("%s is %v", name, v)
@@ -139,7 +139,7 @@
 func TestAllMistakesInOneRun(t *testing.T) {
 	text := strings.NewReplacer(`"name": "f0"`, `"name": 1`, `"cells": 4`, `"cells": 0`, `"streams": 10`, `"streams": -1`).Replace(good)
 	_, err := ParseFront("f.jsonc", []byte(text))
-	var ms Mistakes
+	var ms Problems
 	if !errors.As(err, &ms) || len(ms) < 3 || ms[0].Line != 2 || ms[len(ms)-1].Line < 7 {
 		t.Fatalf("got %v", err)
 	}
--- a/conf/doc.go
+++ b/config/doc.go
@@ -1,6 +1,6 @@
-// Package conf reads settings: JSON with comments and trailing commas, checked whole, so that one run
+// Package config reads settings: JSON with comments and trailing commas, checked whole, so that one run
 // tells every mistake with its file, line and field. Defaults are said once, where a field is read.
-package conf
+package config
 
 import (
 	"fmt"
@@ -13,27 +13,27 @@
 	"github.com/tailscale/hujson"
 )
 
-// Mistake is one thing wrong in a file.
-type Mistake struct {
-	File  string
-	Line  int
-	Field string
-	What  string
+// Problem is one thing wrong in a file.
+type Problem struct {
+	File    string
+	Line    int
+	Field   string
+	Message string
 }
 
-func (m Mistake) String() string {
-	if m.Field == "" {
-		return fmt.Sprintf("%s:%d: %s", m.File, m.Line, m.What)
+func (p Problem) String() string {
+	if p.Field == "" {
+		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Message)
 	}
-	return fmt.Sprintf("%s:%d: %s: %s", m.File, m.Line, m.Field, m.What)
+	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Field, p.Message)
 }
 
-// Mistakes is an error that lists them all, a line each.
-type Mistakes []Mistake
+// Problems is an error that lists them all, a line each.
+type Problems []Problem
 
-func (ms Mistakes) Error() string {
-	lines := make([]string, len(ms))
-	for i, m := range ms {
+func (p Problems) Error() string {
+	lines := make([]string, len(p))
+	for i, m := range p {
 		lines[i] = m.String()
 	}
 	return strings.Join(lines, "\n")
@@ -43,7 +43,7 @@
 type Doc struct {
 	file     string
 	text     []byte
-	mistakes Mistakes
+	mistakes Problems
 }
 
 // Value is one value of a file: an object, a list, a text, a number or a bool, or nothing at all.
@@ -65,7 +65,7 @@
 	return Parse(file, text)
 }
 
-// Parse reads text under a file's name. What is not JSON with comments is a single Mistake.
+// Parse reads text under a file's name. What is not JSON with comments is a single Problem.
 func Parse(file string, text []byte) (*Doc, Value, error) {
 	d := &Doc{file: file, text: text}
 	root, err := hujson.Parse(text)
@@ -79,7 +79,7 @@
 				}
 			}
 		}
-		return nil, Value{}, Mistakes{{file, line, "", "not JSON with comments: " + what}}
+		return nil, Value{}, Problems{{file, line, "", "not JSON with comments: " + what}}
 	}
 	return d, Value{doc: d, at: root.StartOffset, end: root.EndOffset, val: root.Value, known: map[string]bool{}}, nil
 }
@@ -96,14 +96,14 @@
 	return d.mistakes
 }
 
-// Wrong notes a mistake at a value.
-func (v Value) Wrong(format string, args ...any) {
+// Report notes a mistake at a value.
+func (v Value) Report(format string, args ...any) {
 	line := 1 + strings.Count(string(v.doc.text[:min(v.at, len(v.doc.text))]), "\n")
-	v.doc.mistakes = append(v.doc.mistakes, Mistake{v.doc.file, line, v.field, fmt.Sprintf(format, args...)})
+	v.doc.mistakes = append(v.doc.mistakes, Problem{v.doc.file, line, v.field, fmt.Sprintf(format, args...)})
 }
 
-// Given tells that the value is there.
-func (v Value) Given() bool { return v.val != nil }
+// Present tells that the value is there.
+func (v Value) Present() bool { return v.val != nil }
 
 // Raw is the value as it stands in the file.
 func (v Value) Raw() []byte { return v.doc.text[v.at:v.end] }
@@ -133,14 +133,14 @@
 
 // Object checks that the value is an object, if it is given or required.
 func (v Value) Object(required bool) Value {
-	if _, ok := v.val.(*hujson.Object); !ok && (required || v.Given()) {
-		v.Wrong("an object is needed here")
+	if _, ok := v.val.(*hujson.Object); !ok && (required || v.Present()) {
+		v.Report("an object is needed here")
 	}
 	return v
 }
 
-// Done notes each field of the object that nobody asked for, and each given twice.
-func (v Value) Done() {
+// RejectUnknown notes each field of the object that nobody asked for, and each given twice.
+func (v Value) RejectUnknown() {
 	obj, ok := v.val.(*hujson.Object)
 	if !ok {
 		return
@@ -153,9 +153,9 @@
 		at.at = obj.Members[i].Name.StartOffset
 		at.field = strings.TrimPrefix(v.field+"."+name, ".")
 		if !v.known[name] {
-			at.Wrong("no such field")
+			at.Report("no such field")
 		} else if seen[name] {
-			at.Wrong("given twice")
+			at.Report("given twice")
 		}
 		seen[name] = true
 	}
@@ -165,8 +165,8 @@
 func (v Value) List(required bool) []Value {
 	arr, ok := v.val.(*hujson.Array)
 	if !ok || required && len(arr.Elements) == 0 {
-		if required || v.Given() && !ok {
-			v.Wrong("a list is needed here")
+		if required || v.Present() && !ok {
+			v.Report("a list is needed here")
 		}
 		return nil
 	}
@@ -187,7 +187,7 @@
 func (v Value) Text() string {
 	lit, ok := v.literal('"')
 	if !ok || lit.String() == "" {
-		v.Wrong("a text is needed here")
+		v.Report("a text is needed here")
 		return ""
 	}
 	return lit.String()
@@ -195,64 +195,64 @@
 
 // TextOr is Text, or a default where nothing is given.
 func (v Value) TextOr(or string) string {
-	if !v.Given() {
+	if !v.Present() {
 		return or
 	}
 	return v.Text()
 }
 
-// Number reads a number from least to most.
-func (v Value) Number(least, most float64) float64 {
+// Float reads a number from least to most.
+func (v Value) Float(least, most float64) float64 {
 	lit, ok := v.literal('0')
 	x := lit.Float()
 	if !ok || math.IsNaN(x) || x < least || x > most {
-		v.Wrong("a number from %v to %v is needed here", least, most)
+		v.Report("a number from %v to %v is needed here", least, most)
 		return least
 	}
 	return x
 }
 
-// NumberOr is Number, or a default where nothing is given.
-func (v Value) NumberOr(or, least, most float64) float64 {
-	if !v.Given() {
+// FloatOr is Float, or a default where nothing is given.
+func (v Value) FloatOr(or, least, most float64) float64 {
+	if !v.Present() {
 		return or
 	}
-	return v.Number(least, most)
+	return v.Float(least, most)
 }
 
-// Whole reads a whole number from least to most.
-func (v Value) Whole(least, most int) int {
-	x := v.Number(float64(least), float64(most))
+// Int reads a whole number from least to most.
+func (v Value) Int(least, most int) int {
+	x := v.Float(float64(least), float64(most))
 	if x != math.Trunc(x) {
-		v.Wrong("a whole number is needed here")
+		v.Report("a whole number is needed here")
 	}
 	return int(x)
 }
 
-// WholeOr is Whole, or a default where nothing is given.
-func (v Value) WholeOr(or, least, most int) int {
-	if !v.Given() {
+// IntOr is Int, or a default where nothing is given.
+func (v Value) IntOr(or, least, most int) int {
+	if !v.Present() {
 		return or
 	}
-	return v.Whole(least, most)
+	return v.Int(least, most)
 }
 
 // BoolOr reads true or false, or a default where nothing is given.
 func (v Value) BoolOr(or bool) bool {
-	if !v.Given() {
+	if !v.Present() {
 		return or
 	}
 	if _, ok := v.literal('t'); ok {
 		return true
 	}
 	if _, ok := v.literal('f'); !ok {
-		v.Wrong("true or false is needed here")
+		v.Report("true or false is needed here")
 	}
 	return false
 }
 
-// Choice reads one of some words, the first where nothing is given.
-func (v Value) Choice(words ...string) string {
+// OneOf reads one of some words, the first where nothing is given.
+func (v Value) OneOf(words ...string) string {
 	got := v.TextOr(words[0])
 	for _, w := range words {
 		if got == w {
@@ -260,16 +260,16 @@
 		}
 	}
 	if got != "" {
-		v.Wrong("%.40q is none of %s", got, strings.Join(words, ", "))
+		v.Report("%.40q is none of %s", got, strings.Join(words, ", "))
 	}
 	return words[0]
 }
 
-// Numbers reads a list of numbers from least to most.
-func (v Value) Numbers(least, most float64) []float64 {
+// Floats reads a list of numbers from least to most.
+func (v Value) Floats(least, most float64) []float64 {
 	var out []float64
 	for _, e := range v.List(true) {
-		out = append(out, e.Number(least, most))
+		out = append(out, e.Float(least, most))
 	}
 	return out
 }
--- a/serve/fleet.go
+++ b/frontend/fleet.go
@@ -1,4 +1,4 @@
-package serve
+package frontend
 
 import (
 	"context"
@@ -12,10 +12,10 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/front"
+	"gullrail/config"
+	"gullrail/decision"
+	"gullrail/membership"
 	"gullrail/nodes"
-	"gullrail/roster"
 	"gullrail/session"
 	"gullrail/store"
 )
@@ -35,17 +35,17 @@
 
 // fleet keeps the saved list of one front.
 type fleet struct {
-	set    *conf.Service
+	set    *config.Service
 	url    string
 	runner *session.Runner
 	say    zerolog.Logger
 	log    *store.Log // nil where nothing is kept
-	saved  *roster.Word
+	saved  *membership.Update
 	last   string
 }
 
 // openFleet reads what was saved. A saved list that is damaged or another site's is told and not used; it is no reason not to start.
-func openFleet(folder, url string, set *conf.Service, r *session.Runner, say zerolog.Logger) (*fleet, error) {
+func openFleet(folder, url string, set *config.Service, r *session.Runner, say zerolog.Logger) (*fleet, error) {
 	f := &fleet{set: set, url: url, runner: r, say: say}
 	if folder == "" {
 		return f, nil
@@ -76,7 +76,7 @@
 	return f, nil
 }
 
-func (f *fleet) read(text []byte) (*roster.Word, error) {
+func (f *fleet) read(text []byte) (*membership.Update, error) {
 	var s savedFleet
 	if err := json.Unmarshal(text, &s); err != nil {
 		return nil, fmt.Errorf("saved list: %w", err)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("saved %w", err)
 	}
-	return &roster.Word{Source: roster.Saved, Version: s.Version, Whole: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Lines: lines}, nil
+	return &membership.Update{Source: membership.Saved, Version: s.Version, Full: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Entries: lines}, nil
 }
 
 // run offers what was saved if the list service has not spoken in time, and writes the list down as it changes, until
@@ -99,17 +99,17 @@
 	}
 	if f.saved != nil {
 		select {
-		case <-time.After(session.Duration(roster.SavedAfter)):
+		case <-time.After(session.Duration(membership.SavedListDelay)):
 		case <-ctx.Done():
 			return nil
 		}
 		word := *f.saved
 		used := make(chan bool, 1)
-		f.runner.Tell(func(now int64, c *session.Core) { used <- c.Word(now, word) })
+		f.runner.Post(func(now int64, c *session.Core) { used <- c.UpdateMembership(now, word) })
 		select {
 		case ok := <-used:
 			if ok {
-				f.say.Warn().Int("nodes", len(word.Lines)).Dur("age", session.Duration(word.Age)).Msg("the list service has not spoken: the saved list is used")
+				f.say.Warn().Int("nodes", len(word.Entries)).Dur("age", session.Duration(word.Age)).Msg("the list service has not spoken: the saved list is used")
 			}
 		case <-ctx.Done():
 			return nil
@@ -133,13 +133,13 @@
 func (f *fleet) save(ctx context.Context) {
 	type kept struct {
 		version int64
-		lines   []roster.Line
+		lines   []membership.Entry
 		heard   bool
 	}
 	got := make(chan kept, 1)
-	f.runner.Tell(func(_ int64, c *session.Core) {
-		v, lines := c.Keep()
-		got <- kept{v, lines, c.ListHeard()}
+	f.runner.Post(func(_ int64, c *session.Core) {
+		v, lines := c.ListSnapshot()
+		got <- kept{v, lines, c.ListReceived()}
 	})
 	var k kept
 	select {
@@ -173,9 +173,9 @@
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Phase   string  `json:"phase"` // what it may be given: ready, draining (nothing new) or gone
-	Use     bool    `json:"use"`   // it may be given new plays
-	Why     string  `json:"why,omitempty"`
-	By      string  `json:"by"` // whose word
+	Usable  bool    `json:"use"`   // it may be given new plays
+	Reason  string  `json:"why,omitempty"`
+	Source  string  `json:"by"` // whose word
 	AgeMs   int64   `json:"age_ms"`
 	Alive   bool    `json:"alive"` // its stream is open
 	Zone    string  `json:"zone"`
@@ -186,15 +186,15 @@
 
 // believed answers with what the front believes.
 func (f *Front) believed(w http.ResponseWriter, r *http.Request) {
-	got := make(chan []roster.Belief, 1)
-	f.runner.Tell(func(now int64, c *session.Core) { got <- c.Beliefs(now) })
+	got := make(chan []membership.NodeState, 1)
+	f.runner.Post(func(now int64, c *session.Core) { got <- c.NodeStates(now) })
 	select {
 	case all := <-got:
 		out := []FleetNode{}
 		for _, b := range all {
-			l := nodes.FormatLine(b.Line, &f.set.Service)
-			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Use: b.Use, Why: b.Why, By: b.By.String(),
-				AgeMs: b.Age / front.Ms, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
+			l := nodes.FormatLine(b.Entry, &f.set.Service)
+			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Usable: b.Usable, Reason: b.Reason, Source: b.Source.String(),
+				AgeMs: b.Age / decision.Millisecond, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/serve/history_test.go
+++ b/frontend/history_test.go
@@ -1,4 +1,4 @@
-package serve
+package frontend
 
 import (
 	"bufio"
@@ -16,12 +16,12 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/ledger"
+	"gullrail/config"
+	"gullrail/playlog"
 	"gullrail/store"
 )
 
-// historyKills asks for the long form: go test ./serve -run History -kills 200 -v
+// historyKills asks for the long form: go test ./frontend -run History -kills 200 -v
 var historyKills = flag.Int("kills", 40, "times that the journal's process is killed in the history test")
 
 const (
@@ -66,7 +66,7 @@
 	err := os.MkdirAll(folder, 0o700)
 	var j *journal
 	if err == nil {
-		j, _, err = newJournal(slow{store.Folder(folder)}, &conf.Service{}, 1, nil, nil, zerolog.Nop())
+		j, _, err = newJournal(slow{store.Folder(folder)}, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	}
 	if err != nil {
 		fmt.Println("x", err)
@@ -85,9 +85,9 @@
 				n := id
 				mu.Unlock()
 				play, open := rand.IntN(historyPlays), rand.IntN(2)
-				r := ledger.Record{Kind: ledger.Ended, Play: fmt.Sprint(play)}
+				r := playlog.Record{Kind: playlog.Ended, Play: fmt.Sprint(play)}
 				if open == 1 {
-					r = ledger.Record{Kind: ledger.Allocated, Play: r.Play, Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
+					r = playlog.Record{Kind: playlog.Allocated, Play: r.Play, Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
 				}
 				fmt.Fprintf(os.Stdout, "c %d %d %d\n", n, play, open)
 				if err := j.wait(j.write(r)); err != nil {
@@ -198,12 +198,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		book, err := ledger.Read(c.Records)
+		book, err := playlog.Read(c.Records)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var open [historyPlays]int
-		for _, p := range book.Open() {
+		for _, p := range book.OpenPlays() {
 			var k int
 			fmt.Sscan(p.Play, &k)
 			open[k] = 1
@@ -225,12 +225,12 @@
 
 func TestSalvagedStoreMakesTheFrontWaitAndIsWholeAfterwards(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop())
+	j, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 20 {
-		r := ledger.Record{Kind: ledger.Allocated, Play: fmt.Sprint("p", i), Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
+		r := playlog.Record{Kind: playlog.Allocated, Play: fmt.Sprint("p", i), Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
 		if err := j.wait(j.write(r)); err != nil {
 			t.Fatal(err)
 		}
@@ -262,14 +262,14 @@
 	if _, err := SalvageStore(plays, filepath.Join(other, PlaysFolder)); !errors.Is(err, os.ErrExist) {
 		t.Fatalf("wrote over a store: %v", err)
 	}
-	j, was, err := openJournal(other, &conf.Service{}, 2, nil, nil, zerolog.Nop())
+	j, was, err := openJournal(other, &config.Service{}, 2, nil, nil, zerolog.Nop())
 	if err != nil || was.lost != 1 || len(was.open) != 19 {
 		t.Fatalf("%+v, %v", was, err)
 	}
-	j.Settled()
+	j.RecoveryDone()
 	j.wg.Wait()
 	j.log.Close()
-	if j, was, err = openJournal(other, &conf.Service{}, 3, nil, nil, zerolog.Nop()); err != nil || was.lost != 0 {
+	if j, was, err = openJournal(other, &config.Service{}, 3, nil, nil, zerolog.Nop()); err != nil || was.lost != 0 {
 		t.Fatalf("after the nodes made up for it: %+v, %v", was, err)
 	}
 	j.log.Close()
@@ -281,14 +281,14 @@
 
 func TestOfflineWorkIsKeptFromARunningFront(t *testing.T) {
 	dir := t.TempDir()
-	claim, err := NewClaim(dir)
+	claim, err := LockFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); !errors.Is(err, ErrTaken) {
+	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); !errors.Is(err, ErrLocked) {
 		t.Fatalf("compacted beneath a front: %v", err)
 	}
-	if _, err := SalvageStore(filepath.Join(dir, PlaysFolder), filepath.Join(t.TempDir(), "x")); !errors.Is(err, ErrTaken) {
+	if _, err := SalvageStore(filepath.Join(dir, PlaysFolder), filepath.Join(t.TempDir(), "x")); !errors.Is(err, ErrLocked) {
 		t.Fatalf("salvaged beneath a front: %v", err)
 	}
 	claim.Release()
@@ -304,7 +304,7 @@
 		if err := os.WriteFile(filepath.Join(dir, PlaysFolder), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop()); err == nil {
+		if _, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop()); err == nil {
 			t.Fatal("a front without a place for its records started")
 		}
 		return
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	defer os.Chmod(dir, 0o700)
-	if _, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop()); !errors.Is(err, os.ErrPermission) {
+	if _, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop()); !errors.Is(err, os.ErrPermission) {
 		t.Fatalf("got %v", err)
 	}
 }
--- a/serve/journal.go
+++ b/frontend/journal.go
@@ -1,4 +1,4 @@
-package serve
+package frontend
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/front"
-	"gullrail/ledger"
+	"gullrail/config"
+	"gullrail/decision"
 	"gullrail/nodes"
+	"gullrail/playlog"
 	"gullrail/session"
 	"gullrail/store"
 )
@@ -21,19 +21,19 @@
 // PlaysFolder is where a front's store is, in its state folder.
 const PlaysFolder = "plays"
 
-// journal is the carrier of a front that keeps records: what ledger.Before says is durable before it leaves.
+// journal is the transport of a front that keeps records: what playlog.LogFirst says is durable before it leaves.
 // While the store is broken such allocations are not sent at all, and their plays are declined.
 type journal struct {
 	*nodes.Client
 	log    *store.Log
-	set    *conf.Service
+	set    *config.Service
 	epoch  int64
 	runner *session.Runner
 	say    zerolog.Logger
 	wg     sync.WaitGroup
 
 	mu      sync.Mutex
-	book    *ledger.Book
+	book    *playlog.State
 	waiting map[session.Ref]bool // not durable yet; false once recalled
 	broken  bool
 }
@@ -41,12 +41,12 @@
 // earlier is what the records of a front's earlier lives come to.
 type earlier struct {
 	open []session.Expected
-	past []ledger.Past
+	past []playlog.EndedPlay
 	lost uint64 // records that are missing
 }
 
 // openJournal opens the store in a state folder and returns what earlier lives left.
-func openJournal(folder string, set *conf.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
+func openJournal(folder string, set *config.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
 	dir := filepath.Join(folder, PlaysFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, earlier{}, fmt.Errorf("state folder: %w", err)
@@ -58,26 +58,26 @@
 	return j, was, nil
 }
 
-func newJournal(files store.Files, set *conf.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
+func newJournal(files store.Files, set *config.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
 	log, contents, err := store.Open(files)
 	if err != nil {
 		return nil, earlier{}, err
 	}
-	book, err := ledger.Read(contents.Records)
+	book, err := playlog.Read(contents.Records)
 	if err != nil {
 		log.Close()
 		return nil, earlier{}, err
 	}
 	book.Expire(time.Now().UnixMilli())
-	was := earlier{past: book.Past(), lost: book.Lost()}
-	for _, r := range book.Open() {
+	was := earlier{past: book.EndedPlays(), lost: book.Lost()}
+	for _, r := range book.OpenPlays() {
 		product, ok := set.ProductNumber(r.Product)
 		home, copies, known := set.Title(r.Title)
 		if !ok || !known {
 			product = -1
 		}
-		was.open = append(was.open, session.Expected{Node: r.Node, Heard: r.Heard, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
-			Try: r.Try, Product: product, Title: r.Title, Home: home, Copies: copies, Viewer: r.Viewer, Rung: r.Rung, Top: r.Top}})
+		was.open = append(was.open, session.Expected{Node: r.Node, Answered: r.Answered, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
+			Attempt: r.Attempt, Product: product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.MaxRung}})
 	}
 	if was.lost > 0 {
 		say.Warn().Uint64("records", was.lost).Msg("records are missing since a salvage: plays are taken once every node has told or its lease has passed")
@@ -87,7 +87,7 @@
 }
 
 func (j *journal) keeps(product int) bool {
-	return ledger.Before(j.set.Products[product].Paid, j.set.Products[product].Seats)
+	return playlog.LogFirst(j.set.Products[product].Paid, j.set.Products[product].MaxSeats)
 }
 
 // SetUp records an allocation where that comes first, and then sends it.
@@ -96,8 +96,8 @@
 		j.Client.SetUp(a)
 		return
 	}
-	done := j.write(ledger.Record{Kind: ledger.Allocated, Play: a.Play, Epoch: j.epoch, Try: a.Try, Product: j.set.Product(a.Product),
-		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, Top: a.Top})
+	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Attempt: a.Attempt, Product: j.set.Product(a.Product),
+		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, MaxRung: a.MaxRung})
 	j.mu.Lock()
 	j.waiting[a.Ref] = true
 	j.mu.Unlock()
@@ -108,7 +108,7 @@
 		delete(j.waiting, a.Ref)
 		j.mu.Unlock()
 		if err != nil || !wanted {
-			j.runner.Tell(func(now int64, c *session.Core) { c.SetUpEnded(now, a.Ref, front.NotSent, front.Untold) })
+			j.runner.Post(func(now int64, c *session.Core) { c.SetUpEnded(now, a.Ref, decision.NotSent, decision.UnknownLoad) })
 			return
 		}
 		j.Client.SetUp(a)
@@ -129,25 +129,25 @@
 	}
 	j.mu.Unlock()
 	if !waits {
-		j.Client.Recall(r)
+		j.Client.Cancel(r)
 	}
 }
 
-// Begun records that a play's viewer was told, and that a token is used up; nobody waits for it.
-func (j *journal) Begun(r session.Ref, product int, back string) {
+// PlayStarted records that a play's viewer was told, and that a token is used up; nobody waits for it.
+func (j *journal) PlayStarted(r session.Ref, product int, back string) {
 	if !j.keeps(product) {
 		return
 	}
-	j.later(ledger.Record{Kind: ledger.Started, Play: r.Play, Try: r.Try})
+	j.later(playlog.Record{Kind: playlog.Started, Play: r.Play, Attempt: r.Attempt})
 	if back != "" {
-		j.later(ledger.Record{Kind: ledger.Token, Play: back, At: time.Now().UnixMilli()})
+		j.later(playlog.Record{Kind: playlog.Token, Play: back, At: time.Now().UnixMilli()})
 	}
 }
 
-// Finished records a play's end; nobody waits for it.
-func (j *journal) Finished(play string, product int, how ledger.How) {
+// PlayFinished records a play's end; nobody waits for it.
+func (j *journal) PlayFinished(play string, product int, how playlog.EndReason) {
 	if j.keeps(product) {
-		r := ledger.Record{Kind: ledger.Ended, Play: play, How: how}
+		r := playlog.Record{Kind: playlog.Ended, Play: play, EndReason: how}
 		if how != "" {
 			r.At = time.Now().UnixMilli()
 		}
@@ -155,26 +155,26 @@
 	}
 }
 
-// Settled records that nothing is missing any more, where anything was.
-func (j *journal) Settled() {
+// RecoveryDone records that nothing is missing any more, where anything was.
+func (j *journal) RecoveryDone() {
 	j.mu.Lock()
 	lost := j.book.Lost()
 	j.mu.Unlock()
 	if lost > 0 {
 		j.say.Info().Uint64("records", lost).Msg("the nodes have made up for the records that were missing")
-		j.later(ledger.Record{Kind: ledger.Whole})
+		j.later(playlog.Record{Kind: playlog.Recovered})
 	}
 }
 
-func (j *journal) later(r ledger.Record) {
+func (j *journal) later(r playlog.Record) {
 	done := j.write(r)
 	j.spawn(func() { j.wait(done) })
 }
 
-// write puts a record into the log and the book in one step, so that a compaction to what the book holds
+// write puts a record into the log and the state in one step, so that a compaction to what the state holds
 // leaves out nothing that the log has, and in the order of the core's calls. It never waits for the disk: where
 // the log is too far behind, the record is not taken, which is as good as a failed write.
-func (j *journal) write(r ledger.Record) <-chan error {
+func (j *journal) write(r playlog.Record) <-chan error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	done, err := j.log.TryBegin(r.Encode())
@@ -186,13 +186,13 @@
 	if err := j.book.Apply(r); err != nil {
 		j.say.Error().Err(err).Msg("a record out of order")
 	}
-	if j.book.Compact() {
+	if j.book.NeedsCompaction() {
 		j.compact()
 	}
 	return done
 }
 
-// compact brings the log down to what the book needs; the caller holds the lock.
+// compact brings the log down to what the state needs; the caller holds the lock.
 func (j *journal) compact() {
 	j.book.Expire(time.Now().UnixMilli())
 	records := encode(j.book)
@@ -201,7 +201,7 @@
 	}
 }
 
-func encode(b *ledger.Book) (out [][]byte) {
+func encode(b *playlog.State) (out [][]byte) {
 	for _, r := range b.Records() {
 		out = append(out, r.Encode())
 	}
--- a/serve/journal_test.go
+++ b/frontend/journal_test.go
@@ -1,4 +1,4 @@
-package serve
+package frontend
 
 import (
 	"flag"
@@ -10,12 +10,12 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/ledger"
+	"gullrail/config"
+	"gullrail/playlog"
 	"gullrail/store"
 )
 
-// recoverRecords asks for a measurement: go test ./serve -run Recover -records 1000000 -v
+// recoverRecords asks for a measurement: go test ./frontend -run Recover -records 1000000 -v
 var recoverRecords = flag.Int("records", 2000, "records to recover in the recovery test")
 
 func TestRecoverWhatIsOpen(t *testing.T) {
@@ -28,12 +28,12 @@
 	began := time.Now()
 	var last <-chan error
 	for i := range n {
-		r := ledger.Record{Kind: ledger.Ended, Play: fmt.Sprintf("f0-18ed25f932a30537-%d", i/2)}
+		r := playlog.Record{Kind: playlog.Ended, Play: fmt.Sprintf("f0-18ed25f932a30537-%d", i/2)}
 		if i%2 == 0 {
-			r = ledger.Record{Kind: ledger.Allocated, Play: r.Play, Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7",
-				Node: "n0", Rung: 1, Top: 2}
+			r = playlog.Record{Kind: playlog.Allocated, Play: r.Play, Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7",
+				Node: "n0", Rung: 1, MaxRung: 2}
 		} else if i/2%5 == 0 { // one play in five stays open
-			r = ledger.Record{Kind: ledger.Ended, Play: "another"}
+			r = playlog.Record{Kind: playlog.Ended, Play: "another"}
 		}
 		last = log.Begin(r.Encode())
 	}
@@ -50,21 +50,21 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	book, err := ledger.Read(c.Records)
-	if err != nil || len(c.Records) != n || len(book.Open()) != (n/2+4)/5 {
-		t.Fatalf("%d records, %d open, %v", len(c.Records), len(book.Open()), err)
+	book, err := playlog.Read(c.Records)
+	if err != nil || len(c.Records) != n || len(book.OpenPlays()) != (n/2+4)/5 {
+		t.Fatalf("%d records, %d open, %v", len(c.Records), len(book.OpenPlays()), err)
 	}
-	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, wrote, syncs, len(book.Open()), time.Since(began))
+	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, wrote, syncs, len(book.OpenPlays()), time.Since(began))
 }
 
-// weekPlays asks for a measurement: go test ./serve -run Week -week 7000000 -v
+// weekPlays asks for a measurement: go test ./frontend -run Week -week 7000000 -v
 var weekPlays = flag.Int("week", 60000, "recorded plays of the test that a store stays small")
 
 // A store that plays go through stays as small as what is open and whose tokens may still be shown, however
 // many there were.
 func TestAWeekOfPlaysLeavesASmallStore(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := openJournal(dir, &conf.Service{}, 1, nil, nil, zerolog.Nop())
+	j, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,13 +72,13 @@
 	clock := time.Now().UnixMilli()
 	var last <-chan error
 	written, most := int64(0), int64(0)
-	add := func(r ledger.Record) {
+	add := func(r playlog.Record) {
 		last = j.log.Begin(r.Encode())
 		written += int64(len(r.Encode()))
 		if err := j.book.Apply(r); err != nil {
 			t.Fatal(err)
 		}
-		if j.book.Compact() {
+		if j.book.NeedsCompaction() {
 			j.book.Expire(clock)
 			records := encode(j.book)
 			last = j.log.Compact(records)
@@ -87,11 +87,11 @@
 	}
 	for i := range *weekPlays {
 		play := func(k int) string { return fmt.Sprintf("f0-18ed25f932a30537-%d", k) }
-		add(ledger.Record{Kind: ledger.Allocated, Play: play(i), Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7", Node: "n0",
-			Rung: 1, Top: 2})
-		add(ledger.Record{Kind: ledger.Started, Play: play(i)})
+		add(playlog.Record{Kind: playlog.Allocated, Play: play(i), Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7", Node: "n0",
+			Rung: 1, MaxRung: 2})
+		add(playlog.Record{Kind: playlog.Started, Play: play(i)})
 		if i >= open {
-			add(ledger.Record{Kind: ledger.Ended, Play: play(i - open), How: ledger.Served, At: clock})
+			add(playlog.Record{Kind: playlog.Ended, Play: play(i - open), EndReason: playlog.Served, At: clock})
 		}
 		clock += 86 // 33 plays a second, 35 in 100 recorded
 		if i%5000 == 4999 {
--- a/serve/offline.go
+++ b/frontend/offline.go
@@ -1,4 +1,4 @@
-package serve
+package frontend
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"time"
 
-	"gullrail/ledger"
+	"gullrail/playlog"
 	"gullrail/store"
 )
 
@@ -29,7 +29,7 @@
 type Compacted struct{ RecordsBefore, RecordsAfter, BytesBefore, BytesAfter int64 }
 
 // CompactStore brings the store of a front that does not run down to what is needed, as the front does by itself. It
-// fails with ErrTaken while the front runs, and changes nothing in a store that is damaged.
+// fails with ErrLocked while the front runs, and changes nothing in a store that is damaged.
 func CompactStore(dir string) (Compacted, error) {
 	release, err := holdStore(dir)
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	book, err := ledger.Read(c.Records)
+	book, err := playlog.Read(c.Records)
 	if err != nil {
 		log.Close()
 		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
@@ -62,7 +62,7 @@
 type Salvaged struct {
 	Records, Open int // written to the new store
 	Lost          uint64
-	Gaps          []store.Gap
+	Gaps          []store.MissingRange
 }
 
 // SalvageStore writes what can be had of a damaged store into a new folder, which must not exist yet; the damaged
@@ -80,19 +80,19 @@
 		return Salvaged{}, fmt.Errorf("%s: %w", dir, err)
 	}
 	out := Salvaged{Lost: found.Lost, Gaps: found.Gaps}
-	book := ledger.NewBook()
+	book := playlog.NewState()
 	for _, raw := range found.Records {
-		r, err := ledger.Decode(raw)
+		r, err := playlog.Decode(raw)
 		if err != nil { // its checksum holds and its text does not: not one that a front wrote
 			out.Lost++
 			continue
 		}
-		// Out of order is what a gap leaves; the book then keeps to the later allocation, which is the safe side.
+		// Out of order is what a gap leaves; the state then keeps to the later allocation, which is the safe side.
 		_ = book.Apply(r)
 		out.Records++
 	}
 	if out.Lost > 0 {
-		if err := book.Apply(ledger.Record{Kind: ledger.Lost, Count: out.Lost}); err != nil {
+		if err := book.Apply(playlog.Record{Kind: playlog.Lost, Count: out.Lost}); err != nil {
 			return out, err
 		}
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		return out, fmt.Errorf("%s: %w", into, err)
 	}
-	out.Open = len(book.Open())
+	out.Open = len(book.OpenPlays())
 	if err := errors.Join(<-log.Compact(encode(book)), log.Close()); err != nil {
 		return out, fmt.Errorf("%s: %w", into, err)
 	}
--- a/internal/heath/heath_test.go
+++ b/internal/benchproto/benchproto_test.go
@@ -1,12 +1,12 @@
-package heath
+package benchproto
 
 import (
 	"bufio"
 	"strings"
 	"testing"
 
-	"gullrail/front"
-	"gullrail/internal/terms"
+	"gullrail/decision"
+	"gullrail/internal/convert"
 )
 
 const config = `{"balancers":1,"me":0,"zone":"a","localities":["a"],"shapes":["k"],"new-key":[{"x":1}],` +
@@ -96,26 +96,26 @@
 }
 
 func TestSettingsOfLiveTitlesMessagesAndReports(t *testing.T) {
-	t0, err := terms.Read(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
+	t0, err := convert.Parse(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
 		`"rate-factor":[1]`, `"rate-factor":[1],"is-live":[true],"join-adds":0.3`).Replace(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := t0.Set
+	set := t0.PolicySettings
 	for name, want := range map[string]float64{"peers": 1, "reports.answers": 1, "product.live": 1, "join": 0.3} {
 		if v := set[name]; len(v) != 1 || v[0] != want {
 			t.Errorf("%s is %v", name, v)
 		}
 	}
-	if plain, _ := terms.Read(config); plain.Set["reports.answers"][0] != 0 || plain.Set["peers"] != nil || plain.Set["join"] != nil {
-		t.Errorf("not given, yet there: %v", plain.Set)
+	if plain, _ := convert.Parse(config); plain.PolicySettings["reports.answers"][0] != 0 || plain.PolicySettings["peers"] != nil || plain.PolicySettings["join"] != nil {
+		t.Errorf("not given, yet there: %v", plain.PolicySettings)
 	}
 }
 
 func TestPanicOfADecisionIsReported(t *testing.T) {
 	var out strings.Builder
 	h := &host{out: bufio.NewWriter(&out), inBatch: true, last: -1, at: map[int64]*instance{
-		0: {mod: panicker{}, plays: map[int64]front.Handle{}}}}
+		0: {mod: panicker{}, plays: map[int64]decision.Handle{}}}}
 	if err := h.decode("TIMER ref=1"); err != nil {
 		t.Fatal(err)
 	}
@@ -125,6 +125,6 @@
 	}
 }
 
-type panicker struct{ front.Chooser }
+type panicker struct{ decision.Policy }
 
-func (panicker) Wake(int64) *front.Result { panic("broken") }
+func (panicker) Wake(int64) *decision.Result { panic("broken") }
--- a/internal/heath/codec.go
+++ b/internal/benchproto/codec.go
@@ -1,6 +1,6 @@
-// Package heath speaks the bench's wire: it decodes lines into calls on the decision module
-// and encodes what they return. It hosts many instances and shares nothing among them.
-package heath
+// Package benchproto implements the bench's protocol: it decodes lines into calls on the decision module and
+// encodes what they return. It hosts many instances and shares nothing among them.
+package benchproto
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"strconv"
 	"strings"
 
-	"gullrail/front"
-	"gullrail/internal/terms"
+	"gullrail/decision"
+	"gullrail/internal/convert"
 )
 
 // line is one message: its name and its parts, not yet read.
@@ -67,9 +67,9 @@
 }
 
 // A fieldError names the part of a line that could not be read.
-type fieldError = terms.FieldError
+type fieldError = convert.FieldError
 
-func wrong(field, what string) fieldError { return fieldError{Field: field, What: what} }
+func wrong(field, what string) fieldError { return fieldError{Field: field, Problem: what} }
 
 // The readers below panic with a fieldError; decode turns it into the run's one message.
 func (ln *line) text(key string) string {
@@ -112,16 +112,16 @@
 }
 
 func millis(t int64) string {
-	return strconv.FormatFloat(float64(t)/float64(front.Ms), 'f', 1, 64)
+	return strconv.FormatFloat(float64(t)/float64(decision.Millisecond), 'f', 1, 64)
 }
 
-var endings = map[string]front.Ending{
-	"served": front.Served, "server_error": front.Errored, "turned_away": front.TurnedAway,
-	"no_answer": front.NoAnswer, "no_connection": front.NoConnect, "connection_lost": front.Lost,
-	"called_off": front.CalledOff, "not_sent": front.NotSent,
+var endings = map[string]decision.Outcome{
+	"served": decision.Served, "server_error": decision.Errored, "turned_away": decision.Rejected,
+	"no_answer": decision.NoAnswer, "no_connection": decision.NoConnect, "connection_lost": decision.ConnectionLost,
+	"called_off": decision.Canceled, "not_sent": decision.NotSent,
 }
 
-func (ln *line) ending() front.Ending {
+func (ln *line) ending() decision.Outcome {
 	e, ok := endings[ln.text("rc")]
 	if !ok {
 		panic(wrong("rc", "unknown outcome"))
@@ -130,10 +130,10 @@
 }
 
 // load reads a report by the columns of the settings; columns that no call uses are passed over.
-func (ln *line) load(t *terms.Terms) front.Load {
+func (ln *line) load(t *convert.Settings) decision.Load {
 	row, ok := ln.find("report")
 	if !ok || row == "" || row == "-" {
-		return front.Untold
+		return decision.UnknownLoad
 	}
 	vals := strings.Split(row, ",")
 	if len(vals) != len(t.Columns) {
--- a/internal/heath/host.go
+++ b/internal/benchproto/host.go
@@ -1,4 +1,4 @@
-package heath
+package benchproto
 
 import (
 	"bufio"
@@ -9,23 +9,23 @@
 	"strconv"
 	"strings"
 
-	"gullrail/choice"
-	"gullrail/front"
-	"gullrail/internal/terms"
+	"gullrail/decision"
+	"gullrail/internal/convert"
+	"gullrail/placement"
 )
 
 // instance is one front end: its module and the numbers that stand for the wire's names.
 type instance struct {
-	mod     front.Chooser
-	terms   *terms.Terms
+	mod     decision.Policy
+	terms   *convert.Settings
 	nodes   map[string]int
 	addr    []string
 	titles  map[string]int
 	viewers map[string]int
-	plays   map[int64]front.Handle
+	plays   map[int64]decision.Handle
 	jobs    []int64 // by place of the handle
 	armed   int64   // when the earliest timer is due; 0 is none
-	list    []front.Node
+	list    []decision.Node
 }
 
 // host is the state of the wire.
@@ -48,7 +48,7 @@
 
 // row is a line of a list, read but not yet numbered by an instance.
 type row struct {
-	phase      front.Phase
+	phase      decision.Phase
 	addr, zone string
 	kind       string
 	cell       int
@@ -89,7 +89,7 @@
 		if h.inBatch {
 			return fmt.Errorf("MARK: the batch before it has no EOB")
 		}
-		h.now, h.batch, h.inBatch, h.last, h.lineNo = terms.Ticks(ln.number("ts-ms")), ln.whole("n"), true, -1, 1
+		h.now, h.batch, h.inBatch, h.last, h.lineNo = convert.Ticks(ln.number("ts-ms")), ln.whole("n"), true, -1, 1
 		return nil
 	case "EOB":
 		if !h.inBatch {
@@ -134,15 +134,15 @@
 
 func readRow(ln *line) row {
 	r := row{addr: ln.text("node"), zone: ln.text("campus"), kind: ln.text("generation-hw"),
-		cell: int(ln.whole("place")), started: terms.Ticks(ln.numberOr("ready-at-ms", 0)),
+		cell: int(ln.whole("place")), started: convert.Ticks(ln.numberOr("ready-at-ms", 0)),
 		weight: ln.numberOr("heft", 1)}
 	switch p := ln.text("phase"); p {
 	case "ready":
-		r.phase = front.Ready
+		r.phase = decision.Ready
 	case "draining":
-		r.phase = front.Draining
+		r.phase = decision.Draining
 	case "gone":
-		r.phase = front.Gone
+		r.phase = decision.Gone
 	default:
 		panic(wrong("phase", "unknown: "+p))
 	}
@@ -154,12 +154,12 @@
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", wrong("random-seed", "not a whole number"))
 	}
-	t, err := terms.Read(h.ln.text("config"))
+	t, err := convert.Parse(h.ln.text("config"))
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", err)
 	}
-	h.at[h.who] = &instance{mod: choice.New(t.Set, seed), terms: t, nodes: map[string]int{},
-		titles: map[string]int{}, viewers: map[string]int{}, plays: map[int64]front.Handle{}}
+	h.at[h.who] = &instance{mod: placement.New(t.PolicySettings, seed), terms: t, nodes: map[string]int{},
+		titles: map[string]int{}, viewers: map[string]int{}, plays: map[int64]decision.Handle{}}
 	return nil
 }
 
@@ -190,26 +190,26 @@
 }
 
 // want reads what INCOMING and EXISTING say of a viewer.
-func (in *instance) want(ln *line, now int64) front.Want {
+func (in *instance) want(ln *line, now int64) decision.Request {
 	bits := ln.wholeOr("bits", 0)
 	product := known(in.terms.Products, "service", ln.text("service"))
 	asset := ln.text("asset")
-	r := terms.Request{
+	r := convert.Request{
 		Product:   product,
 		Title:     number(in.titles, asset),
 		TitleName: asset,
 		Viewer:    number(in.viewers, ln.text("object")),
 		LeftMs:    ln.numberOr("left-ms", 0),
-		Home:      int(ln.numberOr("start-cell", 0)),
-		Copies:    int(ln.numberOr("span", 0)),
-		Top:       int(ln.numberOr("best-rung", 0)),
+		FirstCell: int(ln.numberOr("start-cell", 0)),
+		CellCount: int(ln.numberOr("span", 0)),
+		MaxRung:   int(ln.numberOr("best-rung", 0)),
 		Moved:     bits&8 != 0,
-		Again:     bits&16 != 0,
+		Retry:     bits&16 != 0,
 	}
 	if bits&1 != 0 {
 		r.HintMs = ln.numberOr("hint-ms", 0)
 	}
-	return r.Want(now)
+	return r.PolicyRequest(now)
 }
 
 func (h *host) event() error {
@@ -222,12 +222,12 @@
 	switch ln.name {
 	case "INCOMING":
 		job := ln.whole("job")
-		hd, res := in.mod.Take(now, in.want(ln, now))
+		hd, res := in.mod.AddPlay(now, in.want(ln, now))
 		in.bind(job, hd)
 		h.encode(in, res)
 	case "EXISTING":
 		job := ln.whole("job")
-		hd, res := in.mod.Adopt(now, in.want(ln, now), in.node(ln.text("node")))
+		hd, res := in.mod.AdoptPlay(now, in.want(ln, now), in.node(ln.text("node")))
 		in.bind(job, hd)
 		h.encode(in, res)
 	case "ANNOUNCE":
@@ -242,10 +242,10 @@
 		if err != nil {
 			return fmt.Errorf("FROM_PEER: %w", wrong("bytes", "not base64"))
 		}
-		h.encode(in, in.mod.Heard(now, int(ln.whole("by")), b))
+		h.encode(in, in.mod.MessageReceived(now, int(ln.whole("by")), b))
 	case "PING_RESULT":
 		how, load := ln.ending(), ln.load(in.terms)
-		h.encode(in, in.mod.Probed(now, in.node(ln.text("node")), how, load))
+		h.encode(in, in.mod.ProbeEnded(now, in.node(ln.text("node")), how, load))
 	case "ACK_FIRST", "UPDATE_OF", "RESPONSE", "CLIENT_LEFT":
 		job := ln.whole("job")
 		hd, ok := in.plays[job]
@@ -254,15 +254,15 @@
 		}
 		switch ln.name {
 		case "ACK_FIRST":
-			h.encode(in, in.mod.Started(now, hd, int(ln.whole("send-no"))))
+			h.encode(in, in.mod.AttemptStarted(now, hd, int(ln.whole("send-no"))))
 		case "UPDATE_OF":
 			h.encode(in, in.update(ln, now, hd))
 		case "CLIENT_LEFT":
-			h.encode(in, in.mod.Left(now, hd))
+			h.encode(in, in.mod.ViewerLeft(now, hd))
 		case "RESPONSE":
 			how, over := ln.ending(), ln.wholeOr("no-more", 0) == 1
 			load := ln.load(in.terms)
-			h.encode(in, in.mod.Ended(now, hd, int(ln.whole("send-no")), how, over, load))
+			h.encode(in, in.mod.AttemptEnded(now, hd, int(ln.whole("send-no")), how, over, load))
 			if over {
 				delete(in.plays, job)
 			}
@@ -271,16 +271,16 @@
 	return nil
 }
 
-func (in *instance) update(ln *line, now int64, hd front.Handle) *front.Result {
-	return terms.Note(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
+func (in *instance) update(ln *line, now int64, hd decision.Handle) *decision.Result {
+	return convert.ApplyNote(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
 }
 
-func (in *instance) bind(job int64, hd front.Handle) {
+func (in *instance) bind(job int64, hd decision.Handle) {
 	in.plays[job] = hd
-	for int(hd.Place) >= len(in.jobs) {
+	for int(hd.Index) >= len(in.jobs) {
 		in.jobs = append(in.jobs, 0)
 	}
-	in.jobs[hd.Place] = job
+	in.jobs[hd.Index] = job
 }
 
 func (h *host) announce(in *instance) error {
@@ -294,10 +294,10 @@
 	}
 	in.list = in.list[:0]
 	for _, r := range h.pages[page] {
-		in.list = append(in.list, terms.Row{Phase: r.phase, Name: r.addr, Kind: known(in.terms.Kinds, "generation-hw", r.kind),
-			Zone: known(in.terms.Zones, "campus", r.zone), Cell: r.cell, Started: r.started, Weight: r.weight}.Node(in.node(r.addr)))
+		in.list = append(in.list, convert.Row{Phase: r.phase, Name: r.addr, Kind: known(in.terms.Kinds, "generation-hw", r.kind),
+			Zone: known(in.terms.Zones, "campus", r.zone), Cell: r.cell, StartedAt: r.started, Weight: r.weight}.Node(in.node(r.addr)))
 	}
-	h.encode(in, in.mod.Nodes(h.now, in.list, how != "update"))
+	h.encode(in, in.mod.UpdateNodes(h.now, in.list, how != "update"))
 	return nil
 }
 
@@ -309,47 +309,47 @@
 }
 
 // encode writes what a call decided.
-func (h *host) encode(in *instance, res *front.Result) {
+func (h *host) encode(in *instance, res *decision.Result) {
 	if res == nil {
 		return
 	}
 	for i := range res.Orders {
 		o := &res.Orders[i]
 		h.context()
-		job := in.jobs[o.Play.Place]
-		switch o.Do {
-		case front.Place:
+		job := in.jobs[o.Play.Index]
+		switch o.Action {
+		case decision.Place:
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
 			fmt.Fprintf(h.out, "FORWARD job=%d not-past-ms=%s node=%s\n", job, millis(o.Until), in.addr[o.Node])
-		case front.Decline:
-			if o.ComeBack > 0 {
-				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, millis(o.ComeBack))
+		case decision.Decline:
+			if o.RetryAfter > 0 {
+				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, millis(o.RetryAfter))
 			} else {
 				fmt.Fprintf(h.out, "NOT_NOW job=%d\n", job)
 			}
 			delete(in.plays, job)
-		case front.Fail:
+		case decision.Fail:
 			fmt.Fprintf(h.out, "GIVE_UP job=%d\n", job)
 			delete(in.plays, job)
-		case front.SetRung:
+		case decision.SetRung:
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
-		case front.Move:
+		case decision.Move:
 			fmt.Fprintf(h.out, "MIGRATE job=%d\n", job)
-		case front.Recall:
-			fmt.Fprintf(h.out, "RECALL job=%d send-no=%d\n", job, o.Try)
+		case decision.Cancel:
+			fmt.Fprintf(h.out, "RECALL job=%d send-no=%d\n", job, o.Attempt)
 		}
 	}
 	for _, n := range res.Probes {
 		h.context()
 		fmt.Fprintf(h.out, "SAMPLE node=%s\n", in.addr[n])
 	}
-	for _, t := range res.Tells {
+	for _, t := range res.Messages {
 		h.context()
 		fmt.Fprintf(h.out, "NOTIFY dst=%d bytes=%s\n", t.To, base64.StdEncoding.EncodeToString(t.Bytes))
 	}
-	if res.Wake > 0 && (in.armed == 0 || res.Wake < in.armed) {
+	if res.WakeAt > 0 && (in.armed == 0 || res.WakeAt < in.armed) {
 		h.context()
-		in.armed = max(res.Wake, h.now+1)
+		in.armed = max(res.WakeAt, h.now+1)
 		fmt.Fprintf(h.out, "ARM ref=1 in-ms=%s\n", millis(in.armed-h.now))
 	}
 }
--- a/internal/terms/terms.go
+++ b/internal/convert/convert.go
@@ -1,13 +1,13 @@
-// Package terms turns the platform's words into the module's, the same for every way in: the settings, what a
+// Package convert turns the platform's words into the module's, the same for every way in: the settings, what a
 // request says of a title and its viewer, lines of the list, reports. It decides nothing.
-package terms
+package convert
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 // Names of the wire's settings beside ours. A "-ms" figure becomes tenths of a millisecond.
@@ -41,21 +41,21 @@
 	{"objective-ms", "product.target"}, {"worth", "product.importance"},
 }
 
-// Terms are an instance's settings in the module's words, and the names that become small numbers.
-type Terms struct {
-	Set                    map[string][]float64 // for the module
+// Settings are an instance's settings in the module's words, and the names that become small numbers.
+type Settings struct {
+	PolicySettings         map[string][]float64 // for the module
 	Products, Kinds, Zones map[string]int
 	Columns                []string // of a load report
 	root                   map[string]any
 }
 
 // FieldError names the field that could not be read.
-type FieldError struct{ Field, What string }
+type FieldError struct{ Field, Problem string }
 
-func (e FieldError) Error() string { return "field " + e.Field + ": " + e.What }
+func (e FieldError) Error() string { return "field " + e.Field + ": " + e.Problem }
 
 // Ticks turns milliseconds into tenths of them.
-func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(front.Ms))) }
+func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(decision.Millisecond))) }
 
 func numbers(v any, scale float64) ([]float64, bool) {
 	switch v := v.(type) {
@@ -119,8 +119,8 @@
 	return at, nil
 }
 
-// Read reads the settings, a JSON object. An error is a FieldError.
-func Read(text string) (*Terms, error) {
+// Parse reads the settings, a JSON object. An error is a FieldError.
+func Parse(text string) (*Settings, error) {
 	var root map[string]any
 	if err := json.Unmarshal([]byte(text), &root); err != nil {
 		return nil, FieldError{"config", "not a JSON object: " + err.Error()}
@@ -142,7 +142,7 @@
 	if len(lanes) == 0 {
 		return nil, FieldError{"config.lanes", "missing"}
 	}
-	nm := &Terms{Set: out, Products: map[string]int{}, root: root}
+	nm := &Settings{PolicySettings: out, Products: map[string]int{}, root: root}
 	for i, l := range lanes {
 		lane, _ := l.(map[string]any)
 		name, _ := lane["name"].(string)
@@ -200,17 +200,17 @@
 }
 
 // Number is a setting that the module has no use for, by its path, or what stands in for one not given.
-func (t *Terms) Number(path string, or float64) float64 {
-	v, _ := lookup(t.root, path)
+func (s *Settings) Number(path string, or float64) float64 {
+	v, _ := lookup(s.root, path)
 	if n, ok := v.(float64); ok {
 		return n
 	}
 	return or
 }
 
-// Longest is the longest time limit of a product, milliseconds.
-func (t *Terms) Longest() (longest float64) {
-	lanes, _ := t.root["lanes"].([]any)
+// LongestLimit is the longest time limit of a product, milliseconds.
+func (s *Settings) LongestLimit() (longest float64) {
+	lanes, _ := s.root["lanes"].([]any)
 	for _, l := range lanes {
 		lane, _ := l.(map[string]any)
 		ms, _ := lane["deadline-ms"].(float64)
@@ -221,38 +221,38 @@
 
 // Request is what a request says. Title and Viewer are the front's own numbers for their names.
 type Request struct {
-	Product, Title, Viewer int
-	TitleName              string
-	LeftMs, HintMs         float64 // HintMs is 0 where none is given
-	Home, Copies, Top      int
-	Moved, Again           bool
+	Product, Title, Viewer        int
+	TitleName                     string
+	LeftMs, HintMs                float64 // HintMs is 0 where none is given
+	FirstCell, CellCount, MaxRung int
+	Moved, Retry                  bool
 }
 
-// Want is a request in the module's words.
-func (r Request) Want(now int64) front.Want {
-	return front.Want{Product: r.Product, Title: r.Title, Key: front.Key(r.TitleName), Viewer: r.Viewer, Limit: now + Ticks(r.LeftMs),
-		Length: Ticks(r.HintMs), Home: r.Home, Copies: r.Copies, Top: r.Top, Moved: r.Moved, Again: r.Again}
+// PolicyRequest is a request in the module's words.
+func (r Request) PolicyRequest(now int64) decision.Request {
+	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.HashName(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
+		Length: Ticks(r.HintMs), FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Moved: r.Moved, Retry: r.Retry}
 }
 
 // Row is a line of the list; Started is on the front's clock.
 type Row struct {
-	Phase            front.Phase
+	Phase            decision.Phase
 	Name             string // the same at every front
 	Kind, Zone, Cell int
-	Started          int64
+	StartedAt        int64
 	Weight           float64
 }
 
 // Node is a line of the list in the module's words, with the front's own number for its name.
-func (r Row) Node(index int) front.Node {
-	return front.Node{Index: index, Phase: r.Phase, Kind: r.Kind, Zone: r.Zone, Cell: r.Cell, Started: r.Started, Weight: r.Weight, Key: front.Key(r.Name)}
+func (r Row) Node(index int) decision.Node {
+	return decision.Node{Index: index, Phase: r.Phase, Kind: r.Kind, Zone: r.Zone, Cell: r.Cell, StartedAt: r.StartedAt, Weight: r.Weight, Key: decision.HashName(r.Name)}
 }
 
 // Load is a report of which a field is told by its column and that column's place; fields that no call uses are
 // passed over.
-func (t *Terms) Load(value func(i int, column string) (float64, bool)) front.Load {
-	l := front.Untold
-	for i, col := range t.Columns {
+func (s *Settings) Load(value func(i int, column string) (float64, bool)) decision.Load {
+	l := decision.UnknownLoad
+	for i, col := range s.Columns {
 		v, ok := value(i, col)
 		if !ok {
 			continue
@@ -273,17 +273,17 @@
 	return l
 }
 
-// Note is a note of one of the kinds that nodes send while a play plays, by its number.
-func Note(mod front.Chooser, now int64, h front.Handle, kind int, level float64) *front.Result {
+// ApplyNote is a note of one of the kinds that nodes send while a play plays, by its number.
+func ApplyNote(mod decision.Policy, now int64, h decision.Handle, kind int, level float64) *decision.Result {
 	switch kind {
 	case 1:
-		return mod.Delivered(now, h, level)
+		return mod.DeliveryReported(now, h, level)
 	case 2:
-		return mod.Told(now, h, int(level))
+		return mod.RungReported(now, h, int(level))
 	case 3:
-		return mod.Asked(now, h, front.Load{Streams: -1, Link: level, Uplink: -1})
+		return mod.LoadReported(now, h, decision.Load{Streams: -1, Link: level, Uplink: -1})
 	case 4:
-		return mod.Asked(now, h, front.Load{Streams: -1, Link: -1, Uplink: level})
+		return mod.LoadReported(now, h, decision.Load{Streams: -1, Link: -1, Uplink: level})
 	}
 	return nil
 }
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -20,9 +20,9 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/front"
-	"gullrail/ledger"
-	"gullrail/pulse"
+	"gullrail/decision"
+	"gullrail/liveness"
+	"gullrail/playlog"
 	"gullrail/session"
 )
 
@@ -34,20 +34,20 @@
 	graceLeast = 20 * time.Millisecond // a dial gets that long whatever the grace
 )
 
-// Catalogue names what the core numbers: products, and where a title lies.
-type Catalogue interface {
+// Catalog names what the core numbers: products, and where a title lies.
+type Catalog interface {
 	Product(number int) string
 	ProductNumber(name string) (int, bool)
 	Title(name string) (home, copies int, ok bool)
 }
 
-// Client carries out the core's orders towards playout nodes: it is the core's session.Carrier. All
+// Client carries out the core's orders towards playout nodes: it is the core's session.Transport. All
 // its goroutines end when Close returns.
 type Client struct {
 	name    string
 	epoch   int64
 	report  bool // load reports come in answers to set-ups too
-	names   Catalogue
+	names   Catalog
 	runner  *session.Runner
 	log     zerolog.Logger
 	calls   http.Client // rungs, ends and probes, which may be repeated without harm
@@ -74,23 +74,23 @@
 // in which work may still reach a node that drains, is not sent: the order came before the front heard of a drain,
 // so what goes out goes out in time. Secure, if not nil, is asked before each dial for what
 // TLS towards the nodes goes by.
-func NewClient(name string, epoch int64, report bool, grace time.Duration, names Catalogue, r *session.Runner, secure func() (*tls.Config, error),
+func NewClient(name string, epoch int64, report bool, grace time.Duration, names Catalog, r *session.Runner, secure func() (*tls.Config, error),
 	log zerolog.Logger) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Client{name: name, epoch: epoch, report: report, names: names, runner: r, secure: secure, log: log,
-		sendFor: min(session.Duration(pulse.ConnectFor), max(graceLeast, time.Duration(graceShare*float64(grace)))),
+		sendFor: min(session.Duration(liveness.ConnectTimeout), max(graceLeast, time.Duration(graceShare*float64(grace)))),
 		slots:   make(chan struct{}, callsAtOne), ctx: ctx, cancel: cancel,
 		setUps: map[session.Ref]context.CancelCauseFunc{}, dialled: map[int]*dial{}}
 	dialFor := func(ctx context.Context, network, address string) (net.Conn, error) {
-		ctx, cancel := context.WithTimeout(ctx, session.Duration(pulse.ConnectFor))
+		ctx, cancel := context.WithTimeout(ctx, session.Duration(liveness.ConnectTimeout))
 		defer cancel()
 		return c.dial(ctx, address)
 	}
 	// Scheme http with a dialer that does TLS itself keeps set-ups and all else on one way to the nodes.
-	c.calls = http.Client{Timeout: session.Duration(pulse.CallFor), Transport: &http.Transport{
+	c.calls = http.Client{Timeout: session.Duration(liveness.CallTimeout), Transport: &http.Transport{
 		DialContext: dialFor, MaxIdleConnsPerHost: 4, IdleConnTimeout: 15 * time.Second}}
 	c.streams = http.Client{Transport: &http.Transport{DialContext: dialFor, DisableKeepAlives: true,
-		ResponseHeaderTimeout: session.Duration(pulse.CallFor)}}
+		ResponseHeaderTimeout: session.Duration(liveness.CallTimeout)}}
 	return c
 }
 
@@ -155,22 +155,22 @@
 		c.mu.Lock()
 		delete(c.setUps, a.Ref)
 		c.mu.Unlock()
-		if how == front.Served {
-			c.runner.Tell(func(now int64, core *session.Core) {
+		if how == decision.Served {
+			c.runner.Post(func(now int64, core *session.Core) {
 				core.Started(now, a.Ref, started.Life, started.Mark, started.Rung, load)
 			})
 			return
 		}
-		c.log.Debug().Str("play", a.Play).Int("try", a.Try).Str("node", a.Address).Uint8("ending", uint8(how)).Msg("set-up ended")
-		c.runner.Tell(func(now int64, core *session.Core) { core.SetUpEnded(now, a.Ref, how, load) })
+		c.log.Debug().Str("play", a.Play).Int("try", a.Attempt).Str("node", a.Address).Uint8("ending", uint8(how)).Msg("set-up ended")
+		c.runner.Post(func(now int64, core *session.Core) { core.SetUpEnded(now, a.Ref, how, load) })
 		if how.MayHaveRun() {
 			c.End(a.Ref, a.Address, "given up") // it may have run: what still does is to end
 		}
 	})
 }
 
-// Recall stops waiting for a set-up.
-func (c *Client) Recall(r session.Ref) {
+// Cancel stops waiting for a set-up.
+func (c *Client) Cancel(r session.Ref) {
 	c.mu.Lock()
 	cancel := c.setUps[r]
 	c.mu.Unlock()
@@ -181,11 +181,11 @@
 
 // exchange is one request and its answer on a connection of its own, written by one Write. Until a
 // byte of it is out, nothing can have run; from then on only the node's own word says so.
-func (c *Client) exchange(ctx context.Context, a session.Allocation, ordered, until time.Time) (Started, front.Ending, front.Load) {
+func (c *Client) exchange(ctx context.Context, a session.Allocation, ordered, until time.Time) (Started, decision.Outcome, decision.Load) {
 	request, err := c.request(a, until)
 	if err != nil {
 		c.log.Error().Err(err).Str("play", a.Play).Msg("set-up not sent")
-		return Started{}, front.NotSent, front.Untold
+		return Started{}, decision.NotSent, decision.UnknownLoad
 	}
 	last := ordered.Add(c.sendFor)
 	if until.Before(last) {
@@ -196,68 +196,68 @@
 	cancel()
 	if err != nil {
 		if ctx.Err() != nil {
-			return Started{}, front.NotSent, front.Untold
+			return Started{}, decision.NotSent, decision.UnknownLoad
 		}
-		return Started{}, front.NoConnect, front.Untold
+		return Started{}, decision.NoConnect, decision.UnknownLoad
 	}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	conn.SetDeadline(until)
 	if ctx.Err() != nil {
-		return Started{}, front.NotSent, front.Untold
+		return Started{}, decision.NotSent, decision.UnknownLoad
 	}
 	if time.Now().After(last) {
-		return Started{}, front.NoConnect, front.Untold
+		return Started{}, decision.NoConnect, decision.UnknownLoad
 	}
 	if n, err := conn.Write(request); err != nil && n == 0 {
-		return Started{}, front.NoConnect, front.Untold
+		return Started{}, decision.NoConnect, decision.UnknownLoad
 	} else if err != nil {
-		return Started{}, broken(ctx, err), front.Untold
+		return Started{}, broken(ctx, err), decision.UnknownLoad
 	}
 	in := bufio.NewReader(io.LimitReader(conn, 2*bodyMost))
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return Started{}, broken(ctx, err), front.Untold
+		return Started{}, broken(ctx, err), decision.UnknownLoad
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost))
 	if err != nil {
-		return Started{}, broken(ctx, err), front.Untold
+		return Started{}, broken(ctx, err), decision.UnknownLoad
 	}
-	load := front.Untold
+	load := decision.UnknownLoad
 	if c.report {
 		load = ParseLoad(resp.Header.Get(LoadHeader))
 	}
 	if resp.StatusCode == http.StatusCreated {
 		var s Started
 		if err := json.Unmarshal(body, &s); err != nil || s.Life <= 0 {
-			return Started{}, front.Errored, load
+			return Started{}, decision.Errored, load
 		}
-		return s, front.Served, load
+		return s, decision.Served, load
 	}
 	var refusal Refusal
 	if json.Unmarshal(body, &refusal) == nil && refusal.NeverRan && resp.StatusCode >= 400 {
-		return Started{}, front.TurnedAway, load
+		return Started{}, decision.Rejected, load
 	}
-	return Started{}, front.Errored, load
+	return Started{}, decision.Errored, load
 }
 
 // broken is how a set-up ended whose request was, at least in part, written.
-func broken(ctx context.Context, err error) front.Ending {
+func broken(ctx context.Context, err error) decision.Outcome {
 	switch {
 	case ctx.Err() != nil:
-		return front.CalledOff
+		return decision.Canceled
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return front.NoAnswer
+		return decision.NoAnswer
 	}
-	return front.Lost
+	return decision.ConnectionLost
 }
 
 func (c *Client) request(a session.Allocation, until time.Time) ([]byte, error) {
-	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Try: a.Try, Product: c.names.Product(a.Product),
-		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, Top: a.Top, Seq: a.Seq,
-		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / front.Ms})
+	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Attempt: a.Attempt, Product: c.names.Product(a.Product),
+		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, MaxRung: a.MaxRung, Seq: a.Seq,
+		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / decision.Millisecond})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a set-up: %w", err)
 	}
@@ -279,17 +279,17 @@
 // SetRung tells a node the rung of a play. What is lost is made good by the next, as numbers tell
 // their order.
 func (c *Client) SetRung(r session.Ref, address string, rung, seq int) {
-	body, _ := json.Marshal(SetRung{Front: c.name, Epoch: c.epoch, Try: r.Try, Rung: rung, Seq: seq})
+	body, _ := json.Marshal(SetRung{Front: c.name, Epoch: c.epoch, Attempt: r.Attempt, Rung: rung, Seq: seq})
 	c.repeat(http.MethodPut, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"/rung", body, r)
 }
 
 // End tells a node to end an allocation, whether it started or not.
 func (c *Client) End(r session.Ref, address, why string) {
-	q := url.Values{"front": {c.name}, "epoch": {strconv.FormatInt(c.epoch, 10)}, "try": {strconv.Itoa(r.Try)}, "why": {why}}
+	q := url.Values{"front": {c.name}, "epoch": {strconv.FormatInt(c.epoch, 10)}, "try": {strconv.Itoa(r.Attempt)}, "why": {why}}
 	c.repeat(http.MethodDelete, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"?"+q.Encode(), nil, r)
 }
 
-// repeat makes a call that is safe to repeat, up to pulse.CallTries times. A node that hears none of
+// repeat makes a call that is safe to repeat, up to liveness.MaxCallAttempts times. A node that hears none of
 // them is asked for its plays when its stream is back, and what it shouldn't run is ended then.
 func (c *Client) repeat(method, target string, body []byte, r session.Ref) {
 	c.spawn(func() {
@@ -300,17 +300,17 @@
 			return
 		}
 		var err error
-		for try := range pulse.CallTries {
+		for try := range liveness.MaxCallAttempts {
 			if err = c.call(method, target, body); err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return
 			}
 			select {
-			case <-time.After(session.Duration(pulse.CallPause(try))):
+			case <-time.After(session.Duration(liveness.CallBackoff(try))):
 			case <-c.ctx.Done():
 				return
 			}
 		}
-		c.log.Warn().Err(err).Str("play", r.Play).Int("try", r.Try).Str("method", method).Msg("node did not take a call")
+		c.log.Warn().Err(err).Str("play", r.Play).Int("try", r.Attempt).Str("method", method).Msg("node did not take a call")
 	})
 }
 
@@ -334,37 +334,37 @@
 // Probe asks a node for its load.
 func (c *Client) Probe(node int, address string) {
 	c.spawn(func() {
-		ctx, cancel := context.WithTimeout(c.ctx, session.Duration(pulse.ProbeFor))
+		ctx, cancel := context.WithTimeout(c.ctx, session.Duration(liveness.ProbeTimeout))
 		defer cancel()
 		how, load := c.probe(ctx, address)
-		c.runner.Tell(func(now int64, core *session.Core) { core.Probed(now, node, how, load) })
+		c.runner.Post(func(now int64, core *session.Core) { core.ProbeEnded(now, node, how, load) })
 	})
 }
 
-func (c *Client) probe(ctx context.Context, address string) (front.Ending, front.Load) {
+func (c *Client) probe(ctx context.Context, address string) (decision.Outcome, decision.Load) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/load?front="+url.QueryEscape(c.name), nil)
 	if err != nil {
-		return front.NotSent, front.Untold
+		return decision.NotSent, decision.UnknownLoad
 	}
 	resp, err := c.calls.Do(req)
 	switch {
 	case ctx.Err() != nil:
-		return front.NoAnswer, front.Untold
+		return decision.NoAnswer, decision.UnknownLoad
 	case err != nil:
-		return front.NoConnect, front.Untold
+		return decision.NoConnect, decision.UnknownLoad
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, bodyMost))
 	if resp.StatusCode != http.StatusOK {
-		return front.Errored, front.Untold
+		return decision.Errored, decision.UnknownLoad
 	}
-	return front.Served, ParseLoad(resp.Header.Get(LoadHeader))
+	return decision.Served, ParseLoad(resp.Header.Get(LoadHeader))
 }
 
 // ---- Streams ----
 
-// Dial opens the stream from a node at a time of the front's clock, in place of any before it.
-func (c *Client) Dial(node int, address string, at int64) {
+// OpenStream opens the stream from a node at a time of the front's clock, in place of any before it.
+func (c *Client) OpenStream(node int, address string, at int64) {
 	ctx, cancel := context.WithCancel(c.ctx)
 	d := &dial{cancel}
 	c.mu.Lock()
@@ -394,22 +394,22 @@
 		if current && c.ctx.Err() == nil {
 			gone := errors.Is(err, syscall.ECONNREFUSED)
 			c.log.Debug().Err(err).Str("node", address).Bool("gone", gone).Msg("stream ended")
-			c.runner.Tell(func(now int64, core *session.Core) { core.StreamBroke(now, node, gone) })
+			c.runner.Post(func(now int64, core *session.Core) { core.StreamBroke(now, node, gone) })
 		}
 	})
 }
 
-// Finished is for who keeps records of plays; the client keeps none.
-func (c *Client) Finished(string, int, ledger.How) {}
+// PlayFinished is for who keeps records of plays; the client keeps none.
+func (c *Client) PlayFinished(string, int, playlog.EndReason) {}
 
-// Begun does nothing, nor does Settled: the client keeps no records.
-func (c *Client) Begun(session.Ref, int, string) {}
+// PlayStarted does nothing, nor does Settled: the client keeps no records.
+func (c *Client) PlayStarted(session.Ref, int, string) {}
 
-// Settled does nothing.
-func (c *Client) Settled() {}
+// RecoveryDone does nothing.
+func (c *Client) RecoveryDone() {}
 
-// Hangup closes the stream from a node.
-func (c *Client) Hangup(node int) {
+// CloseStream closes the stream from a node.
+func (c *Client) CloseStream(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if d := c.dialled[node]; d != nil {
@@ -440,7 +440,7 @@
 		if err != nil {
 			return fmt.Errorf("stream from %s: %w", address, err)
 		}
-		if met == (n.Kind == Hello) {
+		if met == (n.Kind == NoteHello) {
 			return fmt.Errorf("stream from %s: hello comes first and once", address)
 		}
 		met = true
@@ -451,9 +451,9 @@
 
 // note tells the core what a note says.
 func (c *Client) note(node int, n Note) {
-	ref := session.Ref{Play: n.Play, Try: n.Try, Node: node}
+	ref := session.Ref{Play: n.Play, Attempt: n.Attempt, Node: node}
 	switch n.Kind {
-	case Hello:
+	case NoteHello:
 		runs := make([]session.Running, len(n.Plays))
 		for i, p := range n.Plays {
 			product, ok := c.names.ProductNumber(p.Product)
@@ -461,22 +461,25 @@
 			if !ok || !known {
 				product = -1
 			}
-			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Try: p.Try, Product: product, Title: p.Title,
-				Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top, Left: p.LeftMs * front.Ms}
+			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Attempt, Product: product, Title: p.Title,
+				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, TimeLeft: p.LeftMs * decision.Millisecond}
 		}
-		c.runner.Tell(func(now int64, core *session.Core) { core.Hello(now, node, n.Node, n.Life, n.Mark, runs) })
-	case Beat:
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node) })
-	case Ended:
-		how := front.Served
-		if n.How == Lost {
-			how = front.Lost
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, runs) })
+	case NoteHeartbeat:
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node) })
+	case NoteEnded:
+		how := decision.Served
+		if n.EndReason == EndLost {
+			how = decision.ConnectionLost
 		}
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.PlayEnded(now, ref, how) })
-	case Share:
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.Share(now, ref, n.Share) })
-	case Load:
-		load := front.Load{Streams: -1, Link: n.Link, Uplink: n.Uplink}
-		c.runner.Tell(func(now int64, core *session.Core) { core.Heard(now, node); core.Load(now, ref, load) })
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.PlayEnded(now, ref, how) })
+	case NoteShare:
+		c.runner.Post(func(now int64, core *session.Core) {
+			core.StreamActive(now, node)
+			core.DeliveryReported(now, ref, n.Share)
+		})
+	case NoteLoad:
+		load := decision.Load{Streams: -1, Link: n.Link, Uplink: n.Uplink}
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.LoadReported(now, ref, load) })
 	}
 }
--- a/nodes/client_test.go
+++ b/nodes/client_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/front"
-	"gullrail/intake"
+	"gullrail/admission"
+	"gullrail/config"
+	"gullrail/decision"
 	"gullrail/session"
 )
 
@@ -27,11 +27,11 @@
 	defer node.Close()
 	for _, c := range []struct {
 		grace, wait time.Duration
-		how         front.Ending
+		how         decision.Outcome
 		sent        int32
 	}{
-		{250 * time.Millisecond, 0, front.Served, 1},
-		{250 * time.Millisecond, 230 * time.Millisecond, front.NoConnect, 0}, // within a dial's time, past the part of the grace
+		{250 * time.Millisecond, 0, decision.Served, 1},
+		{250 * time.Millisecond, 230 * time.Millisecond, decision.NoConnect, 0}, // within a dial's time, past the part of the grace
 	} {
 		got.Store(0)
 		secure := func() (*tls.Config, error) {
@@ -39,8 +39,8 @@
 			return node.Client().Transport.(*http.Transport).TLSClientConfig.Clone(), nil
 		}
 		names := service()
-		names.Products = []conf.Product{{Name: "p"}}
-		client := NewClient("f", 1, false, c.grace, names, session.NewRunner(session.NewClock(), intake.New(1, 1)), secure, zerolog.Nop())
+		names.Products = []config.Product{{Name: "p"}}
+		client := NewClient("f", 1, false, c.grace, names, session.NewRunner(session.NewClock(), admission.New(1, 1)), secure, zerolog.Nop())
 		a := session.Allocation{Ref: session.Ref{Play: "p"}, Address: node.Listener.Addr().String()}
 		_, how, _ := client.exchange(context.Background(), a, time.Now(), time.Now().Add(5*time.Second))
 		client.Close()
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -14,11 +14,11 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/front"
+	"gullrail/config"
+	"gullrail/decision"
 	"gullrail/internal/pcg"
-	"gullrail/pulse"
-	"gullrail/roster"
+	"gullrail/liveness"
+	"gullrail/membership"
 	"gullrail/session"
 )
 
@@ -38,15 +38,15 @@
 // or neither, to show that it lives.
 type Change struct {
 	Version int64  `json:"version"`
-	Whole   bool   `json:"whole,omitempty"`
+	Full    bool   `json:"whole,omitempty"`
 	Beat    bool   `json:"beat,omitempty"`
 	Nodes   []Line `json:"nodes,omitempty"`
 }
 
-var phases = map[string]front.Phase{"ready": front.Ready, "draining": front.Draining, "gone": front.Gone}
+var phases = map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
 // ParseChange reads a message of the list service into lines as the core knows them.
-func ParseChange(text []byte, set *conf.Service, clock *session.Clock) (Change, []session.Listed, error) {
+func ParseChange(text []byte, set *config.Service, clock *session.Clock) (Change, []session.NodeEntry, error) {
 	var c Change
 	if err := json.Unmarshal(text, &c); err != nil {
 		return Change{}, nil, fmt.Errorf("list: %w", err)
@@ -59,13 +59,13 @@
 }
 
 // ParseLines checks lines and turns them into the core's, with the numbers of kinds and zones.
-func ParseLines(given []Line, set *conf.Service, clock *session.Clock) ([]session.Listed, error) {
-	lines := make([]session.Listed, 0, len(given))
+func ParseLines(given []Line, set *config.Service, clock *session.Clock) ([]session.NodeEntry, error) {
+	lines := make([]session.NodeEntry, 0, len(given))
 	for i, n := range given {
-		wrong := func(field string, v any) ([]session.Listed, error) {
+		wrong := func(field string, v any) ([]session.NodeEntry, error) {
 			return nil, fmt.Errorf("list: nodes[%d].%s: %.60v", i, field, v)
 		}
-		l := session.Listed{Name: n.Name, Address: n.Address, Kind: -1, Zone: -1, Cell: n.Cell, Weight: n.Weight}
+		l := session.NodeEntry{Name: n.Name, Address: n.Address, Kind: -1, Zone: -1, Cell: n.Cell, Weight: n.Weight}
 		var ok bool
 		if n.Name == "" {
 			return wrong("name", "missing")
@@ -99,7 +99,7 @@
 			return wrong("started_ms", n.StartedMs)
 		}
 		if n.StartedMs > 0 {
-			l.Started = clock.At(time.UnixMilli(n.StartedMs))
+			l.StartedAt = clock.At(time.UnixMilli(n.StartedMs))
 		}
 		lines = append(lines, l)
 	}
@@ -107,24 +107,24 @@
 }
 
 // FormatLine is a line as the list service would tell it; its start is not told.
-func FormatLine(l session.Listed, set *conf.Service) Line {
-	return Line{Name: l.Name, Address: l.Address, Phase: [...]string{front.Ready: "ready", front.Draining: "draining", front.Gone: "gone"}[l.Phase],
+func FormatLine(l session.NodeEntry, set *config.Service) Line {
+	return Line{Name: l.Name, Address: l.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[l.Phase],
 		Kind: set.Kinds[l.Kind].Name, Zone: set.Zones[l.Zone], Cell: l.Cell, Weight: l.Weight}
 }
 
-// List follows the list service: one stream, resumed by its version, the whole list after a gap. While
+// ListClient follows the list service: one stream, resumed by its version, the whole list after a gap. While
 // it is out of reach the last list holds.
-type List struct {
+type ListClient struct {
 	Front  string
 	URL    string
-	Set    *conf.Service
+	Set    *config.Service
 	Runner *session.Runner
 	Log    zerolog.Logger
 	Seed   uint64
 }
 
 // Run follows until the context ends.
-func (l *List) Run(ctx context.Context) error {
+func (l *ListClient) Run(ctx context.Context) error {
 	rnd := pcg.New(l.Seed)
 	version, failures := int64(0), 0
 	for {
@@ -137,7 +137,7 @@
 			failures = 0
 		}
 		l.Log.Warn().Err(err).Int64("version", version).Msg("list service out of reach; the last list holds")
-		pause := session.Duration(pulse.Pause(failures, rnd.Float()))
+		pause := session.Duration(liveness.Backoff(failures, rnd.Float()))
 		failures++
 		select {
 		case <-time.After(pause):
@@ -147,7 +147,7 @@
 	}
 }
 
-func (l *List) follow(ctx context.Context, version *int64) error {
+func (l *ListClient) follow(ctx context.Context, version *int64) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	q := url.Values{"front": {l.Front}, "since": {strconv.FormatInt(*version, 10)}}
@@ -155,8 +155,8 @@
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
-	transport := &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: session.Duration(pulse.CallFor),
-		DialContext: (&net.Dialer{Timeout: session.Duration(pulse.ConnectFor)}).DialContext}
+	transport := &http.Transport{DisableKeepAlives: true, ResponseHeaderTimeout: session.Duration(liveness.CallTimeout),
+		DialContext: (&net.Dialer{Timeout: session.Duration(liveness.ConnectTimeout)}).DialContext}
 	resp, err := (&http.Client{Transport: transport}).Do(req)
 	if err != nil {
 		return fmt.Errorf("list service: %w", err)
@@ -165,12 +165,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("list service: %s", resp.Status)
 	}
-	quiet := time.AfterFunc(session.Duration(pulse.SilentFor), cancel) // a dead peer says nothing, not even that
+	quiet := time.AfterFunc(session.Duration(liveness.SilenceTimeout), cancel) // a dead peer says nothing, not even that
 	defer quiet.Stop()
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(nil, lineMost)
 	for lines.Scan() {
-		quiet.Reset(session.Duration(pulse.SilentFor))
+		quiet.Reset(session.Duration(liveness.SilenceTimeout))
 		c, listed, err := ParseChange(lines.Bytes(), l.Set, l.Runner.Clock())
 		if err != nil {
 			return err
@@ -178,14 +178,14 @@
 		if c.Beat {
 			continue
 		}
-		if !c.Whole && c.Version != *version+1 {
+		if !c.Full && c.Version != *version+1 {
 			have := *version
 			*version = 0
 			return fmt.Errorf("list service: version %d came after %d", c.Version, have)
 		}
 		*version = c.Version
-		word := roster.Word{Source: roster.List, Version: c.Version, Whole: c.Whole, Lines: listed}
-		l.Runner.Tell(func(now int64, core *session.Core) { core.Word(now, word) })
+		word := membership.Update{Source: membership.List, Version: c.Version, Full: c.Full, Entries: listed}
+		l.Runner.Post(func(now int64, core *session.Core) { core.UpdateMembership(now, word) })
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("list service: %w", err)
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"gullrail/front"
+	"gullrail/decision"
 )
 
 // LoadHeader carries a node's load report in an answer, in the text or JSON form of the Open Request
@@ -24,12 +24,12 @@
 type SetUp struct {
 	Front    string `json:"front"`
 	Epoch    int64  `json:"epoch"` // of the front's life; a node refuses one older than it has met
-	Try      int    `json:"try"`
+	Attempt  int    `json:"try"`
 	Product  string `json:"product"`
 	Title    string `json:"title"`
 	Viewer   string `json:"viewer"`
 	Rung     int    `json:"rung"`
-	Top      int    `json:"top"`
+	MaxRung  int    `json:"top"`
 	Seq      int    `json:"seq"`
 	UntilMs  int64  `json:"until_ms"`  // the front waits so long from now
 	LengthMs int64  `json:"length_ms"` // guessed; 0 is not told
@@ -45,60 +45,60 @@
 // Refusal is the body of any other answer.
 type Refusal struct {
 	NeverRan bool   `json:"never_ran"` // the node's word that nothing of the play ran
-	Why      string `json:"why"`
+	Reason   string `json:"why"`
 }
 
 // SetRung is the body of PUT /v1/plays/{play}/rung.
 type SetRung struct {
-	Front string `json:"front"`
-	Epoch int64  `json:"epoch"`
-	Try   int    `json:"try"`
-	Rung  int    `json:"rung"`
-	Seq   int    `json:"seq"` // one not above the last heard is old and does nothing
+	Front   string `json:"front"`
+	Epoch   int64  `json:"epoch"`
+	Attempt int    `json:"try"`
+	Rung    int    `json:"rung"`
+	Seq     int    `json:"seq"` // one not above the last heard is old and does nothing
 }
 
 // Play is one play in a Note's Plays.
 type Play struct {
 	Play    string `json:"play"`
 	Epoch   int64  `json:"epoch"`
-	Try     int    `json:"try"`
+	Attempt int    `json:"try"`
 	Product string `json:"product"`
 	Title   string `json:"title"`
 	Viewer  string `json:"viewer"`
 	Rung    int    `json:"rung"`
 	Seq     int    `json:"seq"`
-	Top     int    `json:"top"`
+	MaxRung int    `json:"top"`
 	LeftMs  int64  `json:"left_ms"` // 0 is not told
 }
 
 // The kinds of Note.
 const (
-	Hello = "hello" // first on a stream: Node, Life, Mark, Plays
-	Beat  = "beat"  // nothing new
-	Ended = "ended" // Play, Try, How
-	Share = "share" // Play, Try, Share
-	Load  = "load"  // Play, Try, Link and Uplink, below 0 where not told
+	NoteHello     = "hello" // first on a stream: Node, Life, Mark, Plays
+	NoteHeartbeat = "beat"  // nothing new
+	NoteEnded     = "ended" // Play, Attempt, EndReason
+	NoteShare     = "share" // Play, Attempt, Share
+	NoteLoad      = "load"  // Play, Attempt, Link and Uplink, below 0 where not told
 )
 
 // How a play ended, in a Note.
 const (
-	Over = "over" // its time was over or its viewer stopped
-	Lost = "lost" // the node could not go on with it
+	EndOver = "over" // its time was over or its viewer stopped
+	EndLost = "lost" // the node could not go on with it
 )
 
 // Note is one line of a node's stream to a front.
 type Note struct {
-	Kind   string  `json:"kind"`
-	Node   string  `json:"node,omitempty"`
-	Life   int64   `json:"life,omitempty"`
-	Mark   int64   `json:"mark,omitempty"`
-	Plays  []Play  `json:"plays,omitempty"`
-	Play   string  `json:"play,omitempty"`
-	Try    int     `json:"try,omitempty"`
-	How    string  `json:"how,omitempty"`
-	Share  float64 `json:"share,omitempty"`
-	Link   float64 `json:"link,omitempty"`
-	Uplink float64 `json:"uplink,omitempty"`
+	Kind      string  `json:"kind"`
+	Node      string  `json:"node,omitempty"`
+	Life      int64   `json:"life,omitempty"`
+	Mark      int64   `json:"mark,omitempty"`
+	Plays     []Play  `json:"plays,omitempty"`
+	Play      string  `json:"play,omitempty"`
+	Attempt   int     `json:"try,omitempty"`
+	EndReason string  `json:"how,omitempty"`
+	Share     float64 `json:"share,omitempty"`
+	Link      float64 `json:"link,omitempty"`
+	Uplink    float64 `json:"uplink,omitempty"`
 }
 
 // ParseNote reads a line of a stream.
@@ -108,22 +108,22 @@
 		return Note{}, fmt.Errorf("note: %w", err)
 	}
 	switch n.Kind {
-	case Hello:
+	case NoteHello:
 		if n.Node == "" || n.Life <= 0 {
 			return Note{}, fmt.Errorf("note hello: without node or life")
 		}
 		for _, p := range n.Plays {
-			if p.Play == "" || p.Title == "" || p.Viewer == "" || p.Rung < 0 || p.Top < 0 || p.Try < 0 || p.LeftMs < 0 {
+			if p.Play == "" || p.Title == "" || p.Viewer == "" || p.Rung < 0 || p.MaxRung < 0 || p.Attempt < 0 || p.LeftMs < 0 {
 				return Note{}, fmt.Errorf("note hello: play %.40q is malformed", p.Play)
 			}
 		}
-	case Beat:
-	case Ended, Share, Load:
-		if n.Play == "" || n.Try < 0 {
+	case NoteHeartbeat:
+	case NoteEnded, NoteShare, NoteLoad:
+		if n.Play == "" || n.Attempt < 0 {
 			return Note{}, fmt.Errorf("note %s: without play", n.Kind)
 		}
-		if n.Kind == Ended && n.How != Over && n.How != Lost {
-			return Note{}, fmt.Errorf("note ended: how %.20q is unknown", n.How)
+		if n.Kind == NoteEnded && n.EndReason != EndOver && n.EndReason != EndLost {
+			return Note{}, fmt.Errorf("note ended: how %.20q is unknown", n.EndReason)
 		}
 		for _, x := range []float64{n.Share, n.Link, n.Uplink} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x > 1e6 || x < -1 {
@@ -138,7 +138,7 @@
 
 // FormatLoad writes a load report; ParseLoad reads one. What is not told is left out. A report that
 // cannot be read says nothing: it is advice, and a set-up does not fail by it.
-func FormatLoad(l front.Load) string {
+func FormatLoad(l decision.Load) string {
 	var parts []string
 	add := func(name string, v float64) {
 		if v >= 0 {
@@ -152,8 +152,8 @@
 }
 
 // ParseLoad reads the value of LoadHeader.
-func ParseLoad(s string) front.Load {
-	l := front.Untold
+func ParseLoad(s string) decision.Load {
+	l := decision.UnknownLoad
 	set := func(name string, v float64) {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 			return
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -3,22 +3,22 @@
 import (
 	"testing"
 
-	"gullrail/conf"
-	"gullrail/front"
+	"gullrail/config"
+	"gullrail/decision"
 	"gullrail/session"
 )
 
 func TestLoadReportsRoundAndInBothForms(t *testing.T) {
-	for _, l := range []front.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, front.Untold} {
+	for _, l := range []decision.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, decision.UnknownLoad} {
 		if got := ParseLoad(FormatLoad(l)); got != l {
 			t.Errorf("%+v came back as %+v", l, got)
 		}
 	}
-	if got := ParseLoad(`JSON {"application_utilization": 0.4, "named_metrics": {"uplink": 1.25, "other": 3}}`); got != (front.Load{Streams: -1, Link: 0.4, Uplink: 1.25}) {
+	if got := ParseLoad(`JSON {"application_utilization": 0.4, "named_metrics": {"uplink": 1.25, "other": 3}}`); got != (decision.Load{Streams: -1, Link: 0.4, Uplink: 1.25}) {
 		t.Errorf("JSON: %+v", got)
 	}
 	for _, s := range []string{"", "TEXT", "TEXT application_utilization=NaN", "TEXT application_utilization=-3", "JSON {", "BIN abc"} {
-		if got := ParseLoad(s); got != front.Untold {
+		if got := ParseLoad(s); got != decision.UnknownLoad {
 			t.Errorf("%q says %+v", s, got)
 		}
 	}
@@ -33,8 +33,8 @@
 	}
 }
 
-func service() *conf.Service {
-	return &conf.Service{Cells: 4, Kinds: []conf.Kind{{Name: "std", Streams: 1}}, Zones: []string{"z"}}
+func service() *config.Service {
+	return &config.Service{Cells: 4, Kinds: []config.Kind{{Name: "std", MaxStreams: 1}}, Zones: []string{"z"}}
 }
 
 func TestListLinesThatAreNotTaken(t *testing.T) {
@@ -66,7 +66,7 @@
 	f.Add(`{"kind":"load","play":"p","link":0.5,"uplink":-1}`)
 	f.Fuzz(func(t *testing.T, s string) {
 		n, err := ParseNote([]byte(s))
-		if err == nil && (n.Kind == "" || n.Link > 1e6 || n.Try < 0) {
+		if err == nil && (n.Kind == "" || n.Link > 1e6 || n.Attempt < 0) {
 			t.Fatalf("taken: %+v", n)
 		}
 	})
@@ -89,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		_, lines, err := ParseChange([]byte(s), set, clock)
 		for _, l := range lines {
-			if err == nil && (l.Cell < 0 || l.Cell >= set.Cells || l.Kind != 0 || l.Zone != 0 || l.Started < 0) {
+			if err == nil && (l.Cell < 0 || l.Cell >= set.Cells || l.Kind != 0 || l.Zone != 0 || l.StartedAt < 0) {
 				t.Fatalf("taken: %+v", l)
 			}
 		}
--- a/kit/folder.go
+++ b/rundir/rundir.go
@@ -1,5 +1,5 @@
-// Package kit runs rehearsals as processes of their own under one run folder, and finds and ends them
-// whatever became of the one who started them.
+// Package rundir runs the processes of a rehearsal under one run folder, and finds and ends them even if the
+// process that started them is gone.
 //
 // The protocol of a run folder. The run file names the run by a nonce and says whether it goes on. Each
 // process of the run gets the nonce in its environment, registers in the folder before it does anything
@@ -10,7 +10,7 @@
 // A registration holds the process's id, the time of its start as the kernel counts it, and the run
 // file the machine's boot and the folder's own path. A process is ours only if id, start time and nonce
 // all match: a reused id, a folder copied from elsewhere or another run's process never is.
-package kit
+package rundir
 
 import (
 	"crypto/rand"
@@ -27,8 +27,8 @@
 	"time"
 )
 
-// Nonce is the environment variable that names a process's run.
-const Nonce = "GULLRAIL_RUN"
+// NonceVariable is the environment variable that names a process's run.
+const NonceVariable = "GULLRAIL_RUN"
 
 // Errors of a run folder, for errors.Is.
 var (
@@ -99,7 +99,7 @@
 		return false
 	}
 	for _, v := range strings.Split(string(b), "\x00") {
-		if v == Nonce+"="+nonce {
+		if v == NonceVariable+"="+nonce {
 			return true
 		}
 	}
@@ -205,7 +205,7 @@
 // Join registers this process in the run that its environment names, and tells whether it may go on.
 // The info is for the others of the run; Join may be called again when it changes.
 func (r *Run) Join(name string, info any) error {
-	if os.Getenv(Nonce) != r.Nonce {
+	if os.Getenv(NonceVariable) != r.Nonce {
 		return fmt.Errorf("kit: this process is not of the run in %s", r.Folder)
 	}
 	start, err := startTime(os.Getpid())
@@ -320,8 +320,8 @@
 	}
 }
 
-// Tidy takes away what a run that never began left in a folder.
-func Tidy(folder string) error {
+// RemoveUnstarted takes away what a run that never began left in a folder.
+func RemoveUnstarted(folder string) error {
 	abs, err := filepath.Abs(folder)
 	if err != nil {
 		return fmt.Errorf("kit: %w", err)
@@ -329,7 +329,7 @@
 	return (&Run{Folder: abs}).Remove()
 }
 
-// Remove takes the folder's files of the run away, but what the kit did not write.
+// Remove takes the folder's files of the run away, but what this package did not write.
 func (r *Run) Remove() error {
 	for _, name := range []string{"run.json", "begins"} {
 		if err := os.Remove(filepath.Join(r.Folder, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/session/runner.go
+++ b/session/runner.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 	"time"
 
-	"gullrail/front"
-	"gullrail/intake"
+	"gullrail/admission"
+	"gullrail/decision"
 )
 
 const (
@@ -20,7 +20,7 @@
 
 // ClockStart is where clocks begin, so that a time well before the start is still above 0, which
 // stands for long past.
-const ClockStart = 24 * 3600 * front.Second
+const ClockStart = 24 * 3600 * decision.Second
 
 // NewClock starts a clock.
 func NewClock() *Clock { return &Clock{time.Now()} }
@@ -42,7 +42,7 @@
 // Ticks turns a duration into the clock's ticks.
 func Ticks(d time.Duration) int64 { return int64(d / (100 * time.Microsecond)) }
 
-// Runner runs a Core on one goroutine. Requests come through the intake gate, all else as events;
+// Runner runs a Core on one goroutine. Requests come through the admission queue, all else as events;
 // events go first, as they free what requests wait for.
 type Runner struct {
 	clock  *Clock
@@ -52,15 +52,15 @@
 	done   chan struct{}
 
 	mu   sync.Mutex
-	gate *intake.Gate
+	gate *admission.Queue
 	shut bool
-	turn uint64 // requests turned away at the gate
+	turn uint64 // requests turned away at admission
 
 	busy atomic.Int64 // nanoseconds that the core worked
 }
 
 // NewRunner makes a runner; Run runs it. The core must not be used by anyone else.
-func NewRunner(clock *Clock, gate *intake.Gate) *Runner {
+func NewRunner(clock *Clock, gate *admission.Queue) *Runner {
 	return &Runner{clock: clock, gate: gate, events: make(chan func(int64, *Core), eventsHeld),
 		poke: make(chan struct{}, 1), done: make(chan struct{})}
 }
@@ -68,39 +68,39 @@
 // Clock is the runner's clock.
 func (r *Runner) Clock() *Clock { return r.clock }
 
-// Tell brings an event to the core, waiting while too many wait. After the runner has ended it does
+// Post brings an event to the core, waiting while too many wait. After the runner has ended it does
 // nothing.
-func (r *Runner) Tell(ev func(now int64, c *Core)) {
+func (r *Runner) Post(ev func(now int64, c *Core)) {
 	select {
 	case r.events <- ev:
 	case <-r.done:
 	}
 }
 
-// Offer is Tell for what may be lost: it drops the event while too many wait.
-func (r *Runner) Offer(ev func(now int64, c *Core)) {
+// TryPost is Post for what may be lost: it drops the event while too many wait.
+func (r *Runner) TryPost(ev func(now int64, c *Core)) {
 	select {
 	case r.events <- ev:
 	default:
 	}
 }
 
-// Ask brings a request from a client, by whose name floods are told. Its answer comes to a.Reply.
+// RequestPlay brings a request from a client, by whose name floods are told. Its answer comes to a.Reply.
 // The result withdraws it: the caller must call it if it stops waiting before the answer.
-func (r *Runner) Ask(a Ask, client string, importance float64) (withdraw func()) {
+func (r *Runner) RequestPlay(a Request, client string, importance float64) (withdraw func()) {
 	now := r.clock.Now()
-	w := &intake.Ask{Importance: importance, Limit: a.Limit, Client: client, Value: a}
+	w := &admission.Request{Importance: importance, Deadline: a.Deadline, Client: client, Value: a}
 	r.mu.Lock()
-	var turned []*intake.Turned
+	var turned []*admission.Rejection
 	if r.shut {
-		turned = append(turned, r.gate.Refuse(w, intake.Ending))
+		turned = append(turned, r.gate.Reject(w, admission.ShuttingDown))
 	} else {
 		v, back, gone := r.gate.Offer(now, w)
 		if gone != nil {
 			turned = append(turned, gone)
 		}
-		if v != intake.Waits {
-			turned = append(turned, &intake.Turned{Ask: w, Why: v, ComeBack: back})
+		if v != admission.Queued {
+			turned = append(turned, &admission.Rejection{Request: w, Reason: v, RetryAfter: back})
 		}
 	}
 	r.turn += uint64(len(turned))
@@ -117,23 +117,23 @@
 		waited := r.gate.Withdraw(w)
 		r.mu.Unlock()
 		if !waited {
-			r.Tell(func(now int64, c *Core) { c.Withdrawn(now, a.Reply) })
+			r.Post(func(now int64, c *Core) { c.RequestWithdrawn(now, a.Reply) })
 		}
 	}
 }
 
-func turnAway(t *intake.Turned) {
-	t.Ask.Value.(Ask).Reply.Give(Answer{Verdict: Declined, Why: t.Why.String(), ComeBack: t.ComeBack})
+func turnAway(t *admission.Rejection) {
+	t.Request.Value.(Request).Reply.Resolve(Answer{Verdict: Declined, Reason: t.Reason.String(), RetryAfter: t.RetryAfter})
 }
 
-// Turned is how many requests were turned away at the gate, and how many wait there.
-func (r *Runner) Turned() (turned uint64, waiting int) {
+// Rejected is how many requests were turned away at admission, and how many wait there.
+func (r *Runner) Rejected() (turned uint64, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.turn, r.gate.Len()
 }
 
-// Run runs the core until the context ends, which it must at last, then turns away what still waits at the gate. The clock
+// Run runs the core until the context ends, which it must at last, then turns away what still waits for admission. The clock
 // is read once for each call on the core.
 func (r *Runner) Run(ctx context.Context, core *Core) error {
 	r.core = core
@@ -164,13 +164,13 @@
 	}
 }
 
-// beat tells the gate that the process runs, whatever the core is doing.
+// beat tells the admission queue that the process runs, whatever the core is doing.
 func (r *Runner) beat(ctx context.Context) {
-	every := time.NewTicker(Duration(intake.BeatEvery))
+	every := time.NewTicker(Duration(admission.HeartbeatInterval))
 	defer every.Stop()
 	for {
 		r.mu.Lock()
-		r.gate.Beat(r.clock.Now())
+		r.gate.Heartbeat(r.clock.Now())
 		r.mu.Unlock()
 		select {
 		case <-every.C:
@@ -180,8 +180,8 @@
 	}
 }
 
-// Busy is how long the core has worked so far.
-func (r *Runner) Busy() time.Duration { return time.Duration(r.busy.Load()) }
+// BusyTime is how long the core has worked so far.
+func (r *Runner) BusyTime() time.Duration { return time.Duration(r.busy.Load()) }
 
 // drain takes all events that wait, then requests, and again while there are requests.
 func (r *Runner) drain() {
@@ -207,9 +207,9 @@
 			case late != nil:
 				turnAway(late)
 			case a != nil:
-				ask := a.Value.(Ask)
-				ask.Limit = intake.Limit(now, a.Limit)
-				r.core.Ask(now, ask)
+				ask := a.Value.(Request)
+				ask.Deadline = admission.Deadline(now, a.Deadline)
+				r.core.RequestPlay(now, ask)
 			default:
 				return
 			}
@@ -220,12 +220,12 @@
 	}
 }
 
-// Shut turns away what waits at the gate and all that still comes, each with its advice when to come back.
-func (r *Runner) Shut() {
+// RejectAll turns away what waits for admission and all that still comes, each with its advice when to come back.
+func (r *Runner) RejectAll() {
 	for {
 		r.mu.Lock()
 		r.shut = true
-		t := r.gate.TurnAway()
+		t := r.gate.RejectNext()
 		if t != nil {
 			r.turn++
 		}
@@ -238,6 +238,6 @@
 }
 
 func (r *Runner) end() {
-	r.Shut()
+	r.RejectAll()
 	close(r.done)
 }
--- a/lab/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -1,4 +1,4 @@
-// Package audit checks the six rules of the brief from tapes and settings alone: nothing of a front's
+// Package audit checks the six rules of the brief from traces and settings alone: nothing of a front's
 // inside is known to it.
 package audit
 
@@ -6,8 +6,8 @@
 	"fmt"
 	"sort"
 
-	"gullrail/conf"
-	"gullrail/lab/tape"
+	"gullrail/config"
+	"gullrail/testbed/trace"
 )
 
 const (
@@ -27,11 +27,11 @@
 
 // Rule is the verdict on one of the six.
 type Rule struct {
-	Name   string   `json:"name"`
-	Breaks []string `json:"breaks"` // each with the lines of the tape that show it
+	Name       string   `json:"name"`
+	Violations []string `json:"breaks"` // each with the events of the trace that show it
 }
 
-// Report is what a tape came to.
+// Report is what a trace came to.
 type Report struct {
 	Rules       []Rule  `json:"rules"`
 	Requests    int     `json:"requests"`
@@ -40,21 +40,21 @@
 	Declined    int     `json:"declined"`
 	Failed      int     `json:"failed"`
 	Denied      int     `json:"denied"`
-	Cut         int     `json:"cut"`  // requests whose front was killed, or gone, while they waited
-	Left        int     `json:"left"` // requests whose client went away first
-	MostAnswers int     `json:"answers_per_play"`
+	Interrupted int     `json:"cut"`  // requests whose front was killed, or gone, while they waited
+	Abandoned   int     `json:"left"` // requests whose client went away first
+	MaxAnswers  int     `json:"answers_per_play"`
 	Doubled     int     `json:"allocations_doubled"`
-	Retried     int     `json:"further_allocations"`
+	Reallocated int     `json:"further_allocations"`
 	Worth       float64 `json:"worth"` // earned by segments over what viewers came for: rungs and stalls count
 	Service     float64 `json:"service"`
 	FirstMs     []int64 `json:"-"` // first-frame latencies of plays, sorted
 	Rungs       []int   `json:"segments_by_rung"`
 }
 
-// Kept tells that no rule was broken.
-func (r *Report) Kept() bool {
+// RulesKept tells that no rule was broken.
+func (r *Report) RulesKept() bool {
 	for _, x := range r.Rules {
-		if len(x.Breaks) > 0 {
+		if len(x.Violations) > 0 {
 			return false
 		}
 	}
@@ -62,8 +62,8 @@
 }
 
 type audit struct {
-	set     *conf.Service
-	lines   []tape.Line
+	set     *config.Service
+	lines   []trace.Event
 	crossed map[int]bool // ends that a node read before the set-ups they end, and these set-ups
 	rep     *Report
 	breaks  [6][]string
@@ -73,8 +73,8 @@
 	a.breaks[rule-1] = append(a.breaks[rule-1], fmt.Sprintf(format, args...))
 }
 
-// Check audits a tape. Lines must be in the order of their times, as a Tape records them.
-func Check(set *conf.Service, lines []tape.Line) *Report {
+// Check audits a trace. Events must be in the order of their times, as a Recorder records them.
+func Check(set *config.Service, lines []trace.Event) *Report {
 	a := &audit{set: set, lines: lines, crossed: crossed(lines), rep: &Report{}}
 	a.answers()
 	a.allocations()
@@ -91,21 +91,21 @@
 }
 
 // crossed finds set-ups whose end their node read first, as it came on another connection: such a set-up was sent before
-// its end, wherever it stands on the tape, and is no further attempt. Each end stands for one set-up only.
-func crossed(lines []tape.Line) map[int]bool {
+// its end, wherever it stands on the trace, and is no further attempt. Each end stands for one set-up only.
+func crossed(lines []trace.Event) map[int]bool {
 	type attempt struct {
 		play, node string
 		try        int
 	}
 	both, ends, seen := map[int]bool{}, map[attempt]int{}, map[attempt]bool{}
 	for i, l := range lines {
-		this := attempt{l.Play, l.Node, l.Try}
-		switch l.What {
-		case tape.End:
+		this := attempt{l.Play, l.Node, l.Attempt}
+		switch l.Kind {
+		case trace.End:
 			if !seen[this] {
 				ends[this] = i
 			}
-		case tape.SetUp:
+		case trace.SetUp:
 			if end, ok := ends[this]; ok && !seen[this] {
 				both[end], both[i] = true, true
 			}
@@ -115,16 +115,16 @@
 	return both
 }
 
-func (a *audit) product(name string) *conf.Product {
+func (a *audit) product(name string) *config.Product {
 	if i, ok := a.set.ProductNumber(name); ok {
 		return &a.set.Products[i]
 	}
-	return &conf.Product{Name: name}
+	return &config.Product{Name: name}
 }
 
 func (a *audit) worth(rung int) float64 {
-	if rung >= 0 && rung < len(a.set.Worth) {
-		return a.set.Worth[rung]
+	if rung >= 0 && rung < len(a.set.RungWorth) {
+		return a.set.RungWorth[rung]
 	}
 	return 0
 }
@@ -143,12 +143,12 @@
 	got := map[string]bool{}
 	asked, served := 0.0, 0.0
 	wanted, earned := 0.0, 0.0
-	products := map[string]*conf.Product{} // of plays
+	products := map[string]*config.Product{} // of plays
 	for i, l := range a.lines {
-		switch l.What {
-		case tape.Killed:
+		switch l.Kind {
+		case trace.FrontKilled:
 			killed[l.Front] = append(killed[l.Front], l.T)
-		case tape.Ask:
+		case trace.Ask:
 			asks[l.ID] = &ask{line: i}
 			order = append(order, l.ID)
 			a.rep.Requests++
@@ -159,12 +159,12 @@
 				asked += p.Importance
 				wanted += p.Importance * a.worth(l.Rung) * float64(l.WatchMs)
 			}
-		case tape.Gone:
+		case trace.Gone:
 			if q := asks[l.ID]; q != nil {
 				q.gone = true
-				a.rep.Left++
+				a.rep.Abandoned++
 			}
-		case tape.Served:
+		case trace.Served:
 			for len(a.rep.Rungs) <= l.Rung {
 				a.rep.Rungs = append(a.rep.Rungs, 0)
 			}
@@ -172,9 +172,9 @@
 			if p := products[l.Play]; p != nil {
 				earned += p.Importance * a.worth(l.Rung) * a.set.SegmentMs * max(0, 1-stall*max(0, 0.98-l.Share))
 			}
-		case tape.SetUp:
+		case trace.SetUp:
 			products[l.Play] = a.product(l.Product)
-		case tape.Answer:
+		case trace.Answer:
 			q := asks[l.ID]
 			if q == nil {
 				a.broken(1, "line %d: an answer to nothing that was asked", i+1)
@@ -184,7 +184,7 @@
 				continue // judged below, as a request without an answer
 			}
 			q.answers++
-			a.rep.MostAnswers = max(a.rep.MostAnswers, q.answers)
+			a.rep.MaxAnswers = max(a.rep.MaxAnswers, q.answers)
 			from := a.lines[q.line]
 			if q.answers > 1 {
 				a.broken(1, "lines %d and %d: request %d has a second answer", q.line+1, i+1, l.ID)
@@ -225,7 +225,7 @@
 			excused = excused || t >= from.T && t <= from.T+from.LimitMs*1000
 		}
 		if a.down(from.Front, q.line) || excused {
-			a.rep.Cut++
+			a.rep.Interrupted++
 			continue
 		}
 		if a.ended(from.T + from.LimitMs*1000 + slack) {
@@ -240,13 +240,13 @@
 	}
 }
 
-// down tells that a front's process did not run at a line of the tape.
+// down tells that a front's process did not run at an event of the trace.
 func (a *audit) down(front string, line int) bool {
 	down := false
 	for _, l := range a.lines[:line] {
-		if l.Front == front && l.What == tape.Killed {
+		if l.Front == front && l.Kind == trace.FrontKilled {
 			down = true
-		} else if l.Front == front && l.What == tape.Up {
+		} else if l.Front == front && l.Kind == trace.FrontStarted {
 			down = false
 		}
 	}
@@ -261,10 +261,10 @@
 		if l.Front != front {
 			continue
 		}
-		switch l.What {
-		case tape.Stopped:
+		switch l.Kind {
+		case trace.FrontStopped:
 			stopped = l.T
-		case tape.Goes:
+		case trace.Continued:
 			if stopped >= 0 && stopped <= limit && limit <= l.T && answered <= l.T+wakes {
 				return true
 			}
@@ -274,7 +274,7 @@
 	return false
 }
 
-// ended tells that the tape goes on past a time.
+// ended tells that the trace goes on past a time.
 func (a *audit) ended(t int64) bool {
 	return len(a.lines) > 0 && a.lines[len(a.lines)-1].T >= t
 }
@@ -289,20 +289,20 @@
 	}
 	plays := map[string]*state{}
 	for i, l := range a.lines {
-		switch l.What {
-		case tape.SetUp:
+		switch l.Kind {
+		case trace.SetUp:
 			if a.crossed[i] { // entered with its end
 				continue
 			}
 			s := plays[l.Play]
 			if s == nil {
-				plays[l.Play] = &state{line: i, try: l.Try, node: l.Node, out: true}
+				plays[l.Play] = &state{line: i, try: l.Attempt, node: l.Node, out: true}
 				continue
 			}
-			a.rep.Retried++
+			a.rep.Reallocated++
 			switch {
-			case l.Try <= s.try:
-				a.broken(2, "lines %d and %d: play %s has allocation %d twice", s.line+1, i+1, l.Play, l.Try)
+			case l.Attempt <= s.try:
+				a.broken(2, "lines %d and %d: play %s has allocation %d twice", s.line+1, i+1, l.Play, l.Attempt)
 				a.rep.Doubled++
 			case s.out && !a.closedSoon(i, s.node, l.Play, s.try):
 				a.broken(2, "lines %d and %d: play %s has two allocations out", s.line+1, i+1, l.Play)
@@ -314,24 +314,24 @@
 				a.broken(2, "lines %d and %d: paid play %s is set up again though it is not known to have never run", s.line+1, i+1, l.Play)
 				a.rep.Doubled++
 			}
-			s.line, s.try, s.node, s.out = i, l.Try, l.Node, true
-		case tape.Started, tape.Errored, tape.Dropped, tape.End:
-			if s := plays[l.Play]; a.crossed[i] && (s == nil || s.try < l.Try) {
-				plays[l.Play] = &state{line: i, try: l.Try, node: l.Node, mayHave: i + 1}
-			} else if s != nil && s.try == l.Try {
+			s.line, s.try, s.node, s.out = i, l.Attempt, l.Node, true
+		case trace.Started, trace.Errored, trace.Dropped, trace.End:
+			if s := plays[l.Play]; a.crossed[i] && (s == nil || s.try < l.Attempt) {
+				plays[l.Play] = &state{line: i, try: l.Attempt, node: l.Node, mayHave: i + 1}
+			} else if s != nil && s.try == l.Attempt {
 				s.out, s.mayHave = false, i+1
 			}
-		case tape.Refused:
-			if s := plays[l.Play]; s != nil && s.try == l.Try {
+		case trace.Refused:
+			if s := plays[l.Play]; s != nil && s.try == l.Attempt {
 				s.out = false
 			}
-		case tape.Crash, tape.Fell:
+		case trace.Crash, trace.Overloaded:
 			for _, s := range plays {
 				if s.out && s.node == l.Node {
 					s.out, s.mayHave = false, i+1
 				}
 			}
-		case tape.Answer: // declined as if nothing had run
+		case trace.Answer: // declined as if nothing had run
 			if s := plays[l.Play]; s != nil && l.Status == 503 && s.mayHave > 0 && a.product(a.lines[s.line].Product).Paid {
 				a.broken(2, "lines %d and %d: paid play %s is declined though it may have run", s.mayHave, i+1, l.Play)
 			}
@@ -345,8 +345,8 @@
 		if l.T > a.lines[from].T+skew {
 			return false
 		}
-		if l.Node == node && (l.What == tape.Crash || l.What == tape.Fell || l.Play == play && l.Try == try &&
-			(l.What == tape.Dropped || l.What == tape.Refused || l.What == tape.Errored || l.What == tape.End)) {
+		if l.Node == node && (l.Kind == trace.Crash || l.Kind == trace.Overloaded || l.Play == play && l.Attempt == try &&
+			(l.Kind == trace.Dropped || l.Kind == trace.Refused || l.Kind == trace.Errored || l.Kind == trace.End)) {
 			return true
 		}
 	}
@@ -359,20 +359,20 @@
 	told := map[key]int{} // line, from 1, since when a front knows
 	for i, l := range a.lines {
 		k := key{l.Front, l.Node}
-		switch l.What {
-		case tape.Told:
+		switch l.Kind {
+		case trace.ListSent:
 			if l.Note == "ready" {
 				delete(told, k)
 			} else if told[k] == 0 {
 				told[k] = i + 1
 			}
-		case tape.Killed:
+		case trace.FrontKilled:
 			for t := range told {
 				if t.front == l.Front {
 					delete(told, t)
 				}
 			}
-		case tape.SetUp:
+		case trace.SetUp:
 			if t := told[k]; t > 0 && float64(l.T-a.lines[t-1].T) > a.set.DrainGraceMs*1000+skew {
 				a.broken(3, "lines %d and %d: %s set up at %s after it was told", t, i+1, l.Front, l.Node)
 			}
@@ -382,34 +382,34 @@
 
 // cold checks rule 4: the set-ups a node got in any window of the stated length after its start.
 func (a *audit) cold() {
-	started, streams := map[string]int64{}, a.set.Kinds[0].Streams
+	started, streams := map[string]int64{}, a.set.Kinds[0].MaxStreams
 	for _, k := range a.set.Kinds {
-		streams = min(streams, k.Streams)
+		streams = min(streams, k.MaxStreams)
 	}
 	recent := map[string][]int64{}
 	for i, l := range a.lines {
-		switch l.What {
-		case tape.Life:
+		switch l.Kind {
+		case trace.Life:
 			delete(started, l.Node)
 			delete(recent, l.Node)
 			if l.Note == "cold" {
 				started[l.Node] = l.T
 			}
-		case tape.Fell:
+		case trace.Overloaded:
 			a.broken(4, "line %d: %s was pushed over", i+1, l.Node)
-		case tape.SetUp:
+		case trace.SetUp:
 			began, ok := started[l.Node]
-			if !ok || float64(l.T-began) > a.set.ColdLastsMs*1000 {
+			if !ok || float64(l.T-began) > a.set.ColdDurationMs*1000 {
 				continue
 			}
 			most := Allowance(a.set, streams, float64(l.T-began)/1000)
 			times := append(recent[l.Node], l.T)
-			for len(times) > 0 && float64(l.T-times[0]) > a.set.FallOverMs*1000 {
+			for len(times) > 0 && float64(l.T-times[0]) > a.set.OverloadWindowMs*1000 {
 				times = times[1:]
 			}
 			recent[l.Node] = times
 			if float64(len(times)) > most+cross {
-				a.broken(4, "line %d: %d set-ups at cold %s within %v ms, %.1f allowed", i+1, len(times), l.Node, a.set.FallOverMs, most)
+				a.broken(4, "line %d: %d set-ups at cold %s within %v ms, %.1f allowed", i+1, len(times), l.Node, a.set.OverloadWindowMs, most)
 			}
 		}
 	}
@@ -417,9 +417,9 @@
 
 // Allowance is how many set-ups a cold node stands within the window that ends so many milliseconds
 // after its start.
-func Allowance(set *conf.Service, streams int, ageMs float64) float64 {
-	warmth := min(1, set.ColdShare+(1-set.ColdShare)*ageMs/set.ColdLastsMs)
-	return set.FallMultiple * float64(streams) / set.ColdLastsMs * warmth * set.FallOverMs
+func Allowance(set *config.Service, streams int, ageMs float64) float64 {
+	warmth := min(1, set.ColdShare+(1-set.ColdShare)*ageMs/set.ColdDurationMs)
+	return set.OverloadMultiple * float64(streams) / set.ColdDurationMs * warmth * set.OverloadWindowMs
 }
 
 // terms checks rule 5: rungs under a floor, and plays held of one title and product by one front.
@@ -451,33 +451,33 @@
 	}
 	for i, l := range a.lines {
 		p := a.product(l.Product)
-		switch l.What {
-		case tape.SetUp, tape.Rung:
-			if l.Rung < p.Floor {
-				a.broken(5, "line %d: play %s of %s at rung %d, under its floor of %d", i+1, l.Play, l.Product, l.Rung, p.Floor)
+		switch l.Kind {
+		case trace.SetUp, trace.Rung:
+			if l.Rung < p.MinRung {
+				a.broken(5, "line %d: play %s of %s at rung %d, under its floor of %d", i+1, l.Play, l.Product, l.Rung, p.MinRung)
 			}
-			if l.What == tape.Rung || a.crossed[i] {
+			if l.Kind == trace.Rung || a.crossed[i] {
 				continue
 			}
 			free(l.Play)
-			h := hold{seat{l.Front, l.Product, l.Title}, l.Node, l.Try}
+			h := hold{seat{l.Front, l.Product, l.Title}, l.Node, l.Attempt}
 			held[l.Play] = h
 			count[h.seat]++
-			if n := count[h.seat]; p.Seats > 0 && n > p.Seats {
-				if over := n - a.freedSoon(i, h.seat.front, h.seat.product, h.seat.title, func(play string) bool { _, ok := held[play]; return ok }); over > p.Seats {
-					a.broken(5, "line %d: %s holds %d plays of %s, %s; %d seats", i+1, l.Front, over, l.Title, l.Product, p.Seats)
+			if n := count[h.seat]; p.MaxSeats > 0 && n > p.MaxSeats {
+				if over := n - a.freedSoon(i, h.seat.front, h.seat.product, h.seat.title, func(play string) bool { _, ok := held[play]; return ok }); over > p.MaxSeats {
+					a.broken(5, "line %d: %s holds %d plays of %s, %s; %d seats", i+1, l.Front, over, l.Title, l.Product, p.MaxSeats)
 				}
 			}
-		case tape.Refused, tape.Errored, tape.Dropped, tape.End, tape.Ended:
-			if h, ok := held[l.Play]; ok && h.try == l.Try && h.node == l.Node {
+		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
+			if h, ok := held[l.Play]; ok && h.try == l.Attempt && h.node == l.Node {
 				free(l.Play)
 			}
-		case tape.Crash, tape.Fell:
+		case trace.Crash, trace.Overloaded:
 			freeAll(func(h hold) bool { return h.node == l.Node })
-		case tape.Killed: // its plays are handed over to its next life, or end
-		case tape.Leave: // its front frees a seat as it sends the end of the play, which its node may read much later
+		case trace.FrontKilled: // its plays are handed over to its next life, or end
+		case trace.Leave: // its front frees a seat as it sends the end of the play, which its node may read much later
 			free(l.Play)
-		case tape.Ask: // a viewer who comes back to the same front as its node does not deliver ends what it had
+		case trace.Ask: // a viewer who comes back to the same front as its node does not deliver ends what it had
 			if h, ok := held[l.Play]; ok && l.Note == "broken" && h.seat.front == l.Front {
 				free(l.Play)
 			}
@@ -489,7 +489,7 @@
 func (a *audit) freedSoon(from int, front, product, title string, held func(play string) bool) (n int) {
 	seat := map[string]bool{}
 	for _, l := range a.lines[:from+1] {
-		if l.What == tape.SetUp && l.Front == front && l.Product == product && l.Title == title && held(l.Play) {
+		if l.Kind == trace.SetUp && l.Front == front && l.Product == product && l.Title == title && held(l.Play) {
 			seat[l.Play] = true
 		}
 	}
@@ -497,8 +497,8 @@
 		if l.T > a.lines[from].T+skew {
 			break
 		}
-		switch l.What {
-		case tape.Refused, tape.Errored, tape.Dropped, tape.End, tape.Ended:
+		switch l.Kind {
+		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
 			if seat[l.Play] {
 				delete(seat, l.Play)
 				n++
@@ -510,20 +510,20 @@
 
 // budget checks rule 6: in any window, a front's allocations beyond each play's first.
 func (a *audit) budget() {
-	if a.set.BudgetOverMs == 0 {
+	if a.set.BudgetWindowMs == 0 {
 		return
 	}
-	over := int64(a.set.BudgetOverMs * 1000)
-	answers := map[int64]tape.Line{}
+	over := int64(a.set.BudgetWindowMs * 1000)
+	answers := map[int64]trace.Event{}
 	for _, l := range a.lines {
-		if l.What == tape.Answer {
+		if l.Kind == trace.Answer {
 			answers[l.ID] = l
 		}
 	}
 	type span struct{ from, to int64 } // a play was taken some time between its request and its answer
 	taken, further := map[string][]span{}, map[string][]int64{}
 	for _, l := range a.lines {
-		if l.What != tape.Ask {
+		if l.Kind != trace.Ask {
 			continue
 		}
 		ans, ok := answers[l.ID]
@@ -539,11 +539,11 @@
 	}
 	began := map[string]int64{} // of a front's present life: each counts from nothing
 	for i, l := range a.lines {
-		if l.What == tape.Killed {
+		if l.Kind == trace.FrontKilled {
 			began[l.Front] = l.T
 			delete(further, l.Front)
 		}
-		if l.What != tape.SetUp || l.Try == 0 {
+		if l.Kind != trace.SetUp || l.Attempt == 0 {
 			continue
 		}
 		further[l.Front] = append(further[l.Front], l.T)
@@ -559,7 +559,7 @@
 			}
 		}
 		if most := a.set.BudgetFree + a.set.BudgetShare*float64(plays); float64(n) > most {
-			a.broken(6, "line %d: %s made %d further allocations within %v ms, %.1f allowed", i+1, l.Front, n, a.set.BudgetOverMs, most)
+			a.broken(6, "line %d: %s made %d further allocations within %v ms, %.1f allowed", i+1, l.Front, n, a.set.BudgetWindowMs, most)
 		}
 	}
 }
--- a/lab/page/page.go
+++ b/testbed/htmlreport/htmlreport.go
@@ -1,6 +1,6 @@
-// Package page draws what a rehearsal came to as one self-contained HTML page: its figures, the six rules,
-// and how service, rungs, deliveries, answers and first frames went over the day, with the faults as bands.
-package page
+// Package htmlreport writes the result of a rehearsal as one self-contained HTML page: its figures, the six rules,
+// and how service, rungs, deliveries, answers and first frames went over time, with the faults as bands.
+package htmlreport
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"gullrail/lab"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
+	"gullrail/testbed"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/trace"
 )
 
 const bin = 2.0 // seconds that one point of a curve stands for
@@ -52,8 +52,8 @@
 	return s
 }
 
-// charts works the curves out of a tape.
-func charts(day *lab.Day, lines []tape.Line) []*chart {
+// charts works the curves out of a trace.
+func charts(day *testbed.Scenario, lines []trace.Event) []*chart {
 	set := &day.Service
 	type ask struct {
 		t          int64
@@ -61,7 +61,7 @@
 		target     float64
 		answered   bool
 	}
-	first, byID := map[string]*ask{}, map[int64]tape.Line{}
+	first, byID := map[string]*ask{}, map[int64]trace.Event{}
 	asked, served := counts{}, counts{}
 	plays, declined, failed := counts{}, counts{}, counts{}
 	segments, short := counts{}, counts{}
@@ -74,15 +74,15 @@
 	reasons, why := map[string]counts{}, []string(nil)
 	for _, l := range lines {
 		b := binOf(l.T)
-		switch l.What {
-		case tape.Ask:
+		switch l.Kind {
+		case trace.Ask:
 			byID[l.ID] = l
 			if n, ok := set.ProductNumber(l.Product); ok && l.First {
 				p := set.Products[n]
 				first[l.Viewer] = &ask{l.T, p.Importance, p.TargetMs * 1000, false}
 				asked[b] += p.Importance
 			}
-		case tape.Answer:
+		case trace.Answer:
 			from, ok := byID[l.ID]
 			switch {
 			case !ok:
@@ -105,9 +105,9 @@
 			case l.Status == 502 || l.Status == 504:
 				failed[b]++
 			}
-		case tape.Load:
+		case trace.Load:
 			links[b], uplinks[b] = append(links[b], l.Share), append(uplinks[b], l.Uplink)
-		case tape.Served:
+		case trace.Served:
 			segments[b]++
 			if l.Share > 0 && l.Share < 0.98 {
 				short[b]++
@@ -164,16 +164,16 @@
 	name     string
 }
 
-func bands(day *lab.Day, lines []tape.Line) (out []band) {
+func bands(day *testbed.Scenario, lines []trace.Event) (out []band) {
 	lasts := map[string]float64{}
 	for _, f := range day.Faults {
-		lasts[f.String()] = max(1, f.For)
-		if f.Do == "drain" {
-			lasts[f.String()] = f.Amount + f.For
+		lasts[f.String()] = max(1, f.Duration)
+		if f.Action == "drain" {
+			lasts[f.String()] = f.Amount + f.Duration
 		}
 	}
 	for _, l := range lines {
-		if l.What == tape.Fault {
+		if l.Kind == trace.Fault {
 			t := float64(l.T) / 1e6
 			out = append(out, band{t, t + lasts[l.Note], l.Note})
 		}
@@ -255,15 +255,15 @@
 <table><tr><th>service</th><td>{{printf "%.3f" .Report.Service}}</td></tr><tr><th>worth</th><td>{{printf "%.3f" .Report.Worth}}</td></tr>
 <tr><th>plays asked</th><td>{{.Report.Asked}}</td></tr><tr><th>plays</th><td>{{.Report.Plays}}</td></tr>
 <tr><th>declined</th><td>{{.Report.Declined}}</td></tr><tr><th>failed</th><td>{{.Report.Failed}}</td></tr>
-<tr><th>allocations doubled</th><td>{{.Report.Doubled}}</td></tr><tr><th>further allocations</th><td>{{.Report.Retried}}</td></tr></table>
-<h2>The six rules</h2><table>{{range .Report.Rules}}<tr><td>{{.Name}}</td><td>{{if .Breaks}}<span class="broken">broken {{len .Breaks}} times: {{index .Breaks 0}}</span>{{else}}kept{{end}}</td></tr>{{end}}</table>
+<tr><th>allocations doubled</th><td>{{.Report.Doubled}}</td></tr><tr><th>further allocations</th><td>{{.Report.Reallocated}}</td></tr></table>
+<h2>The six rules</h2><table>{{range .Report.Rules}}<tr><td>{{.Name}}</td><td>{{if .Violations}}<span class="broken">broken {{len .Violations}} times: {{index .Violations 0}}</span>{{else}}kept{{end}}</td></tr>{{end}}</table>
 {{range .Charts}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}
 <h2>Faults</h2><table>{{range .Faults}}<tr><td>{{printf "%.1f s" .From}}</td><td>{{.Name}}</td></tr>{{end}}</table>
 </body></html>
 `))
 
 // Write writes the page of a day that was played.
-func Write(w io.Writer, title string, day *lab.Day, lines []tape.Line, rep *audit.Report) error {
+func Write(w io.Writer, title string, day *testbed.Scenario, lines []trace.Event, rep *audit.Report) error {
 	faults := bands(day, lines)
 	all := charts(day, lines)
 	for _, c := range all {
--- a/lab/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -14,10 +14,10 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
-	"gullrail/serve"
+	"gullrail/config"
+	"gullrail/frontend"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/trace"
 )
 
 // freeUDP finds a port for messages that nobody uses.
@@ -45,7 +45,7 @@
 	}
 	r.fleet.mu.Unlock()
 	moved := *r.set
-	moved.Products, moved.JoinAdds = slices.Clone(r.set.Products), 0.3
+	moved.Products, moved.SharedStreamShare = slices.Clone(r.set.Products), 0.3
 	moved.Products[1].Live = true
 	ports := make([]string, fronts)
 	for i := range ports {
@@ -60,9 +60,9 @@
 		set.Number, set.Name = i, fmt.Sprint("old", i)
 		if i >= fronts/2 {
 			set.Name, set.Service = fmt.Sprint("new", i), moved
-			set.Peers = conf.Peers{Listen: ports[i], Fronts: ports, Secret: bytes.Repeat([]byte{5}, 32)}
+			set.Peers = config.Peers{Listen: ports[i], Fronts: ports, Secret: bytes.Repeat([]byte{5}, 32)}
 		}
-		f, err := serve.Listen(set, time.Now().UnixNano(), zerolog.Nop())
+		f, err := frontend.Listen(set, time.Now().UnixNano(), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,22 +79,22 @@
 		r.eventually(names[i]+" is ready", func() bool { return r.getAt("http://"+addr+"/readyz").status == 200 })
 	}
 
-	players := NewPlayers(r.set, r.tape)
+	players := NewViewerClients(r.set, r.tape)
 	defer players.Client.CloseIdleConnections()
 	for round := range rounds {
 		switch round {
 		case 10:
 			line := r.nodes[0].line
 			line.Phase = "draining"
-			r.registry.Set(line)
+			r.registry.UpdateNodes(line)
 		case 15:
-			r.nodes[1].crash(tape.Crash)
+			r.nodes[1].crash(trace.Crash)
 			r.nodes[1].wg.Wait()
 			if err := r.nodes[1].start(true); err != nil {
 				t.Fatal(err)
 			}
 			r.nodes[1].line.StartedMs = time.Now().UnixMilli()
-			r.registry.Set(r.nodes[1].line)
+			r.registry.UpdateNodes(r.nodes[1].line)
 		}
 		var asking sync.WaitGroup
 		for i := range fronts {
@@ -102,30 +102,30 @@
 			if round%5 == 4 {
 				product, title = 0, "other"
 			}
-			v := &Viewer{Name: fmt.Sprintf("v%d-%d", round, i), Product: &r.set.Products[product], Title: title, Top: 2,
-				Watch: time.Minute, Fronts: addrs, Names: names}
+			v := &Viewer{Name: fmt.Sprintf("v%d-%d", round, i), Product: &r.set.Products[product], Title: title, MaxRung: 2,
+				WatchTime: time.Minute, Fronts: addrs, Names: names}
 			asking.Add(1)
 			go func() {
 				defer asking.Done()
-				players.ask(context.Background(), v, i, players.firstURL(v, i, v.Watch), "", true, false)
+				players.ask(context.Background(), v, i, players.firstURL(v, i, v.WatchTime), "", true, false)
 			}()
 		}
 		asking.Wait()
 		time.Sleep(30 * time.Millisecond) // so that the day outlasts the grace and some cold turns
 	}
 
-	rep := audit.Check(r.set, r.tape.Lines())
-	if !rep.Kept() {
+	rep := audit.Check(r.set, r.tape.Events())
+	if !rep.RulesKept() {
 		t.Errorf("rules: %+v", rep.Rules)
 	}
 	asked, plays, messages := map[string]int{}, map[string]int{}, 0.0
 	kind := map[int64]string{}
-	for _, l := range r.tape.Lines() {
+	for _, l := range r.tape.Events() {
 		switch {
-		case l.What == tape.Ask:
+		case l.Kind == trace.Ask:
 			kind[l.ID] = l.Front[:3]
 			asked[l.Front[:3]]++
-		case l.What == tape.Answer && l.Status == 200:
+		case l.Kind == trace.Answer && l.Status == 200:
 			plays[kind[l.ID]]++
 		}
 	}
--- a/lab/node.go
+++ b/testbed/node.go
@@ -1,6 +1,6 @@
-// Package lab holds the stand-ins that the project rehearses against: playout nodes, the list service
+// Package testbed holds the stand-ins that the project rehearses against: playout nodes, the list service
 // and viewers, with the faults of a script. Nothing of the product imports it.
-package lab
+package testbed
 
 import (
 	"context"
@@ -17,20 +17,20 @@
 	"sync"
 	"time"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/dash"
-	"gullrail/front"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
+	"gullrail/decision"
+	"gullrail/liveness"
 	"gullrail/nodes"
-	"gullrail/pulse"
 	"gullrail/session"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/trace"
 	"gullrail/token"
 )
 
-// ShareHeader tells a simulated player what share of its rate it is delivered: the stand-in's segments are
+// DeliveredShareHeader tells a simulated player what share of its rate it is delivered: the stand-in's segments are
 // small, and its links are reckoned, not filled.
-const ShareHeader = "Lab-Share"
+const DeliveredShareHeader = "Lab-Share"
 
 // suggested is CTA-5006's dynamic response header; its key mb suggests the most bitrate, in kbit/s.
 const suggested = "CMSD-Dynamic"
@@ -38,9 +38,9 @@
 // Fleet is all stand-in nodes and what they share: racks with their uplinks. One lock covers it, as
 // the figures of a rack need those of all its nodes.
 type Fleet struct {
-	set     *conf.Service
+	set     *config.Service
 	check   *token.Checker
-	tape    *tape.Tape
+	tape    *trace.Recorder
 	setUpMs [2]float64 // a set-up takes from so long to so long
 	idle    time.Duration
 	tls     *tls.Config // nil speaks plainly
@@ -141,7 +141,7 @@
 type running struct {
 	nodes.Play
 	front    string
-	product  *conf.Product
+	product  *config.Product
 	playing  bool
 	began    time.Time
 	until    time.Time
@@ -153,7 +153,7 @@
 	goneAt time.Time // zero while it is open
 }
 
-func (f *Fleet) rate(r *running) float64 { return f.set.RatesKB[r.Rung] * r.product.Rate }
+func (f *Fleet) rate(r *running) float64 { return f.set.RatesKB[r.Rung] * r.product.RateFactor }
 
 // asked is what is asked of a node's link, kB a second.
 func (n *Node) asked() (sum float64) {
@@ -168,7 +168,7 @@
 		return 1
 	}
 	age := float64(time.Since(n.coldAt).Milliseconds())
-	return min(1, n.fleet.set.ColdShare+(1-n.fleet.set.ColdShare)*age/n.fleet.set.ColdLastsMs)
+	return min(1, n.fleet.set.ColdShare+(1-n.fleet.set.ColdShare)*age/n.fleet.set.ColdDurationMs)
 }
 
 func (n *Node) link() float64 { return n.given * (1 - n.taken) * n.warmth() }
@@ -221,7 +221,7 @@
 	ctx := n.ctx
 	n.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
 	server := n.server
-	f.tape.Add(tape.Line{What: tape.Life, Node: n.line.Name, Note: note})
+	f.tape.Add(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
 	f.mu.Unlock()
 	n.wg.Add(2)
 	go func() { defer n.wg.Done(); server.Serve(listen) }()
@@ -249,7 +249,7 @@
 	}
 	n.up = false
 	n.plays = map[string]*running{}
-	n.fleet.tape.Add(tape.Line{What: what, Node: n.line.Name})
+	n.fleet.tape.Add(trace.Event{Kind: what, Node: n.line.Name})
 	n.fleet.mu.Unlock()
 	n.kill()
 	n.server.Close()
@@ -295,8 +295,8 @@
 
 func (n *Node) report(w http.ResponseWriter) {
 	link, uplink := n.told()
-	l := front.Load{Streams: float64(len(n.plays)), Link: link, Uplink: -1}
-	if n.fleet.set.Uplinks {
+	l := decision.Load{Streams: float64(len(n.plays)), Link: link, Uplink: -1}
+	if n.fleet.set.ReportUplinks {
 		l.Uplink = uplink
 	}
 	w.Header().Set(nodes.LoadHeader, nodes.FormatLoad(l))
@@ -306,45 +306,45 @@
 	f, id := n.fleet, r.PathValue("play")
 	var ask nodes.SetUp
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&ask); err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{NeverRan: true, Why: err.Error()})
+		answer(w, http.StatusBadRequest, nodes.Refusal{NeverRan: true, Reason: err.Error()})
 		return
 	}
 	if n.cutOff(w, ask.Front) {
 		return
 	}
-	line := tape.Line{What: tape.SetUp, Node: n.line.Name, Front: ask.Front, Play: id, Try: ask.Try, Product: ask.Product,
+	line := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: ask.Front, Play: id, Attempt: ask.Attempt, Product: ask.Product,
 		Title: ask.Title, Viewer: ask.Viewer, Rung: ask.Rung}
 	f.tape.Add(line)
-	ends := func(what, why string) { line.What, line.Note = what, why; f.tape.Add(line) }
+	ends := func(what, why string) { line.Kind, line.Note = what, why; f.tape.Add(line) }
 	f.mu.Lock()
 	wait := time.Duration((f.setUpMs[0] + f.rnd.Float64()*(f.setUpMs[1]-f.setUpMs[0])) * n.slow * float64(time.Millisecond))
 	fails, vanishes := f.rnd.Float64() < n.errors, f.rnd.Float64() < n.vanish
 	refusal, p := n.refusal(&ask, id)
 	if refusal == "" {
 		number, _ := f.set.ProductNumber(ask.Product)
-		p = &running{Play: nodes.Play{Play: id, Epoch: ask.Epoch, Try: ask.Try, Product: ask.Product, Title: ask.Title,
-			Viewer: ask.Viewer, Rung: ask.Rung, Seq: ask.Seq, Top: ask.Top}, front: ask.Front, product: &f.set.Products[number]}
+		p = &running{Play: nodes.Play{Play: id, Epoch: ask.Epoch, Attempt: ask.Attempt, Product: ask.Product, Title: ask.Title,
+			Viewer: ask.Viewer, Rung: ask.Rung, Seq: ask.Seq, MaxRung: ask.MaxRung}, front: ask.Front, product: &f.set.Products[number]}
 		n.plays[id] = p // it takes its place, and its part of the link, from here on
 		n.epochs[ask.Front] = max(n.epochs[ask.Front], ask.Epoch)
 	}
 	fell := n.pushed()
 	f.mu.Unlock()
 	if fell {
-		n.crash(tape.Fell)
+		n.crash(trace.Overloaded)
 		return
 	}
 	if refusal != "" {
 		if !n.hushed(r.Context()) {
-			ends(tape.Dropped, "silent")
+			ends(trace.Dropped, "silent")
 			return
 		}
-		ends(tape.Refused, refusal)
+		ends(trace.Refused, refusal)
 		f.mu.Lock()
-		if f.set.Reports == "answers" {
+		if f.set.ReportMode == "answers" {
 			n.report(w)
 		}
 		f.mu.Unlock()
-		answer(w, http.StatusServiceUnavailable, nodes.Refusal{NeverRan: true, Why: refusal})
+		answer(w, http.StatusServiceUnavailable, nodes.Refusal{NeverRan: true, Reason: refusal})
 		return
 	}
 	select {
@@ -354,21 +354,21 @@
 	if r.Context().Err() != nil || !n.hushed(r.Context()) {
 		n.drop(id, p)
 		if n.ctx.Err() == nil {
-			ends(tape.Dropped, "the front let go")
+			ends(trace.Dropped, "the front let go")
 		}
 		return
 	}
 	if fails {
 		n.drop(id, p)
-		ends(tape.Errored, "")
-		answer(w, http.StatusInternalServerError, nodes.Refusal{Why: "fault"})
+		ends(trace.Errored, "")
+		answer(w, http.StatusInternalServerError, nodes.Refusal{Reason: "fault"})
 		return
 	}
 	f.mu.Lock()
 	if n.plays[id] != p { // ended while it was set up
 		f.mu.Unlock()
-		ends(tape.Errored, "ended")
-		answer(w, http.StatusGone, nodes.Refusal{Why: "ended"})
+		ends(trace.Errored, "ended")
+		answer(w, http.StatusGone, nodes.Refusal{Reason: "ended"})
 		return
 	}
 	n.mark++
@@ -377,16 +377,16 @@
 		p.until = time.Now().Add(time.Duration(ask.LengthMs) * time.Millisecond)
 	}
 	out := nodes.Started{Life: n.life, Mark: n.mark, Rung: p.Rung}
-	if f.set.Reports == "answers" {
+	if f.set.ReportMode == "answers" {
 		n.report(w)
 	}
 	f.mu.Unlock()
 	if vanishes { // it runs, and nobody is told
 		<-r.Context().Done()
-		ends(tape.Dropped, "its answer vanished")
+		ends(trace.Dropped, "its answer vanished")
 		return
 	}
-	ends(tape.Started, "")
+	ends(trace.Started, "")
 	answer(w, http.StatusCreated, out)
 }
 
@@ -403,9 +403,9 @@
 	}
 	link, _ := n.loads()
 	switch {
-	case !known || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) || ask.Rung < f.set.Products[number].Floor:
+	case !known || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) || ask.Rung < f.set.Products[number].MinRung:
 		return "malformed", nil
-	case !ok || ((n.cell-t.Home)%f.set.Cells+f.set.Cells)%f.set.Cells >= t.Copies:
+	case !ok || ((n.cell-t.FirstCell)%f.set.Cells+f.set.Cells)%f.set.Cells >= t.CellCount:
 		return "the title is not here", nil
 	case ask.Epoch < n.epochs[ask.Front]:
 		return "an older life of the front", nil
@@ -413,7 +413,7 @@
 		return "the play is here already", nil
 	case n.draining:
 		return "draining", nil
-	case len(n.plays) >= kind.Streams:
+	case len(n.plays) >= kind.MaxStreams:
 		return "no stream free", nil
 	case f.guard > 0 && link >= f.guard:
 		return "link full", nil
@@ -425,15 +425,15 @@
 func (n *Node) pushed() bool {
 	f := n.fleet
 	age := float64(time.Since(n.coldAt).Milliseconds())
-	if n.coldAt.IsZero() || age > f.set.ColdLastsMs {
+	if n.coldAt.IsZero() || age > f.set.ColdDurationMs {
 		return false
 	}
 	now := time.Now()
 	n.setUps = append(n.setUps, now)
-	for now.Sub(n.setUps[0]) > time.Duration(f.set.FallOverMs)*time.Millisecond {
+	for now.Sub(n.setUps[0]) > time.Duration(f.set.OverloadWindowMs)*time.Millisecond {
 		n.setUps = n.setUps[1:]
 	}
-	n.fallen = float64(len(n.setUps)) > audit.Allowance(f.set, f.set.Kinds[0].Streams, age)+2
+	n.fallen = float64(len(n.setUps)) > audit.Allowance(f.set, f.set.Kinds[0].MaxStreams, age)+2
 	return n.fallen
 }
 
@@ -448,7 +448,7 @@
 func (n *Node) setRung(w http.ResponseWriter, r *http.Request) {
 	var ask nodes.SetRung
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&ask); err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Why: err.Error()})
+		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: err.Error()})
 		return
 	}
 	if !n.hushed(r.Context()) {
@@ -458,13 +458,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
-	if p == nil || p.Try != ask.Try || p.front != ask.Front || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) {
-		answer(w, http.StatusNotFound, nodes.Refusal{Why: "no such play"})
+	if p == nil || p.Attempt != ask.Attempt || p.front != ask.Front || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) {
+		answer(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
 		return
 	}
 	if ask.Seq > p.Seq {
 		p.Rung, p.Seq = ask.Rung, ask.Seq
-		f.tape.Add(tape.Line{What: tape.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Try: p.Try, Product: p.Product, Rung: p.Rung})
+		f.tape.Add(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Attempt: p.Attempt, Product: p.Product, Rung: p.Rung})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -476,18 +476,18 @@
 	}
 	try, err := strconv.Atoi(q.Get("try"))
 	if err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Why: "try is needed"})
+		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: "try is needed"})
 		return
 	}
-	f.tape.Add(tape.Line{What: tape.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Try: try, Note: q.Get("why")})
+	f.tape.Add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Attempt: try, Note: q.Get("why")})
 	if !n.hushed(r.Context()) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
-	if p == nil || p.Try != try || p.front != q.Get("front") {
-		answer(w, http.StatusNotFound, nodes.Refusal{Why: "no such play"})
+	if p == nil || p.Attempt != try || p.front != q.Get("front") {
+		answer(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
 		return
 	}
 	delete(n.plays, p.Play.Play)
@@ -512,7 +512,7 @@
 	}
 	cl, err := n.fleet.check.Check(r.PathValue("token"), time.Now())
 	switch {
-	case errors.Is(err, token.ErrForeign):
+	case errors.Is(err, token.ErrWrongType):
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	case err != nil:
@@ -522,7 +522,7 @@
 		http.Error(w, "token: made for another node or title", http.StatusForbidden)
 		return
 	}
-	rung, err := dash.RungOf(r.PathValue("rep"))
+	rung, err := dash.ParseRepresentationID(r.PathValue("rep"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
@@ -538,14 +538,14 @@
 	p.lastUsed = time.Now()
 	share, allowed := n.share(), p.Rung
 	f.mu.Unlock()
-	kbit := f.set.RatesKB[allowed] * p.product.Rate * 8
+	kbit := f.set.RatesKB[allowed] * p.product.RateFactor * 8
 	w.Header().Set(suggested, fmt.Sprintf("%q;mb=%d", n.line.Name, int64(kbit)))
-	if rung > min(allowed, cl.Rung) || rung < p.product.Floor {
+	if rung > min(allowed, cl.Rung) || rung < p.product.MinRung {
 		http.Error(w, "rung not allowed", http.StatusForbidden)
 		return
 	}
-	f.tape.Add(tape.Line{What: tape.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
-	w.Header().Set(ShareHeader, strconv.FormatFloat(share, 'f', 3, 64))
+	f.tape.Add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
+	w.Header().Set(DeliveredShareHeader, strconv.FormatFloat(share, 'f', 3, 64))
 	w.Header().Set("Content-Type", "video/mp4")
 	w.Write(segment[:512*(rung+1)])
 }
@@ -560,19 +560,19 @@
 	}
 	epoch, err := strconv.ParseInt(r.URL.Query().Get("epoch"), 10, 64)
 	if err != nil || name == "" {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Why: "front and epoch are needed"})
+		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: "front and epoch are needed"})
 		return
 	}
 	s := &stream{notes: make(chan nodes.Note, 4096)}
 	f.mu.Lock()
 	if epoch < n.epochs[name] {
 		f.mu.Unlock()
-		answer(w, http.StatusConflict, nodes.Refusal{Why: "an older life of the front"})
+		answer(w, http.StatusConflict, nodes.Refusal{Reason: "an older life of the front"})
 		return
 	}
 	n.epochs[name] = epoch
 	n.streams[name] = s
-	hello := nodes.Note{Kind: nodes.Hello, Node: n.line.Name, Life: n.life, Mark: n.mark}
+	hello := nodes.Note{Kind: nodes.NoteHello, Node: n.line.Name, Life: n.life, Mark: n.mark}
 	for _, p := range n.plays {
 		if p.front == name && p.playing {
 			play := p.Play
@@ -588,7 +588,7 @@
 		f.mu.Lock()
 		s.goneAt = time.Now()
 		f.mu.Unlock()
-		f.tape.Add(tape.Line{What: tape.Unstream, Node: n.line.Name, Front: name})
+		f.tape.Add(trace.Event{Kind: trace.StreamClosed, Node: n.line.Name, Front: name})
 	}()
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	send := func(note nodes.Note) bool {
@@ -600,10 +600,10 @@
 	if !send(hello) {
 		return
 	}
-	beat := time.NewTicker(session.Duration(pulse.Beat))
+	beat := time.NewTicker(session.Duration(liveness.HeartbeatInterval))
 	defer beat.Stop()
 	for {
-		note := nodes.Note{Kind: nodes.Beat}
+		note := nodes.Note{Kind: nodes.NoteHeartbeat}
 		if n.cutOff(w, name) {
 			return
 		}
@@ -634,7 +634,7 @@
 	f := n.fleet
 	every := time.NewTicker(250 * time.Millisecond)
 	defer every.Stop()
-	lag := time.Duration(f.set.NoteLagMs) * time.Millisecond
+	lag := time.Duration(f.set.ReportDelayMs) * time.Millisecond
 	for beat := 0; ; beat++ {
 		select {
 		case <-every.C:
@@ -656,12 +656,12 @@
 					alone = now
 				}
 			}
-			if !p.playing || now.Sub(p.lastUsed) <= f.idle && now.Sub(alone) <= session.Duration(pulse.Lease) {
+			if !p.playing || now.Sub(p.lastUsed) <= f.idle && now.Sub(alone) <= session.Duration(liveness.Lease) {
 				continue
 			}
 			delete(n.plays, id)
-			f.tape.Add(tape.Line{What: tape.Ended, Node: n.line.Name, Front: p.front, Play: id, Try: p.Try})
-			n.tell(p.front, nodes.Note{Kind: nodes.Ended, Play: id, Try: p.Try, How: nodes.Over})
+			f.tape.Add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Attempt: p.Attempt})
+			n.tell(p.front, nodes.Note{Kind: nodes.NoteEnded, Play: id, Attempt: p.Attempt, EndReason: nodes.EndOver})
 		}
 		if beat%4 == 0 {
 			n.tellShares(now, lag, beat%12 == 0)
@@ -675,7 +675,7 @@
 func (n *Node) tellShares(now time.Time, lag time.Duration, loads bool) {
 	link, uplink := n.loads()
 	n.shares = append(n.shares, shareAt{now, n.share(), link, uplink})
-	n.fleet.tape.Add(tape.Line{What: tape.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	n.fleet.tape.Add(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
 	if len(n.shares) > 64 {
 		n.shares = n.shares[1:]
 	}
@@ -702,16 +702,16 @@
 	}
 	sort.Strings(names)
 	link, uplink = n.told()
-	if !n.fleet.set.Uplinks {
+	if !n.fleet.set.ReportUplinks {
 		uplink = -1
 	}
 	for _, name := range names {
 		p := one[name]
 		if old < 0.98 || before < 0.98 {
-			n.tell(name, nodes.Note{Kind: nodes.Share, Play: p.Play.Play, Try: p.Try, Share: old})
+			n.tell(name, nodes.Note{Kind: nodes.NoteShare, Play: p.Play.Play, Attempt: p.Attempt, Share: old})
 		}
-		if loads && n.fleet.set.Reports == "answers" {
-			n.tell(name, nodes.Note{Kind: nodes.Load, Play: p.Play.Play, Try: p.Try, Link: link, Uplink: uplink})
+		if loads && n.fleet.set.ReportMode == "answers" {
+			n.tell(name, nodes.Note{Kind: nodes.NoteLoad, Play: p.Play.Play, Attempt: p.Attempt, Link: link, Uplink: uplink})
 		}
 	}
 }
--- a/lab/rehearse.go
+++ b/testbed/rehearse.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -20,26 +20,26 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
+	"gullrail/config"
+	"gullrail/frontend"
 	"gullrail/nodes"
-	"gullrail/serve"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/trace"
 )
 
 // Rehearsal runs a day: fronts as processes of their own, stand-in nodes, the list service and viewers in
 // this one, all on loopback.
 type Rehearsal struct {
-	Day     *Day
-	Program string                            // the gullrail that serves; empty runs the fronts in this process, where they can't be killed
-	Command func(name, file string) *exec.Cmd // what starts a front, in place of Program
-	Folder  string                            // for the fronts' settings and logs
-	Say     func(format string, args ...any)
+	Scenario *Scenario
+	Program  string                            // the gullrail that serves; empty runs the fronts in this process, where they can't be killed
+	Command  func(name, file string) *exec.Cmd // what starts a front, in place of Program
+	Folder   string                            // for the fronts' settings and logs
+	Logf     func(format string, args ...any)
 
-	tape     *tape.Tape
+	tape     *trace.Recorder
 	fleet    *Fleet
-	registry *Registry // the list service, where it is in this process
-	list     Announcer
+	registry *ListService // the list service, where it is in this process
+	list     NodeUpdater
 	rnd      *rand.Rand
 	fronts   []*frontProcess
 	byNumber map[int]*Node // those in this process
@@ -51,8 +51,8 @@
 	wg       sync.WaitGroup
 }
 
-// Announcer is told what becomes of nodes: the list service, here or in another process.
-type Announcer interface{ Set(lines ...nodes.Line) }
+// NodeUpdater is told what becomes of nodes: the list service, here or in another process.
+type NodeUpdater interface{ UpdateNodes(lines ...nodes.Line) }
 
 // frontProcess is one front end, in as many lives as the script gives it.
 type frontProcess struct {
@@ -68,7 +68,7 @@
 // Outcome is what a rehearsal came to.
 type Outcome struct {
 	Report *audit.Report
-	Lines  []tape.Line
+	Lines  []trace.Event
 	Short  float64 // share of segments delivered short
 	Took   time.Duration
 }
@@ -86,19 +86,19 @@
 // Run runs the day to its end, or to that of the context. All that it started has ended when it returns.
 func (r *Rehearsal) Run(ctx context.Context) (out *Outcome, err error) {
 	began := time.Now()
-	d := r.Day
+	d := r.Scenario
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() {
 		cancel()
 		r.wg.Wait()
-		if e := r.Down(); e != nil && err == nil {
+		if e := r.Stop(); e != nil && err == nil {
 			err = e
 		}
 	}()
-	if err := r.Up(ctx); err != nil {
+	if err := r.Start(ctx); err != nil {
 		return nil, err
 	}
-	players := NewPlayers(&d.Service, r.tape)
+	players := NewViewerClients(&d.Service, r.tape)
 	viewers, endViewers := context.WithCancel(ctx)
 	defer endViewers()
 	start := time.Now()
@@ -108,37 +108,37 @@
 	}
 	r.arrive(viewers, start, players, r.Fronts())
 	wait(ctx, d.tail())
-	lined := r.tape.Lines()
+	lined := r.tape.Events()
 	endViewers()
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("rehearsal: %w", context.Cause(ctx))
 	}
 	out = &Outcome{Report: audit.Check(&d.Service, lined), Lines: lined, Took: time.Since(began)}
-	players.Seen.mu.Lock()
-	out.Short = float64(players.Seen.Short) / max(1, float64(players.Seen.Segments))
-	players.Seen.mu.Unlock()
+	players.Counts.mu.Lock()
+	out.Short = float64(players.Counts.Short) / max(1, float64(players.Counts.Segments))
+	players.Counts.mu.Unlock()
 	return out, nil
 }
 
 // tail is how long after the last arrival the day goes on, in seconds: what was asked last is still to
 // be answered.
-func (d *Day) tail() float64 { return d.Service.LongestMs()/1000 + 1 }
+func (d *Scenario) tail() float64 { return d.Service.LongestLimitMs()/1000 + 1 }
 
-// Up starts the nodes, the list service and the fronts, and waits until the fronts are ready. Down is owed
+// Start starts the nodes, the list service and the fronts, and waits until the fronts are ready. Stop is owed
 // after it, also when it fails.
-func (r *Rehearsal) Up(ctx context.Context) error {
-	key, err := r.prepare(tape.New())
+func (r *Rehearsal) Start(ctx context.Context) error {
+	key, err := r.prepare(trace.New())
 	if err != nil {
 		return err
 	}
 	r.viewers = true
-	r.registry = NewRegistry(r.tape, time.Duration(r.Day.ListLateMs)*time.Millisecond)
+	r.registry = NewListService(r.tape, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
 	r.list = r.registry
 	lines, err := r.startNodes(func(int) bool { return true })
 	if err != nil {
 		return err
 	}
-	r.registry.Set(lines...)
+	r.registry.UpdateNodes(lines...)
 	addr, err := freePort()
 	if err != nil {
 		return err
@@ -150,23 +150,23 @@
 }
 
 // prepare makes what every part of a rehearsal needs, the same for all of them.
-func (r *Rehearsal) prepare(t *tape.Tape) (conf.Key, error) {
-	d := r.Day
+func (r *Rehearsal) prepare(t *trace.Recorder) (config.Key, error) {
+	d := r.Scenario
 	r.tape = t
 	r.rnd = rand.New(rand.NewPCG(d.Seed, 1))
 	r.crowd, r.byNumber = map[string]float64{}, map[int]*Node{}
-	if r.Say == nil {
-		r.Say = func(string, ...any) {}
+	if r.Logf == nil {
+		r.Logf = func(string, ...any) {}
 	}
-	key := conf.Key{ID: "rehearsal", Seed: make([]byte, 32), Signs: true}
+	key := config.Key{ID: "rehearsal", Seed: make([]byte, 32), Signs: true}
 	for i := range key.Seed {
 		key.Seed[i] = byte(r.rnd.UintN(256))
 	}
-	minter, err := serve.Minter([]conf.Key{key})
+	minter, err := frontend.NewMinter([]config.Key{key})
 	if err != nil {
 		return key, err
 	}
-	r.fleet = &Fleet{set: &d.Service, check: minter.Checker, tape: r.tape, setUpMs: d.SetUpMs, guard: d.Guard,
+	r.fleet = &Fleet{set: &d.Service, check: minter.Checker, tape: r.tape, setUpMs: d.SetUpMs, guard: d.MaxLinkLoad,
 		idle: time.Duration(d.IdleMs) * time.Millisecond, rnd: rand.New(rand.NewPCG(d.Seed, 2)), nodes: map[string]*Node{}}
 	for range d.Service.Racks {
 		given := d.Service.UplinkKB
@@ -180,12 +180,12 @@
 
 // startNodes starts the day's nodes that this process has, by their numbers.
 func (r *Rehearsal) startNodes(mine func(number int) bool) (lines []nodes.Line, err error) {
-	for i := range r.Day.Nodes {
-		given := r.Day.Service.WeightKB * r.about()
+	for i := range r.Scenario.Nodes {
+		given := r.Scenario.Service.WeightKB * r.about()
 		if !mine(i) {
 			continue
 		}
-		n, err := r.newNode(fmt.Sprintf("n%d", i), i%r.Day.Service.Cells, i, given)
+		n, err := r.newNode(fmt.Sprintf("n%d", i), i%r.Scenario.Service.Cells, i, given)
 		if err != nil {
 			return nil, err
 		}
@@ -198,15 +198,15 @@
 	return lines, nil
 }
 
-// Down ends all that Up started, the fronts in order first, and returns the first that did not end well.
-func (r *Rehearsal) Down() (err error) {
+// Stop ends all that Start started, the fronts in order first, and returns the first that did not end well.
+func (r *Rehearsal) Stop() (err error) {
 	for _, f := range r.fronts {
 		if e := f.stop(); e != nil && err == nil {
 			err = e
 		}
 	}
 	for _, n := range r.all {
-		n.crash(tape.Crash)
+		n.crash(trace.Crash)
 		n.wg.Wait()
 	}
 	if r.registry != nil && r.registry.server != nil {
@@ -216,14 +216,14 @@
 }
 
 // about draws a factor around 1, by the day's unevenness.
-func (r *Rehearsal) about() float64 { return 1 + r.Day.Uneven*(2*r.rnd.Float64()-1) }
+func (r *Rehearsal) about() float64 { return 1 + r.Scenario.BandwidthSpread*(2*r.rnd.Float64()-1) }
 
 func (r *Rehearsal) newNode(name string, cell, i int, given float64) (*Node, error) {
 	addr, err := freePort()
 	if err != nil {
 		return nil, err
 	}
-	set := &r.Day.Service
+	set := &r.Scenario.Service
 	n := &Node{fleet: r.fleet, cell: cell, given: given, slow: 1, line: nodes.Line{Name: name,
 		Address: addr, Phase: "ready", Kind: set.Kinds[i%len(set.Kinds)].Name, Zone: set.Zones[i%len(set.Zones)],
 		Cell: cell, Weight: 1}}
@@ -236,8 +236,8 @@
 
 // ---- Fronts ----
 
-func (r *Rehearsal) startFronts(ctx context.Context, key conf.Key, list string) error {
-	d := r.Day
+func (r *Rehearsal) startFronts(ctx context.Context, key config.Key, list string) error {
+	d := r.Scenario
 	for i := range d.Service.Fronts {
 		addr, err := freePort()
 		if err != nil {
@@ -265,15 +265,15 @@
 		if err := f.awaitReady(ctx, 20*time.Second); err != nil {
 			return err
 		}
-		r.tape.Add(tape.Line{What: tape.Up, Front: f.name})
+		r.tape.Add(trace.Event{Kind: trace.FrontStarted, Front: f.name})
 	}
 	return nil
 }
 
 // FrontSettings is the settings file of one front of the day.
-func (d *Day) FrontSettings(i int, name, listen, list, state string, key conf.Key) ([]byte, error) {
+func (d *Scenario) FrontSettings(i int, name, listen, list, state string, key config.Key) ([]byte, error) {
 	settings := map[string]any{"name": name, "number": i, "zone": d.Service.Zones[i%len(d.Service.Zones)], "listen": listen, "seed": d.Seed}
-	if d.Records {
+	if d.KeepRecords {
 		settings["state"] = state
 	}
 	own, err := json.Marshal(settings)
@@ -357,15 +357,15 @@
 
 // startHere runs the front in this process.
 func (f *frontProcess) startHere() error {
-	set, err := conf.ReadFront(f.file)
+	set, err := config.ReadFront(f.file)
 	if err != nil {
 		return err
 	}
-	claim, err := serve.NewClaim(set.State)
+	claim, err := frontend.LockFolder(set.StateFolder)
 	if err != nil {
 		return err
 	}
-	front, err := serve.Listen(set, claim.Epoch, zerolog.Nop())
+	front, err := frontend.Listen(set, claim.Epoch, zerolog.Nop())
 	if err != nil {
 		claim.Release()
 		return err
@@ -428,33 +428,33 @@
 }
 
 // arrivals draws the day's viewers, the same for the same seed wherever the day is played.
-func (d *Day) arrivals(fronts int) iter.Seq[arrival] {
+func (d *Scenario) arrivals(fronts int) iter.Seq[arrival] {
 	return func(yield func(arrival) bool) {
 		rnd, leans := rand.New(rand.NewPCG(d.Seed, 3)), rand.New(rand.NewPCG(d.Seed, 5)) // apart, so that a day's draws stay
 		weights := make([]float64, len(d.Service.Titles))
 		sum := 0.0
 		for i := range weights {
-			weights[i] = 1 / math.Pow(float64(i+1), d.Zipf)
+			weights[i] = 1 / math.Pow(float64(i+1), d.ZipfExponent)
 			sum += weights[i]
 		}
-		for n, at := 0, 0.0; d.Rate > 0; n++ {
-			if at += rnd.ExpFloat64() / d.Rate; at >= d.Seconds {
+		for n, at := 0, 0.0; d.ViewersPerSecond > 0; n++ {
+			if at += rnd.ExpFloat64() / d.ViewersPerSecond; at >= d.Seconds {
 				return
 			}
-			v := &Viewer{Name: fmt.Sprintf("v%d", n), Tries: d.Tries, Pause: time.Duration(d.PauseMs) * time.Millisecond,
-				Honours: rnd.Float64() < d.Honours, Top: len(d.Service.RatesKB) - 1, Chance: rand.New(rand.NewPCG(d.Seed, uint64(n)+10))}
+			v := &Viewer{Name: fmt.Sprintf("v%d", n), MaxRetries: d.MaxRetries, Pause: time.Duration(d.PauseMs) * time.Millisecond,
+				HeedsRetryAfter: rnd.Float64() < d.RetryAfterShare, MaxRung: len(d.Service.RatesKB) - 1, Rand: rand.New(rand.NewPCG(d.Seed, uint64(n)+10))}
 			_, part := math.Modf(float64(n) * math.Phi) // spread evenly, and apart from the day's draws
-			v.Socket = part < d.Sockets
+			v.Socket = part < d.SocketShare
 			pick := rnd.Float64()
 			for _, p := range d.Products {
 				v.Product = &d.Service.Products[p.Number]
-				v.Watch = time.Duration((p.Watch[0] + rnd.Float64()*(p.Watch[1]-p.Watch[0])) * float64(time.Second))
+				v.WatchTime = time.Duration((p.Watch[0] + rnd.Float64()*(p.Watch[1]-p.Watch[0])) * float64(time.Second))
 				if pick -= p.Share; pick < 0 {
 					break
 				}
 			}
-			if rnd.Float64() < d.Small {
-				v.Top = max(v.Product.Floor, v.Top-1-rnd.IntN(2))
+			if rnd.Float64() < d.SmallScreenShare {
+				v.MaxRung = max(v.Product.MinRung, v.MaxRung-1-rnd.IntN(2))
 			}
 			x := rnd.Float64() * sum
 			for i, w := range weights {
@@ -484,7 +484,7 @@
 }
 
 // crowded is the title that a viewer wants while crowds come for some.
-func (d *Day) crowded(a arrival, crowd map[string]float64) string {
+func (d *Scenario) crowded(a arrival, crowd map[string]float64) string {
 	for _, t := range d.Service.Titles {
 		if a.drawn < crowd[t.Name] {
 			return t.Name
@@ -494,8 +494,8 @@
 }
 
 // arrive lets viewers come until the day is over; they don't wait for each other.
-func (r *Rehearsal) arrive(ctx context.Context, start time.Time, players *Players, fronts []Reached) {
-	d := r.Day
+func (r *Rehearsal) arrive(ctx context.Context, start time.Time, players *ViewerClients, fronts []FrontAddress) {
+	d := r.Scenario
 	until := func(at float64) bool {
 		select {
 		case <-time.After(time.Until(start.Add(time.Duration(at * float64(time.Second))))):
@@ -540,8 +540,8 @@
 	if !wait(ctx, f.At-time.Since(start).Seconds()) {
 		return
 	}
-	r.Say("%5.1f s  %s", time.Since(start).Seconds(), f)
-	r.tape.Add(tape.Line{What: tape.Fault, Note: f.String()})
+	r.Logf("%5.1f s  %s", time.Since(start).Seconds(), f)
+	r.tape.Add(trace.Event{Kind: trace.Fault, Note: f.String()})
 	var all sync.WaitGroup
 	defer all.Wait()
 	each := func(do func(n *Node)) {
@@ -558,18 +558,18 @@
 	set := func(at func(n *Node) *float64, usual float64) {
 		each(func(n *Node) {
 			r.change(func() { *at(n) = f.Amount })
-			if f.For > 0 && wait(ctx, f.For) {
+			if f.Duration > 0 && wait(ctx, f.Duration) {
 				r.change(func() { *at(n) = usual })
 			}
 		})
 	}
-	switch f.Do {
+	switch f.Action {
 	case "drain":
 		each(func(n *Node) { r.drain(ctx, n, f) })
 	case "crash":
 		each(func(n *Node) {
-			n.crash(tape.Crash)
-			if f.For > 0 && wait(ctx, f.For) {
+			n.crash(trace.Crash)
+			if f.Duration > 0 && wait(ctx, f.Duration) {
 				r.back(n)
 			}
 		})
@@ -577,15 +577,15 @@
 		each(func(n *Node) {
 			line := n.line
 			line.Phase = "gone"
-			r.list.Set(line)
-			if f.For > 0 && wait(ctx, f.For) {
-				r.list.Set(n.line)
+			r.list.UpdateNodes(line)
+			if f.Duration > 0 && wait(ctx, f.Duration) {
+				r.list.UpdateNodes(n.line)
 			}
 		})
 	case "silence":
 		each(func(n *Node) {
 			end := n.hush()
-			wait(ctx, f.For)
+			wait(ctx, f.Duration)
 			end()
 		})
 	case "slow":
@@ -598,7 +598,7 @@
 		set(func(n *Node) *float64 { return &n.taken }, 0)
 	case "uplink": // each process of nodes has a rack of its own
 		r.change(func() { r.fleet.racks[f.Rack].divided = max(0.001, f.Amount) })
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.change(func() { r.fleet.racks[f.Rack].divided = 1 })
 		}
 	case "list-down":
@@ -606,25 +606,25 @@
 			return
 		}
 		r.registry.Stop()
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			if err := r.registry.Start(r.registry.addr); err != nil {
-				r.Say("list service: %v", err)
+				r.Logf("list service: %v", err)
 			}
 		}
 	case "list-late":
 		if r.registry == nil {
 			return
 		}
-		usual := time.Duration(r.Day.ListLateMs) * time.Millisecond
-		r.registry.Late(usual + time.Duration(f.Amount*float64(time.Second)))
-		if f.For > 0 && wait(ctx, f.For) {
-			r.registry.Late(usual)
+		usual := time.Duration(r.Scenario.ListLateMs) * time.Millisecond
+		r.registry.SetDelay(usual + time.Duration(f.Amount*float64(time.Second)))
+		if f.Duration > 0 && wait(ctx, f.Duration) {
+			r.registry.SetDelay(usual)
 		}
 	case "crowd":
 		r.mu.Lock()
 		r.crowd[f.Title] = f.Amount
 		r.mu.Unlock()
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.mu.Lock()
 			delete(r.crowd, f.Title)
 			r.mu.Unlock()
@@ -633,30 +633,30 @@
 		r.mu.Lock()
 		r.lean = lean{f.Front, f.Amount}
 		r.mu.Unlock()
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.mu.Lock()
 			r.lean = lean{}
 			r.mu.Unlock()
 		}
 	case "reports-late":
 		r.change(func() { r.fleet.late = f.Amount })
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.change(func() { r.fleet.late = 0 })
 		}
 	case "zone-cut":
 		r.change(func() { r.fleet.cut(f.Zone) })
-		if f.For > 0 && wait(ctx, f.For) {
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			r.change(func() { r.fleet.cut(-1) })
 		}
 	case "ageing":
 		each(func(n *Node) {
-			for age := 0.0; age < f.For; age++ {
+			for age := 0.0; age < f.Duration; age++ {
 				r.change(func() { n.slow, n.taken = aged(f, age) })
 				if !wait(ctx, 1) {
 					return
 				}
 			}
-			n.crash(tape.Crash)
+			n.crash(trace.Crash)
 			r.change(func() { n.slow, n.taken = 1, 0 })
 			if wait(ctx, agedBack) {
 				r.back(n)
@@ -668,28 +668,28 @@
 		}
 		p := r.fronts[f.Front]
 		p.kill()
-		r.tape.Add(tape.Line{What: tape.Killed, Front: p.name})
-		if f.For > 0 && wait(ctx, f.For) {
+		r.tape.Add(trace.Event{Kind: trace.FrontKilled, Front: p.name})
+		if f.Duration > 0 && wait(ctx, f.Duration) {
 			if err := r.startFront(p); err != nil {
-				r.Say("%v", err)
+				r.Logf("%v", err)
 				return
 			}
 			if err := p.awaitReady(ctx, 20*time.Second); err != nil {
-				r.Say("%v", err)
+				r.Logf("%v", err)
 				return
 			}
-			r.tape.Add(tape.Line{What: tape.Up, Front: p.name})
+			r.tape.Add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
 		}
 	case "front-stall":
 		if len(r.fronts) == 0 {
 			return
 		}
 		p := r.fronts[f.Front]
-		r.tape.Add(tape.Line{What: tape.Stopped, Front: p.name})
+		r.tape.Add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
 		p.signal(syscall.SIGSTOP)
-		wait(ctx, f.For)
+		wait(ctx, f.Duration)
 		p.signal(syscall.SIGCONT)
-		r.tape.Add(tape.Line{What: tape.Goes, Front: p.name})
+		r.tape.Add(trace.Event{Kind: trace.Continued, Front: p.name})
 	}
 }
 
@@ -700,7 +700,7 @@
 
 // aged is how a node is after some seconds of ageing: slower, and with less of its link.
 func aged(f Fault, age float64) (slow, taken float64) {
-	part := age / f.For
+	part := age / f.Duration
 	return 1 + (f.Amount-1)*part, agedLink * part
 }
 
@@ -716,14 +716,14 @@
 	line := n.line
 	line.Phase = "draining"
 	r.change(func() { n.draining = true })
-	r.list.Set(line)
+	r.list.UpdateNodes(line)
 	if !wait(ctx, f.Amount) {
 		return
 	}
-	n.crash(tape.Crash)
+	n.crash(trace.Crash)
 	line.Phase = "gone"
-	r.list.Set(line)
-	if f.For <= 0 || !wait(ctx, f.For) {
+	r.list.UpdateNodes(line)
+	if f.Duration <= 0 || !wait(ctx, f.Duration) {
 		return
 	}
 	r.mu.Lock()
@@ -733,19 +733,19 @@
 	if err == nil {
 		r.back(m)
 	} else {
-		r.Say("%v", err)
+		r.Logf("%v", err)
 	}
 }
 
 // back starts a node cold and tells the list service.
 func (r *Rehearsal) back(n *Node) {
 	if err := n.start(true); err != nil {
-		r.Say("%v", err)
+		r.Logf("%v", err)
 		return
 	}
 	r.fleet.mu.Lock()
 	n.line.StartedMs = time.Now().UnixMilli()
 	line := n.line
 	r.fleet.mu.Unlock()
-	r.list.Set(line)
+	r.list.UpdateNodes(line)
 }
--- a/lab/rig_test.go
+++ b/testbed/rig_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"bytes"
@@ -17,11 +17,11 @@
 
 	"github.com/rs/zerolog"
 
-	"gullrail/conf"
+	"gullrail/config"
 	"gullrail/dash"
-	"gullrail/lab/tape"
+	"gullrail/frontend"
 	"gullrail/nodes"
-	"gullrail/serve"
+	"gullrail/testbed/trace"
 	"gullrail/token"
 )
 
@@ -40,15 +40,15 @@
 // rig is one front in this process with what it needs round it, on loopback.
 type rig struct {
 	t        *testing.T
-	set      *conf.Service
-	tape     *tape.Tape
+	set      *config.Service
+	tape     *trace.Recorder
 	fleet    *Fleet
-	registry *Registry
+	registry *ListService
 	minter   *token.Minter
 	addr     string
 	scheme   string
-	settings conf.Front
-	front    *serve.Front
+	settings config.Front
+	front    *frontend.Front
 	client   *http.Client
 	nodes    []*Node
 	stop     func()
@@ -63,26 +63,26 @@
 // newRigWith lets a test change the rig before its nodes start.
 func newRigWith(t *testing.T, n int, change func(r *rig), others ...nodes.Line) *rig {
 	t.Helper()
-	r := &rig{t: t, scheme: "http", tape: tape.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
-	doc, v, err := conf.Parse("service", []byte(testService))
+	r := &rig{t: t, scheme: "http", tape: trace.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
+	doc, v, err := config.Parse("service", []byte(testService))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := conf.ReadService(v)
+	set := config.ReadService(v)
 	if doc.Err() != nil {
 		t.Fatal(doc.Err())
 	}
 	r.set = &set
-	keys := []conf.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
-	if r.minter, err = serve.Minter(keys); err != nil {
+	keys := []config.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
+	if r.minter, err = frontend.NewMinter(keys); err != nil {
 		t.Fatal(err)
 	}
 	r.fleet = &Fleet{set: r.set, check: r.minter.Checker, tape: r.tape, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
 		rnd: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*Node{}, racks: []rack{{1e9, 1}, {1e9, 1}}}
-	r.settings = conf.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, Waiting: 64, Sockets: 1000, TokenMs: 60000,
-		EndMs: 3000, Keys: keys, Service: set}
+	r.settings = config.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, MaxWaiting: 64, MaxSockets: 1000, TokenMs: 60000,
+		ShutdownMs: 3000, Keys: keys, Service: set}
 	change(r)
-	r.registry = NewRegistry(r.tape, 0)
+	r.registry = NewListService(r.tape, 0)
 	lines := others
 	for i := range n {
 		addr, err := freePort()
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 	}
-	r.registry.Set(lines...)
+	r.registry.UpdateNodes(lines...)
 	if err := r.registry.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -110,7 +110,7 @@
 			r.stop()
 		}
 		for _, n := range r.nodes {
-			n.crash(tape.Crash)
+			n.crash(trace.Crash)
 			n.wg.Wait()
 		}
 		r.registry.Stop()
@@ -128,7 +128,7 @@
 // begin starts a life of the front.
 func (r *rig) begin() {
 	r.t.Helper()
-	front, err := serve.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
+	front, err := frontend.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -215,10 +215,10 @@
 	return r.getAt(base + dash.RepresentationID(rung) + "/1.m4s")
 }
 
-// count is how many lines of a kind the tape holds for a play, or for all.
+// count is how many events of a kind the trace holds for a play, or for all.
 func (r *rig) count(what, play string) (n int) {
-	for _, l := range r.tape.Lines() {
-		if l.What == what && (play == "" || l.Play == play) {
+	for _, l := range r.tape.Events() {
+		if l.Kind == what && (play == "" || l.Play == play) {
 			n++
 		}
 	}
@@ -232,7 +232,7 @@
 
 // listens tries to begin a life of the front.
 func (r *rig) listens() error {
-	_, err := serve.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
+	_, err := frontend.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
 	return err
 }
 
@@ -249,14 +249,14 @@
 	s := &scripted{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/stream", func(w http.ResponseWriter, r *http.Request) {
-		json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.Hello, Node: name, Life: 1})
+		json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.NoteHello, Node: name, Life: 1})
 		for {
 			http.NewResponseController(w).Flush()
 			select {
 			case <-r.Context().Done():
 				return
 			case <-time.After(500 * time.Millisecond):
-				json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.Beat})
+				json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.NoteHeartbeat})
 			}
 		}
 	})
@@ -272,7 +272,7 @@
 			return
 		}
 		defer c.Close()
-		setUp(c, ask.Try)
+		setUp(c, ask.Attempt)
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
