--- a/lab/sim.go
+++ b/testbed/sim.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"container/heap"
@@ -9,24 +9,24 @@
 	"sort"
 	"time"
 
-	"gullrail/choice"
-	"gullrail/conf"
-	"gullrail/front"
-	"gullrail/intake"
-	"gullrail/lab/audit"
-	"gullrail/lab/tape"
-	"gullrail/ledger"
+	"gullrail/admission"
+	"gullrail/config"
+	"gullrail/decision"
+	"gullrail/liveness"
 	"gullrail/nodes"
-	"gullrail/pulse"
+	"gullrail/placement"
+	"gullrail/playlog"
 	"gullrail/session"
+	"gullrail/testbed/audit"
+	"gullrail/testbed/trace"
 )
 
 // Sim plays a day in simulated time, without sockets: the same cores, gates and modules as the daemon's, over
 // a clock and a transport of its own. It runs on one goroutine, and the same seed gives the same decisions.
 type Sim struct {
-	Day *Day
-	// Module makes a front's chooser; nil makes the project's own.
-	Module func(terms map[string][]float64, seed uint64) front.Chooser
+	Scenario *Scenario
+	// Policy makes a front's policy; nil makes the project's own.
+	Policy func(terms map[string][]float64, seed uint64) decision.Policy
 
 	now      int64
 	seq      uint64
@@ -38,7 +38,7 @@
 	byNumber []*simNode
 	racks    []rack
 	rackAsks []float64
-	lines    []tape.Line
+	lines    []trace.Event
 	ids      int64
 	crowd    map[string]float64
 	lean     lean
@@ -54,7 +54,7 @@
 const (
 	hop       = 3 // one way between a front and a node, 0.3 ms
 	clientHop = 6 // one way between a player and a front or node
-	simTick   = front.Second / 4
+	simTick   = decision.Second / 4
 )
 
 type simEvent struct {
@@ -83,9 +83,9 @@
 	heap.Push(&s.due, simEvent{s.now + max(0, ticks), s.seq, do})
 }
 
-func (s *Sim) seconds(sec float64, do func()) { s.after(int64(sec*float64(front.Second)), do) }
+func (s *Sim) seconds(sec float64, do func()) { s.after(int64(sec*float64(decision.Second)), do) }
 
-func (s *Sim) add(l tape.Line) {
+func (s *Sim) add(l trace.Event) {
 	l.T = (s.now - session.ClockStart) * 100
 	s.lines = append(s.lines, l)
 }
@@ -120,7 +120,7 @@
 	front   int
 	epoch   int64
 	node    *simNode
-	product *conf.Product
+	product *config.Product
 	rate    float64
 	playing bool
 	used    int64
@@ -131,8 +131,8 @@
 	if n.coldAt == 0 {
 		return 1
 	}
-	set := &n.sim.Day.Service
-	return min(1, set.ColdShare+(1-set.ColdShare)*float64(n.sim.now-n.coldAt)/10/set.ColdLastsMs)
+	set := &n.sim.Scenario.Service
+	return min(1, set.ColdShare+(1-set.ColdShare)*float64(n.sim.now-n.coldAt)/10/set.ColdDurationMs)
 }
 
 func (n *simNode) rack() int { return n.cell % len(n.sim.racks) }
@@ -149,17 +149,17 @@
 
 // reaches tells that a front and a node are on one side of a cut.
 func (f *simFront) reaches(n *simNode) bool {
-	zones := f.sim.Day.Service.Zones
+	zones := f.sim.Scenario.Service.Zones
 	return f.sim.apart == 0 || (f.number%len(zones) == f.sim.apart-1) == (n.line.Zone == zones[f.sim.apart-1])
 }
 
-func (n *simNode) load() front.Load {
+func (n *simNode) load() decision.Load {
 	link, uplink := n.loads()
 	if k := len(n.shares) - 1 - int(n.sim.late); n.sim.late > 0 && len(n.shares) > 0 {
 		link, uplink = n.shares[max(0, k)].link, n.shares[max(0, k)].uplink
 	}
-	l := front.Load{Streams: float64(len(n.held)), Link: link, Uplink: -1}
-	if n.sim.Day.Service.Uplinks {
+	l := decision.Load{Streams: float64(len(n.held)), Link: link, Uplink: -1}
+	if n.sim.Scenario.Service.ReportUplinks {
 		l.Uplink = uplink
 	}
 	return l
@@ -173,7 +173,7 @@
 func (n *simNode) rerate(p *simPlay, rung int) {
 	p.Rung = rung
 	n.carry(-p.rate)
-	p.rate = n.sim.Day.Service.RatesKB[rung] * p.product.Rate
+	p.rate = n.sim.Scenario.Service.RatesKB[rung] * p.product.RateFactor
 	n.carry(p.rate)
 }
 
@@ -194,7 +194,7 @@
 	if cold {
 		n.coldAt, note = n.sim.now, "cold"
 	}
-	n.sim.add(tape.Line{What: tape.Life, Node: n.line.Name, Note: note})
+	n.sim.add(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
 }
 
 func (n *simNode) crash(what string) {
@@ -202,7 +202,7 @@
 		return
 	}
 	n.up = false
-	n.sim.add(tape.Line{What: what, Node: n.line.Name})
+	n.sim.add(trace.Event{Kind: what, Node: n.line.Name})
 	for _, p := range slices.Clone(n.held) {
 		n.drop(p)
 	}
@@ -212,7 +212,7 @@
 }
 
 func (s *Sim) newNode(name string, cell, i int, given float64) *simNode {
-	set := &s.Day.Service
+	set := &s.Scenario.Service
 	n := &simNode{sim: s, cell: cell, given: given, slow: 1, life: 1, line: nodes.Line{Name: name, Address: name + ":1", Phase: "ready",
 		Kind: set.Kinds[i%len(set.Kinds)].Name, Zone: set.Zones[i%len(set.Zones)], Cell: cell, Weight: 1}}
 	s.nodes[n.line.Address] = n
@@ -222,41 +222,41 @@
 
 // refusal is as a stand-in node's on sockets.
 func (n *simNode) refusal(a *session.Allocation) string {
-	set := &n.sim.Day.Service
+	set := &n.sim.Scenario.Service
 	t, ok := set.Lookup(a.Title)
-	streams := set.Kinds[0].Streams
+	streams := set.Kinds[0].MaxStreams
 	for _, k := range set.Kinds {
 		if k.Name == n.line.Kind {
-			streams = k.Streams
+			streams = k.MaxStreams
 		}
 	}
 	link, _ := n.loads()
 	switch {
-	case a.Rung < set.Products[a.Product].Floor:
+	case a.Rung < set.Products[a.Product].MinRung:
 		return "malformed"
-	case !ok || ((n.cell-t.Home)%set.Cells+set.Cells)%set.Cells >= t.Copies:
+	case !ok || ((n.cell-t.FirstCell)%set.Cells+set.Cells)%set.Cells >= t.CellCount:
 		return "the title is not here"
 	case n.drains:
 		return "draining"
 	case len(n.held) >= streams:
 		return "no stream free"
-	case n.sim.Day.Guard > 0 && link >= n.sim.Day.Guard:
+	case n.sim.Scenario.MaxLinkLoad > 0 && link >= n.sim.Scenario.MaxLinkLoad:
 		return "link full"
 	}
 	return ""
 }
 
 func (n *simNode) pushed() bool {
-	set := &n.sim.Day.Service
+	set := &n.sim.Scenario.Service
 	age := float64(n.sim.now-n.coldAt) / 10
-	if n.coldAt == 0 || age > set.ColdLastsMs {
+	if n.coldAt == 0 || age > set.ColdDurationMs {
 		return false
 	}
 	n.setUps = append(n.setUps, n.sim.now)
-	for float64(n.sim.now-n.setUps[0])/10 > set.FallOverMs {
+	for float64(n.sim.now-n.setUps[0])/10 > set.OverloadWindowMs {
 		n.setUps = n.setUps[1:]
 	}
-	return float64(len(n.setUps)) > audit.Allowance(set, set.Kinds[0].Streams, age)+2
+	return float64(len(n.setUps)) > audit.Allowance(set, set.Kinds[0].MaxStreams, age)+2
 }
 
 // tick ends idle and abandoned plays, and once a second tells shares.
@@ -265,20 +265,20 @@
 		return
 	}
 	s := n.sim
-	idle := int64(s.Day.IdleMs) * front.Ms
+	idle := int64(s.Scenario.IdleMs) * decision.Millisecond
 	for _, p := range slices.Clone(n.held) {
 		heard, ok := n.heard[p.front]
 		if !ok {
 			heard = p.began
 		}
-		if !p.playing || s.now-p.used <= idle && s.now-heard <= pulse.Lease {
+		if !p.playing || s.now-p.used <= idle && s.now-heard <= liveness.Lease {
 			continue
 		}
 		n.drop(p)
-		s.add(tape.Line{What: tape.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Try: p.Try})
+		s.add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Attempt: p.Attempt})
 		f, ref := s.fronts[p.front], p.Ref
 		if n.hushed == 0 && f.reaches(n) {
-			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), front.Served) })
+			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), decision.Served) })
 		}
 	}
 	if beat%4 != 0 {
@@ -286,11 +286,11 @@
 	}
 	link, uplink := n.loads()
 	n.shares = append(n.shares, shareAt{share: n.share(), link: link, uplink: uplink})
-	s.add(tape.Line{What: tape.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	s.add(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
 	if len(n.shares) > 64 {
 		n.shares = n.shares[1:]
 	}
-	lag := int(math.Round(s.Day.Service.NoteLagMs/1000 + s.late))
+	lag := int(math.Round(s.Scenario.Service.ReportDelayMs/1000 + s.late))
 	if n.hushed > 0 || len(n.shares) <= lag+1 {
 		return
 	}
@@ -308,10 +308,10 @@
 			continue
 		}
 		if share < 0.98 || before < 0.98 {
-			f.call(hop, func(now int64, c *session.Core) { c.Share(now, f.ref(ref, n), share) })
+			f.call(hop, func(now int64, c *session.Core) { c.DeliveryReported(now, f.ref(ref, n), share) })
 		}
-		if s.Day.Service.Reports == "answers" && beat%12 == 0 {
-			f.call(hop, func(now int64, c *session.Core) { c.Load(now, f.ref(ref, n), load) })
+		if s.Scenario.Service.ReportMode == "answers" && beat%12 == 0 {
+			f.call(hop, func(now int64, c *session.Core) { c.LoadReported(now, f.ref(ref, n), load) })
 		}
 	}
 }
@@ -323,7 +323,7 @@
 	number  int
 	name    string
 	core    *session.Core
-	gate    *intake.Gate
+	gate    *admission.Queue
 	life    int
 	up      bool
 	stopped bool
@@ -349,16 +349,16 @@
 	f.up, f.wakeDue, f.listed = true, 0, 0
 	f.streams, f.numbers, f.pending = map[int]*simNode{}, map[*simNode]int{}, map[session.Ref]*pending{}
 	f.asks, f.held = map[*session.Reply]int64{}, nil
-	seed := s.Day.Seed + uint64(f.number)*1_000_003
-	set := &s.Day.Service
-	terms := set.Terms(f.number, set.Zones[f.number%len(set.Zones)])
-	var module front.Chooser
-	if s.Module != nil {
-		module = s.Module(terms, seed)
+	seed := s.Scenario.Seed + uint64(f.number)*1_000_003
+	set := &s.Scenario.Service
+	terms := set.PolicySettings(f.number, set.Zones[f.number%len(set.Zones)])
+	var module decision.Policy
+	if s.Policy != nil {
+		module = s.Policy(terms, seed)
 	} else {
-		module = choice.New(terms, seed)
+		module = placement.New(terms, seed)
 	}
-	f.gate = intake.New(256, seed)
+	f.gate = admission.New(256, seed)
 	f.core = session.NewCore(s.now, f.name, int64(f.life), module, f, set, seed)
 	f.beat(f.life)
 	f.hear(f.life)
@@ -395,9 +395,9 @@
 		if a == nil {
 			break
 		}
-		ask := a.Value.(session.Ask)
-		ask.Limit = intake.Limit(s.now, a.Limit)
-		f.core.Ask(s.now, ask)
+		ask := a.Value.(session.Request)
+		ask.Deadline = admission.Deadline(s.now, a.Deadline)
+		f.core.RequestPlay(s.now, ask)
 	}
 	if at := f.core.WakeAt(); f.wakeDue == 0 || at < f.wakeDue {
 		f.wakeDue = at
@@ -412,13 +412,13 @@
 	}
 }
 
-func (f *simFront) turnAway(t *intake.Turned) {
-	t.Ask.Value.(session.Ask).Reply.Give(session.Answer{Verdict: session.Declined, Why: t.Why.String(), ComeBack: t.ComeBack})
+func (f *simFront) turnAway(t *admission.Rejection) {
+	t.Request.Value.(session.Request).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: t.Reason.String(), RetryAfter: t.RetryAfter})
 }
 
 // beat is once a second: the beats of all streams that live, both ways.
 func (f *simFront) beat(life int) {
-	f.sim.after(pulse.Beat, func() {
+	f.sim.after(liveness.HeartbeatInterval, func() {
 		if !f.up || f.life != life {
 			return
 		}
@@ -430,10 +430,10 @@
 			sort.Ints(at)
 			for _, k := range at {
 				if n := f.streams[k]; n.up && n.hushed == 0 && f.reaches(n) {
-					f.core.Heard(f.sim.now, k)
+					f.core.StreamActive(f.sim.now, k)
 				}
 			}
-			f.gate.Beat(f.sim.now)
+			f.gate.Heartbeat(f.sim.now)
 		}
 		for _, n := range f.streams {
 			if !f.reaches(n) {
@@ -458,7 +458,7 @@
 	p := &pending{a: a, node: s.nodes[a.Address]}
 	f.numbers[p.node] = a.Node
 	f.pending[a.Ref] = p
-	s.after(a.Until-s.now, func() { f.settle(a.Ref, p, front.NoAnswer, 0) })
+	s.after(a.Until-s.now, func() { f.settle(a.Ref, p, decision.NoAnswer, 0) })
 	s.after(2*hop, func() { f.arrive(p) })
 }
 
@@ -469,33 +469,33 @@
 		return
 	}
 	if !n.up {
-		f.settle(a.Ref, p, front.NoConnect, hop)
+		f.settle(a.Ref, p, decision.NoConnect, hop)
 		return
 	}
 	if !f.reaches(n) {
-		f.settle(a.Ref, p, front.Lost, hop) // as on sockets: the connection breaks
+		f.settle(a.Ref, p, decision.ConnectionLost, hop) // as on sockets: the connection breaks
 		return
 	}
 	p.sent = true
-	line := tape.Line{What: tape.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Try: a.Try,
-		Product: s.Day.Service.Products[a.Product].Name, Title: a.Title, Viewer: a.Viewer, Rung: a.Rung}
+	line := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Attempt: a.Attempt,
+		Product: s.Scenario.Service.Products[a.Product].Name, Title: a.Title, Viewer: a.Viewer, Rung: a.Rung}
 	s.add(line)
-	ends := func(what, why string) { line.What, line.Note = what, why; s.add(line) }
+	ends := func(what, why string) { line.Kind, line.Note = what, why; s.add(line) }
 	refusal := n.refusal(&a)
 	if n.pushed() {
-		n.crash(tape.Fell)
+		n.crash(trace.Overloaded)
 		return
 	}
 	if refusal != "" {
 		if n.hushed == 0 {
-			ends(tape.Refused, refusal)
-			f.settle(a.Ref, p, front.TurnedAway, hop)
+			ends(trace.Refused, refusal)
+			f.settle(a.Ref, p, decision.Rejected, hop)
 		}
 		return
 	}
-	wait := int64((s.Day.SetUpMs[0] + s.rnd.Float64()*(s.Day.SetUpMs[1]-s.Day.SetUpMs[0])) * n.slow * 10)
+	wait := int64((s.Scenario.SetUpMs[0] + s.rnd.Float64()*(s.Scenario.SetUpMs[1]-s.Scenario.SetUpMs[0])) * n.slow * 10)
 	fails, vanishes := s.rnd.Float64() < n.fails, s.rnd.Float64() < n.vanish
-	product := &s.Day.Service.Products[a.Product]
+	product := &s.Scenario.Service.Products[a.Product]
 	play := &simPlay{Allocation: a, front: f.number, epoch: int64(f.life), node: n, product: product}
 	p.play = play
 	n.plays[a.Play] = play
@@ -507,50 +507,50 @@
 		case n.hushed > 0: // it says nothing, and will have been given up
 		case fails:
 			n.drop(play)
-			ends(tape.Errored, "")
-			f.settle(a.Ref, p, front.Errored, hop)
+			ends(trace.Errored, "")
+			f.settle(a.Ref, p, decision.Errored, hop)
 		default:
 			n.mark++
 			play.playing, play.used, play.began = true, s.now, s.now
 			if vanishes {
 				return
 			}
-			ends(tape.Started, "")
-			f.settle(a.Ref, p, front.Served, hop)
+			ends(trace.Started, "")
+			f.settle(a.Ref, p, decision.Served, hop)
 		}
 	})
 }
 
 // settle ends a set-up at the front, once.
-func (f *simFront) settle(r session.Ref, p *pending, how front.Ending, after int64) {
+func (f *simFront) settle(r session.Ref, p *pending, how decision.Outcome, after int64) {
 	if f.pending[r] != p {
 		return
 	}
 	delete(f.pending, r)
 	n := p.node
-	load := front.Untold
-	if f.sim.Day.Service.Reports == "answers" && (how == front.Served || how == front.TurnedAway) {
+	load := decision.UnknownLoad
+	if f.sim.Scenario.Service.ReportMode == "answers" && (how == decision.Served || how == decision.Rejected) {
 		load = n.load()
 	}
-	if how == front.Served {
+	if how == decision.Served {
 		life, mark, rung := n.life, n.mark, p.play.Rung
 		f.call(after, func(now int64, c *session.Core) { c.Started(now, r, life, mark, rung, load) })
 		return
 	}
-	if p.sent && p.play != nil && (how == front.NoAnswer || how == front.CalledOff) {
+	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.Canceled) {
 		n.drop(p.play)
-		f.sim.add(tape.Line{What: tape.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
-	} else if p.sent && how == front.NoAnswer { // refused by a node that says nothing
-		f.sim.add(tape.Line{What: tape.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+		f.sim.add(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
+	} else if p.sent && how == decision.NoAnswer { // refused by a node that says nothing
+		f.sim.add(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
 	}
 	f.call(after, func(now int64, c *session.Core) { c.SetUpEnded(now, r, how, load) })
 }
 
-func (f *simFront) Recall(r session.Ref) {
+func (f *simFront) Cancel(r session.Ref) {
 	if p := f.pending[r]; p != nil {
-		how := front.CalledOff
+		how := decision.Canceled
 		if !p.sent {
-			how = front.NotSent
+			how = decision.NotSent
 		}
 		f.settle(r, p, how, 1)
 	}
@@ -565,7 +565,7 @@
 		switch {
 		case !n.up || n.life != life:
 		case n.hushed > 0 || !f.reaches(n):
-			f.sim.after(front.Second, try)
+			f.sim.after(decision.Second, try)
 		default:
 			do(n)
 		}
@@ -575,10 +575,10 @@
 
 func (f *simFront) SetRung(r session.Ref, address string, rung, seq int) {
 	f.later(address, func(n *simNode) {
-		if p := n.plays[r.Play]; p != nil && p.Try == r.Try && seq > p.Seq {
+		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt && seq > p.Seq {
 			p.Seq = seq
 			n.rerate(p, rung)
-			f.sim.add(tape.Line{What: tape.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Product: p.product.Name, Rung: rung})
+			f.sim.add(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Product: p.product.Name, Rung: rung})
 		}
 	})
 }
@@ -587,11 +587,11 @@
 	n := f.sim.nodes[address]
 	f.sim.after(hop, func() {
 		if n.up && f.reaches(n) {
-			f.sim.add(tape.Line{What: tape.End, Node: n.line.Name, Front: f.name, Play: r.Play, Try: r.Try, Note: why})
+			f.sim.add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Note: why})
 		}
 	})
 	f.later(address, func(n *simNode) {
-		if p := n.plays[r.Play]; p != nil && p.Try == r.Try {
+		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt {
 			n.drop(p)
 		}
 	})
@@ -601,22 +601,22 @@
 	n := f.sim.nodes[address]
 	life := f.life
 	f.sim.after(hop, func() {
-		how, load, after := front.Served, front.Untold, int64(hop)
+		how, load, after := decision.Served, decision.UnknownLoad, int64(hop)
 		switch {
 		case !n.up || !f.reaches(n):
-			how = front.NoConnect
+			how = decision.NoConnect
 		case n.hushed > 0:
-			how, after = front.NoAnswer, pulse.ProbeFor
+			how, after = decision.NoAnswer, liveness.ProbeTimeout
 		default:
 			load = n.load()
 		}
 		if f.life == life {
-			f.call(after, func(now int64, c *session.Core) { c.Probed(now, node, how, load) })
+			f.call(after, func(now int64, c *session.Core) { c.ProbeEnded(now, node, how, load) })
 		}
 	})
 }
 
-func (f *simFront) Dial(node int, address string, at int64) {
+func (f *simFront) OpenStream(node int, address string, at int64) {
 	s, n, life := f.sim, f.sim.nodes[address], f.life
 	f.numbers[n] = node
 	delete(f.streams, node)
@@ -628,35 +628,35 @@
 		case !f.reaches(n):
 			f.call(hop, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 		case n.hushed > 0:
-			f.call(pulse.CallFor, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
+			f.call(liveness.CallTimeout, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 		default:
 			f.streams[node] = n
 			n.heard[f.number] = s.now
 			var runs []session.Running
 			for _, p := range n.held {
 				if p.front == f.number && p.playing {
-					home, copies, _ := s.Day.Service.Title(p.Title)
-					runs = append(runs, session.Running{Play: p.Play, Epoch: p.epoch, Try: p.Try, Product: p.Product, Title: p.Title,
-						Home: home, Copies: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, Top: p.Top})
+					home, copies, _ := s.Scenario.Service.Title(p.Title)
+					runs = append(runs, session.Running{Play: p.Play, Epoch: p.epoch, Attempt: p.Attempt, Product: p.Product, Title: p.Title,
+						FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung})
 				}
 			}
 			nodeLife, mark := n.life, n.mark
-			f.call(hop, func(now int64, c *session.Core) { c.Hello(now, node, "", nodeLife, mark, runs) })
+			f.call(hop, func(now int64, c *session.Core) { c.StreamOpened(now, node, "", nodeLife, mark, runs) })
 		}
 	})
 }
 
-func (f *simFront) Hangup(node int) {
+func (f *simFront) CloseStream(node int) {
 	if f.streams[node] != nil {
 		delete(f.streams, node)
 		f.call(1, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 	}
 }
 
-// Finished is for records on disk, which a simulated front does not keep.
-func (f *simFront) Finished(string, int, ledger.How) {}
-func (f *simFront) Begun(session.Ref, int, string)   {}
-func (f *simFront) Settled()                         {}
+// PlayFinished is for records on disk, which a simulated front does not keep.
+func (f *simFront) PlayFinished(string, int, playlog.EndReason) {}
+func (f *simFront) PlayStarted(session.Ref, int, string)        {}
+func (f *simFront) RecoveryDone()                               {}
 
 // nodeDied cuts what the front has to do with a node whose process ended.
 func (f *simFront) nodeDied(n *simNode) {
@@ -668,7 +668,7 @@
 	}
 	sort.Slice(refs, func(i, j int) bool { return refs[i].Play < refs[j].Play })
 	for _, r := range refs {
-		f.settle(r, f.pending[r], front.Lost, hop)
+		f.settle(r, f.pending[r], decision.ConnectionLost, hop)
 	}
 	if k, ok := f.numbers[n]; ok && f.streams[k] == n {
 		delete(f.streams, k)
@@ -679,7 +679,7 @@
 func (f *simFront) kill() {
 	f.up = false
 	f.life++
-	f.sim.add(tape.Line{What: tape.Killed, Front: f.name})
+	f.sim.add(trace.Event{Kind: trace.FrontKilled, Front: f.name})
 	refs := make([]session.Ref, 0, len(f.pending))
 	for r := range f.pending {
 		refs = append(refs, r)
@@ -688,7 +688,7 @@
 	for _, r := range refs { // nodes see their connections closed
 		if p := f.pending[r]; p.play != nil && !p.play.playing {
 			p.node.drop(p.play)
-			f.sim.add(tape.Line{What: tape.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Try: r.Try})
+			f.sim.add(trace.Event{Kind: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
 		}
 	}
 	replies := make([]*session.Reply, 0, len(f.asks))
@@ -697,7 +697,7 @@
 	}
 	sort.Slice(replies, func(i, j int) bool { return f.asks[replies[i]] < f.asks[replies[j]] })
 	for _, r := range replies { // and so do those who wait
-		r.Give(session.Answer{Verdict: cut})
+		r.Resolve(session.Answer{Verdict: cut})
 	}
 }
 
@@ -733,7 +733,7 @@
 	if !f.up || f.life != life {
 		return
 	}
-	s.after(front.Second/5, func() { f.hear(life) })
+	s.after(decision.Second/5, func() { f.hear(life) })
 	if s.list.down || f.stopped {
 		return
 	}
@@ -753,27 +753,27 @@
 		}
 	}
 	f.listed = due
-	var listed []session.Listed
+	var listed []session.NodeEntry
 	for _, l := range lines {
 		if whole && l.Phase == "gone" {
 			continue
 		}
-		s.add(tape.Line{What: tape.Told, Front: f.name, Node: l.Name, Note: l.Phase})
-		phase := map[string]front.Phase{"ready": front.Ready, "draining": front.Draining, "gone": front.Gone}[l.Phase]
-		e := session.Listed{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, Started: l.StartedMs}
-		for i, k := range s.Day.Service.Kinds {
+		s.add(trace.Event{Kind: trace.ListSent, Front: f.name, Node: l.Name, Note: l.Phase})
+		phase := map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[l.Phase]
+		e := session.NodeEntry{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, StartedAt: l.StartedMs}
+		for i, k := range s.Scenario.Service.Kinds {
 			if k.Name == l.Kind {
 				e.Kind = i
 			}
 		}
-		for i, z := range s.Day.Service.Zones {
+		for i, z := range s.Scenario.Service.Zones {
 			if z == l.Zone {
 				e.Zone = i
 			}
 		}
 		listed = append(listed, e)
 	}
-	f.call(hop, func(now int64, c *session.Core) { c.List(now, listed, whole) })
+	f.call(hop, func(now int64, c *session.Core) { c.UpdateList(now, listed, whole) })
 }
 
 // ---- Viewers ----
@@ -801,59 +801,59 @@
 	f := s.fronts[v.front%len(s.fronts)]
 	s.ids++
 	id := s.ids
-	line := tape.Line{What: tape.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
-		LimitMs: int64(v.Product.LimitMs), Play: v.before, First: v.first}
+	line := trace.Event{Kind: trace.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+		LimitMs: int64(v.Product.DeadlineMs), Play: v.before, First: v.first}
 	if v.broken {
 		line.Note = "broken"
 	}
 	if v.first {
-		line.WatchMs, line.Rung = v.Watch.Milliseconds(), v.Top
+		line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 	}
 	v.first = false
 	s.add(line)
-	limit := s.now + int64(v.Product.LimitMs)*front.Ms
+	limit := s.now + int64(v.Product.DeadlineMs)*decision.Millisecond
 	if !f.up {
-		s.after(clientHop, func() { s.add(tape.Line{What: tape.Answer, ID: id, Note: "connection refused"}); v.again(0) })
+		s.after(clientHop, func() { s.add(trace.Event{Kind: trace.Answer, ID: id, Note: "connection refused"}); v.again(0) })
 		return
 	}
 	var reply *session.Reply
-	reply = session.NewReplyTo(func(a session.Answer) {
+	reply = session.NewReplyFunc(func(a session.Answer) {
 		delete(f.asks, reply)
 		s.after(clientHop, func() { v.answered(id, a) })
 	})
 	f.asks[reply] = id
-	home, copies, _ := s.Day.Service.Title(v.Title)
-	number, _ := s.Day.Service.ProductNumber(v.Product.Name)
-	a := session.Ask{Product: number, Title: v.Title, Home: home, Copies: copies, Viewer: v.Name, Limit: limit, Top: v.Top,
+	home, copies, _ := s.Scenario.Service.Title(v.Title)
+	number, _ := s.Scenario.Service.ProductNumber(v.Product.Name)
+	a := session.Request{Product: number, Title: v.Title, FirstCell: home, CellCount: copies, Viewer: v.Name, Deadline: limit, MaxRung: v.MaxRung,
 		Length: max(0, v.until-s.now), Reply: reply}
 	if v.before != "" {
-		a.Back = &session.Back{Play: v.before, Broken: v.broken}
+		a.Previous = &session.Previous{Play: v.before, NotDelivered: v.broken}
 	}
 	life := f.life
 	s.after(clientHop, func() {
 		f.run(life, func() {
-			w := &intake.Ask{Importance: v.Product.Importance, Limit: limit, Client: v.Name, Value: a}
+			w := &admission.Request{Importance: v.Product.Importance, Deadline: limit, Client: v.Name, Value: a}
 			verdict, back, gone := f.gate.Offer(s.now, w)
 			if gone != nil {
 				f.turnAway(gone)
 			}
-			if verdict != intake.Waits {
-				f.turnAway(&intake.Turned{Ask: w, Why: verdict, ComeBack: back})
+			if verdict != admission.Queued {
+				f.turnAway(&admission.Rejection{Request: w, Reason: verdict, RetryAfter: back})
 			}
 		})
 	})
 	s.after(limit-s.now, func() { // its time is up, whatever the front does
 		if f.up && f.life == life && reply.Withdraw() {
 			delete(f.asks, reply)
-			f.call(0, func(now int64, c *session.Core) { c.Withdrawn(now, reply) })
-			v.answered(id, session.Answer{Verdict: session.Failed, Late: true})
+			f.call(0, func(now int64, c *session.Core) { c.RequestWithdrawn(now, reply) })
+			v.answered(id, session.Answer{Verdict: session.Failed, TimedOut: true})
 		}
 	})
 }
 
 func (v *simViewer) answered(id int64, a session.Answer) {
 	s := v.sim
-	line := tape.Line{What: tape.Answer, ID: id, Play: a.Play, Note: a.Why}
+	line := trace.Event{Kind: trace.Answer, ID: id, Play: a.Play, Note: a.Reason}
 	switch {
 	case a.Verdict == cut:
 	case a.Verdict == session.Plays:
@@ -869,7 +869,7 @@
 	if line.Status != 200 {
 		v.play, v.before, v.broken = nil, "", false
 		v.front++
-		v.again(a.ComeBack)
+		v.again(a.RetryAfter)
 		return
 	}
 	started := v.play == nil || v.play.Play != a.Play
@@ -882,12 +882,12 @@
 
 // again comes back after a pause, while patience lasts.
 func (v *simViewer) again(advice int64) {
-	if v.tries++; v.tries > v.Tries {
+	if v.tries++; v.tries > v.MaxRetries {
 		return
 	}
-	pause := int64((0.5 + v.Chance.Float64()) * float64(v.Pause/(100*time.Microsecond)))
-	if v.Honours && advice > 0 {
-		pause = int64((1 + v.Chance.Float64()) * float64((advice+front.Second-1)/front.Second*front.Second))
+	pause := int64((0.5 + v.Rand.Float64()) * float64(v.Pause/(100*time.Microsecond)))
+	if v.HeedsRetryAfter && advice > 0 {
+		pause = int64((1 + v.Rand.Float64()) * float64((advice+decision.Second-1)/decision.Second*decision.Second))
 	}
 	v.sim.after(pause, v.ask)
 }
@@ -900,11 +900,11 @@
 	}
 	if s.now >= v.until {
 		f := s.fronts[v.front%len(s.fronts)]
-		f.call(clientHop, func(now int64, c *session.Core) { c.Abandon(now, play) })
+		f.call(clientHop, func(now int64, c *session.Core) { c.EndPlay(now, play) })
 		return
 	}
 	n := s.nodes[v.play.Address]
-	every := int64(s.Day.Service.SegmentMs) * front.Ms
+	every := int64(s.Scenario.Service.SegmentMs) * decision.Millisecond
 	p := n.plays[play]
 	switch {
 	case !n.up || n.hushed > 0:
@@ -928,7 +928,7 @@
 	if share < 0.98 {
 		s.short++
 	}
-	s.add(tape.Line{What: tape.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
+	s.add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
 	if p.Rung != v.rung { // told by the node: its manifest is asked for again
 		v.rung = p.Rung
 		v.ask()
@@ -941,16 +941,16 @@
 // Run plays the day and returns what it came to.
 func (s *Sim) Run() *Outcome {
 	began := time.Now()
-	d := s.Day
+	d := s.Scenario
 	s.now = session.ClockStart
 	s.rnd = rand.New(rand.NewPCG(d.Seed, 2))
 	s.nodes, s.crowd = map[string]*simNode{}, map[string]float64{}
-	s.list.late = int64(d.ListLateMs) * front.Ms
+	s.list.late = int64(d.ListLateMs) * decision.Millisecond
 	about := rand.New(rand.NewPCG(d.Seed, 1))
 	for range 32 { // as the key of a rehearsal on sockets draws
 		about.UintN(256)
 	}
-	spread := func() float64 { return 1 + d.Uneven*(2*about.Float64()-1) }
+	spread := func() float64 { return 1 + d.BandwidthSpread*(2*about.Float64()-1) }
 	s.rackAsks = make([]float64, d.Service.Racks)
 	for range d.Service.Racks {
 		given := d.Service.UplinkKB
@@ -971,7 +971,7 @@
 		f := &simFront{sim: s, number: i, name: fmt.Sprintf("f%d", i)}
 		s.fronts = append(s.fronts, f)
 		f.start()
-		s.add(tape.Line{What: tape.Up, Front: f.name})
+		s.add(trace.Event{Kind: trace.FrontStarted, Front: f.name})
 	}
 	beat := 0
 	var tick func()
@@ -991,12 +991,12 @@
 			s.seconds(a.at, func() {
 				a.v.Title = d.crowded(a, s.crowd)
 				v := &simViewer{Viewer: a.v, sim: s, front: s.lean.first(a), began: s.now, first: true}
-				v.until = s.now + session.Ticks(a.v.Watch)
+				v.until = s.now + session.Ticks(a.v.WatchTime)
 				v.ask()
 			})
 		}
 	})
-	end := s.now + int64((2+d.Seconds+d.tail())*float64(front.Second))
+	end := s.now + int64((2+d.Seconds+d.tail())*float64(decision.Second))
 	for len(s.due) > 0 && s.due[0].at <= end {
 		e := heap.Pop(&s.due).(simEvent)
 		s.now = e.at
@@ -1009,15 +1009,15 @@
 
 // inject is the script's faults, as on sockets.
 func (s *Sim) inject(f Fault) {
-	s.add(tape.Line{What: tape.Fault, Note: f.String()})
+	s.add(trace.Event{Kind: trace.Fault, Note: f.String()})
 	each := func(do func(n *simNode)) {
 		for _, i := range f.Nodes {
 			do(s.byNumber[i])
 		}
 	}
 	lasts := func(undo func()) {
-		if f.For > 0 {
-			s.seconds(f.For, undo)
+		if f.Duration > 0 {
+			s.seconds(f.Duration, undo)
 		}
 	}
 	set := func(at func(n *simNode) *float64, usual float64) {
@@ -1032,7 +1032,7 @@
 		n.line.Phase = "ready"
 		s.announce(n.line)
 	}
-	switch f.Do {
+	switch f.Action {
 	case "drain":
 		each(func(n *simNode) {
 			n.drains = true
@@ -1040,7 +1040,7 @@
 			line.Phase = "draining"
 			s.announce(line)
 			s.seconds(f.Amount, func() {
-				n.crash(tape.Crash)
+				n.crash(trace.Crash)
 				line.Phase = "gone"
 				s.announce(line)
 				lasts(func() {
@@ -1051,7 +1051,7 @@
 		})
 	case "crash":
 		each(func(n *simNode) {
-			n.crash(tape.Crash)
+			n.crash(trace.Crash)
 			lasts(func() { back(n) })
 		})
 	case "list-wrong":
@@ -1082,7 +1082,7 @@
 		lasts(func() { s.list.down = false })
 	case "list-late":
 		usual := s.list.late
-		s.list.late += int64(f.Amount * float64(front.Second))
+		s.list.late += int64(f.Amount * float64(decision.Second))
 		lasts(func() { s.list.late = usual })
 	case "crowd":
 		s.crowd[f.Title] = f.Amount
@@ -1098,11 +1098,11 @@
 		lasts(func() { s.apart = 0 })
 	case "ageing":
 		each(func(n *simNode) {
-			for age := 0.0; age < f.For; age++ {
+			for age := 0.0; age < f.Duration; age++ {
 				s.seconds(age, func() { n.slow, n.taken = aged(f, age) })
 			}
-			s.seconds(f.For, func() {
-				n.crash(tape.Crash)
+			s.seconds(f.Duration, func() {
+				n.crash(trace.Crash)
 				n.slow, n.taken = 1, 0
 				s.seconds(agedBack, func() { back(n) })
 			})
@@ -1112,15 +1112,15 @@
 		p.kill()
 		lasts(func() {
 			p.start()
-			s.add(tape.Line{What: tape.Up, Front: p.name})
+			s.add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
 		})
 	case "front-stall":
 		p := s.fronts[f.Front]
 		p.stopped = true
-		s.add(tape.Line{What: tape.Stopped, Front: p.name})
-		s.seconds(f.For, func() {
+		s.add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
+		s.seconds(f.Duration, func() {
 			p.stopped = false
-			s.add(tape.Line{What: tape.Goes, Front: p.name})
+			s.add(trace.Event{Kind: trace.Continued, Front: p.name})
 			held := p.held
 			p.held = nil
 			for _, do := range held {
--- a/lab/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"time"
 
 	"gullrail/client"
-	"gullrail/lab/tape"
+	"gullrail/testbed/trace"
 )
 
-// statuses of a socket's verdicts on the tape, as DASH would tell them.
+// statuses of a socket's verdicts on the trace, as DASH would tell them.
 func statusOf(verdict, why string) int {
 	switch {
 	case verdict == "plays":
@@ -28,7 +28,7 @@
 }
 
 // watchSocket lives through one viewer's wish with the project's own client on a socket.
-func (p *Players) watchSocket(ctx context.Context, v *Viewer) {
+func (p *ViewerClients) watchSocket(ctx context.Context, v *Viewer) {
 	began := time.Now()
 	var mu sync.Mutex
 	ids := map[string]int64{} // of asks without an answer, by ticket
@@ -38,22 +38,22 @@
 	for i, a := range v.Fronts {
 		names[a] = v.Names[i]
 	}
-	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, Trace: func(t client.Trace) {
+	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, OnExchange: func(t client.Exchange) {
 		mu.Lock()
 		defer mu.Unlock()
-		if t.Answer == nil && t.Lost == nil {
+		if t.Answer == nil && t.Err == nil {
 			id := p.ids.Add(1)
 			ids[t.Ticket], asked[t.Ticket] = id, time.Now()
-			line := tape.Line{What: tape.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
-				LimitMs: int64(v.Product.LimitMs), Play: t.Before, First: first}
-			if t.Broken {
+			line := trace.Event{Kind: trace.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+				LimitMs: int64(v.Product.DeadlineMs), Play: t.PreviousPlay, First: first}
+			if t.NotDelivered {
 				line.Note = "broken"
 			}
 			if first {
-				line.WatchMs, line.Rung = v.Watch.Milliseconds(), v.Top
+				line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 			}
 			first = false
-			p.Tape.Add(line)
+			p.Trace.Add(line)
 			return
 		}
 		id, ok := ids[t.Ticket]
@@ -61,40 +61,40 @@
 			return
 		}
 		delete(ids, t.Ticket)
-		line := tape.Line{What: tape.Answer, ID: id}
-		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.LimitMs)*time.Millisecond
+		line := trace.Event{Kind: trace.Answer, ID: id}
+		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.DeadlineMs)*time.Millisecond
 		delete(asked, t.Ticket)
-		if errors.Is(t.Lost, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
-			line.What = tape.Gone
-		} else if t.Lost != nil {
-			line.Note = t.Lost.Error()
+		if errors.Is(t.Err, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
+			line.Kind = trace.Gone
+		} else if t.Err != nil {
+			line.Note = t.Err.Error()
 		} else {
 			line.Status, line.Note = statusOf(t.Answer.Verdict, t.Answer.Why), t.Answer.Why
 			if t.Answer.Grant != nil {
 				line.Play = t.Answer.Grant.Play
 			}
 		}
-		p.Tape.Add(line)
+		p.Trace.Add(line)
 	}})
 	defer c.Close()
-	for tries := 0; ctx.Err() == nil && time.Since(began) < v.Watch && tries <= v.Tries; tries++ {
-		play, err := c.Ask(ctx, client.Want{Title: v.Title, Product: v.Product.Name, Top: v.Top, Limit: time.Duration(v.Product.LimitMs) * time.Millisecond,
-			Length: v.Watch - time.Since(began), Tries: v.Tries})
+	for tries := 0; ctx.Err() == nil && time.Since(began) < v.WatchTime && tries <= v.MaxRetries; tries++ {
+		play, err := c.RequestPlay(ctx, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Timeout: time.Duration(v.Product.DeadlineMs) * time.Millisecond,
+			Length: v.WatchTime - time.Since(began), MaxRetries: v.MaxRetries})
 		if err != nil {
 			return // its tries are used up
 		}
 		if p.fetchAll(ctx, v, play, began) {
-			p.Tape.Add(tape.Line{What: tape.Leave, Play: play.Grant().Play})
-			play.Leave()
+			p.Trace.Add(trace.Event{Kind: trace.Leave, Play: play.Grant().Play})
+			play.End()
 			return
 		}
 	}
 }
 
 // fetchAll fetches segments until the viewer's time is over, or the play is, which it tells with false.
-func (p *Players) fetchAll(ctx context.Context, v *Viewer, play *client.Play, began time.Time) bool {
+func (p *ViewerClients) fetchAll(ctx context.Context, v *Viewer, play *client.Play, began time.Time) bool {
 	fails, away := 0, false
-	for n := 1; time.Since(began) < v.Watch; n++ {
+	for n := 1; time.Since(began) < v.WatchTime; n++ {
 		g := play.Grant()
 		every := time.Duration(g.Segment) * time.Millisecond
 		if !away {
@@ -107,7 +107,7 @@
 			default:
 				if fails++; fails == 2 {
 					fails = 0
-					play.Broken()
+					play.ReportNotDelivered()
 				}
 			}
 		}
@@ -115,14 +115,14 @@
 		for waiting := true; waiting; {
 			select {
 			case e, ok := <-play.Events():
-				if !ok || e.What == client.Ended {
+				if !ok || e.Kind == client.Ended {
 					return false
 				}
-				if e.What == client.Moved || e.What == client.Rung {
+				if e.Kind == client.Moved || e.Kind == client.Rung {
 					waiting = away // it fetches there at once
 					away = false
 				}
-				if e.What == client.Away {
+				if e.Kind == client.Interrupted {
 					away = true
 				}
 			case <-tick:
--- a/lab/store_test.go
+++ b/testbed/store_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"fmt"
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"gullrail/lab/tape"
+	"gullrail/testbed/trace"
 )
 
 func TestRecordsLetAFrontStartAgainBesideASilentNode(t *testing.T) {
-	r := newRigWith(t, 4, func(r *rig) { r.settings.State = t.TempDir() })
+	r := newRigWith(t, 4, func(r *rig) { r.settings.StateFolder = t.TempDir() })
 	var held []reply
 	for i := range 3 {
 		held = append(held, r.playing("clip", "paid", fmt.Sprint("v", i)))
@@ -33,13 +33,13 @@
 	if x := r.ask("clip", "paid", "w"); x.status != http.StatusServiceUnavailable {
 		t.Fatalf("the silent node's seat was given twice: %d %s", x.status, x.body)
 	}
-	if n := r.count(tape.SetUp, ""); n != 3 {
+	if n := r.count(trace.SetUp, ""); n != 3 {
 		t.Fatalf("%d set-ups for three plays", n)
 	}
 }
 
 func TestWithoutItsStoreAFrontDeclinesWhatMustBeRecorded(t *testing.T) {
-	r := newRigWith(t, 4, func(r *rig) { r.settings.State = t.TempDir() })
+	r := newRigWith(t, 4, func(r *rig) { r.settings.StateFolder = t.TempDir() })
 	r.playing("clip", "paid", "v")
 	var was syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_FSIZE, &was); err != nil {
@@ -51,11 +51,11 @@
 		t.Fatal(err)
 	}
 	defer syscall.Setrlimit(syscall.RLIMIT_FSIZE, &was)
-	setUps := r.count(tape.SetUp, "")
+	setUps := r.count(trace.SetUp, "")
 	if x := r.ask("other", "paid", "w"); x.status != http.StatusServiceUnavailable {
 		t.Fatalf("paid: %d %s", x.status, x.body)
 	}
-	if n := r.count(tape.SetUp, ""); n != setUps {
+	if n := r.count(trace.SetUp, ""); n != setUps {
 		t.Fatal("it was sent without a record")
 	}
 	r.playing("other", "safe", "x") // what need not be recorded goes on
@@ -66,7 +66,7 @@
 
 func TestDamagedStoreIsToldAtTheStart(t *testing.T) {
 	dir := t.TempDir()
-	r := newRigWith(t, 2, func(r *rig) { r.settings.State = dir })
+	r := newRigWith(t, 2, func(r *rig) { r.settings.StateFolder = dir })
 	r.playing("clip", "paid", "v")
 	r.stop()
 	r.stop = nil
--- a/lab/ws_test.go
+++ b/testbed/ws_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -9,22 +9,22 @@
 	"time"
 
 	"gullrail/client"
-	"gullrail/desk"
-	"gullrail/lab/tape"
+	"gullrail/playapi"
+	"gullrail/testbed/trace"
 )
 
 func (r *rig) viewer(name string, fronts ...string) *client.Client {
 	if len(fronts) == 0 {
 		fronts = []string{r.addr}
 	}
-	c := client.New(client.Options{Fronts: fronts, Viewer: name, Herd: 100 * time.Millisecond})
+	c := client.New(client.Options{Fronts: fronts, Viewer: name, ReconnectSpread: 100 * time.Millisecond})
 	r.t.Cleanup(c.Close)
 	return c
 }
 
 func (r *rig) asks(c *client.Client, title, product string, tries int) *client.Play {
 	r.t.Helper()
-	p, err := c.Ask(r.t.Context(), client.Want{Title: title, Product: product, Top: -1, Limit: time.Second, Tries: tries})
+	p, err := c.RequestPlay(r.t.Context(), client.Request{Title: title, Product: product, MaxRung: -1, Timeout: time.Second, MaxRetries: tries})
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -32,11 +32,11 @@
 }
 
 // fetches asks the node for a segment at the best rung granted.
-func (r *rig) fetches(g desk.Grant) int {
+func (r *rig) fetches(g playapi.Grant) int {
 	return r.getAt(g.Base + g.Rungs[len(g.Rungs)-1].ID + "/1.m4s").status
 }
 
-func (r *rig) event(p *client.Play, want client.What) client.Event {
+func (r *rig) event(p *client.Play, want client.EventKind) client.Event {
 	r.t.Helper()
 	late := time.After(15 * time.Second)
 	for {
@@ -45,7 +45,7 @@
 			if !ok {
 				r.t.Fatalf("it ended before event %d", want)
 			}
-			if e.What == want {
+			if e.Kind == want {
 				return e
 			}
 		case <-late:
@@ -64,10 +64,10 @@
 	}
 	// The same viewer by DASH with the socket's token: the same play, no second set-up.
 	x := r.get("/v1/plays/" + g.Token + "/manifest.mpd")
-	if x.status != 200 || x.play != g.Play || r.count(tape.SetUp, "") != 1 {
+	if x.status != 200 || x.play != g.Play || r.count(trace.SetUp, "") != 1 {
 		t.Fatalf("%d %s of %s", x.status, x.play, g.Play)
 	}
-	p.Leave()
+	p.End()
 	r.eventually("its end at the node", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
 }
 
@@ -80,20 +80,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.fleet.nodes[cl.Node].crash(tape.Crash)
-	r.event(p, client.Away)
+	r.fleet.nodes[cl.Node].crash(trace.Crash)
+	r.event(p, client.Interrupted)
 	e := r.event(p, client.Moved)
 	if e.Grant.Play == was.Play || r.fetches(e.Grant) != 200 {
 		t.Fatalf("placed anew: %+v", e.Grant)
 	}
-	p.Broken() // and the viewer's own word
+	p.ReportNotDelivered() // and the viewer's own word
 	if e = r.event(p, client.Moved); r.fetches(e.Grant) != 200 {
 		t.Fatal("not placed anew after it said so")
 	}
 }
 
 func TestSocketResumesAfterTheFrontStartsAgain(t *testing.T) {
-	r := newRigWith(t, 4, func(r *rig) { r.settings.State = t.TempDir() })
+	r := newRigWith(t, 4, func(r *rig) { r.settings.StateFolder = t.TempDir() })
 	c := r.viewer("v")
 	p := r.asks(c, "clip", "paid", 5)
 	was := p.Grant()
@@ -101,8 +101,8 @@
 	r.stop()
 	r.startFront()
 	e := r.event(p, client.Rung) // resumed by its token: the same play, as the new life took it over
-	if e.Grant.Play != was.Play || r.fetches(e.Grant) != 200 || r.count(tape.SetUp, "") != 1 {
-		t.Fatalf("%+v, %d set-ups", e.Grant, r.count(tape.SetUp, ""))
+	if e.Grant.Play != was.Play || r.fetches(e.Grant) != 200 || r.count(trace.SetUp, "") != 1 {
+		t.Fatalf("%+v, %d set-ups", e.Grant, r.count(trace.SetUp, ""))
 	}
 }
 
@@ -118,8 +118,8 @@
 			ok := false
 			if i%2 == 0 {
 				c := r.viewer(fmt.Sprint("v", i))
-				_, err := c.Ask(t.Context(), client.Want{Title: "clip", Product: "paid", Top: -1, Limit: time.Second})
-				var no *client.Refused
+				_, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "paid", MaxRung: -1, Timeout: time.Second})
+				var no *client.RefusedError
 				if ok = err == nil; !ok && !errors.As(err, &no) {
 					t.Error(err)
 				}
@@ -147,12 +147,12 @@
 	c := r.viewer("v")
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
-	if _, err := c.Ask(ctx, client.Want{Title: "clip", Product: "safe", Top: -1, Limit: time.Second, Tries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
+	if _, err := c.RequestPlay(ctx, client.Request{Title: "clip", Product: "safe", MaxRung: -1, Timeout: time.Second, MaxRetries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
 	r.eventually("its end", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
 	c.Close()
-	if _, err := c.Ask(t.Context(), client.Want{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
+	if _, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
 		t.Fatalf("after its end: %v", err)
 	}
 }
