--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -1,79 +1,84 @@
-// Package recovery decides what a front end believes of the plays of its earlier lives: which may still run and
-// hold seats, which a node's word confirms or ends, and what a viewer gets who asks again for one. No I/O: the
-// core of package session carries out what is decided here.
+// Package recovery decides how a restarted front end treats the plays that it set up before the restart: which may
+// still run and occupy seats, which a node's report confirms or ends, and how to answer a viewer who repeats the
+// request for one of them. It does no I/O; the core of package session carries out the decisions.
 //
-// A play of an earlier life is in one of these standings. It begins Recorded, where a record tells of it, or
-// Unknown; a node's word makes it Held; its end, by word, by a node seen gone or by the lease, makes it Ended:
+// Each run of the front end has its own epoch. A play of an earlier epoch starts as Recorded if the play log has it,
+// and as Unknown otherwise. A node that reports the play makes it Held. It becomes Ended when its node reports without
+// it, when the node's process is known to be gone, or when its lease expires:
 //
-//	Unknown --told--> Held --missing, gone, lapsed--> Ended
-//	Recorded --told--> Held
-//	Recorded --missing, gone, lapsed--> Ended
+//	Unknown --reported--> Held --missing, node gone, lease expired--> Ended
+//	Recorded --reported--> Held
+//	Recorded --missing, node gone, lease expired--> Ended
 //
-// Every conflict is settled in the safe direction: what may run keeps its seat, what nobody here answers for is
-// ended at its node, and what is over is never taken up again.
+// Conflicts are resolved conservatively: a play that may run keeps its seat, a play that this front end doesn't
+// account for is ended at its node, and an ended play is never resumed.
 package recovery
 
-// State is what the front holds of a play when a node speaks of it.
+// State is what the front end knows of a play that a node reports.
 type State uint8
 
 const (
-	Unknown   State = iota // no record of it, and not in hand
-	Recorded               // taken over by record, not yet confirmed by its node
-	Held                   // in hand at this node, with this allocation
-	Elsewhere              // in hand, but with another allocation or at another node, or not placed now
-	Ended                  // it ended, and this is remembered
+	Unknown   State = iota // not recorded and not tracked
+	Recorded               // restored from the play log, not yet confirmed by its node
+	Held                   // tracked with this attempt at this node
+	Elsewhere              // tracked with another attempt, at another node or without a node
+	Ended                  // known to have ended
 )
 
-// Action is what to do about a play that a node runs.
+// Action is what to do about a play that a node reports as running.
 type Action uint8
 
 const (
-	Nothing Action = iota // it is as known
-	Confirm               // take the node's word for its life, rung and mark
-	Adopt                 // take it over: its seat counts from now on
+	Nothing Action = iota // the report agrees with what is known
+	Confirm               // take process instance, start number and rung from the report
+	Adopt                 // track it; its seat counts from now on
 	End                   // end it at the node
 )
 
-// Reconcile judges a play that a node says it runs. older: it was set up by an earlier life of this front. known: this
-// front still has its product.
-func Reconcile(s State, older, known bool) Action {
+// Reconcile decides on a play that a node reports as running. earlierEpoch says that an earlier run of this front end
+// set it up, productKnown that its product is still configured.
+func Reconcile(s State, earlierEpoch, productKnown bool) Action {
 	switch s {
 	case Held:
 		return Nothing
 	case Recorded:
 		return Confirm
 	case Unknown:
-		if older && known {
+		if earlierEpoch && productKnown {
 			return Adopt
 		}
 	}
-	// Of this life and not in hand: it was given up, and its answer went out as failed. Elsewhere: an allocation
-	// that was let go. Ended: its end did not reach the node. Each would hold a seat that nobody counts.
+	// Unknown in this epoch: the play was abandoned and its request answered as failed. Elsewhere: a superseded
+	// attempt. Ended: the order to end it didn't reach the node. Each would occupy a seat that isn't counted.
 	return End
 }
 
-// MissingIsOver judges a play in hand that a node does not name among those it runs. sameLife: the process that was
-// to run it is the one that speaks. before: the node's count says that it was set up before it spoke, so that
-// its word covers the play. The play is over if the word covers it; a set-up that crossed with the word is not.
-func MissingIsOver(sameLife, before bool) (over bool) { return !sameLife || before }
+// MissingIsOver decides whether a tracked play that is missing from its node's report has ended. sameInstance says
+// that the report comes from the process that was to run the play; startedBefore, that by the node's start counter
+// the play was set up before the report was made. A play set up by the same process after the report was made is
+// not expected in it and is not over.
+func MissingIsOver(sameInstance, startedBefore bool) (over bool) {
+	return !sameInstance || startedBefore
+}
 
-// Resolution is what a viewer gets who asks, without a token, for what an unheard play of an earlier life is of.
+// Resolution is how to answer a request without a token that repeats the request of a play of an earlier epoch.
 type Resolution uint8
 
 const (
-	Fresh  Resolution = iota // a play of its own
-	Resume                   // the play that runs already: its answer was lost with the earlier life
-	Wait                     // come back soon: it may run, and giving another could give two
+	Fresh  Resolution = iota // set up a new play
+	Resume                   // answer with the running play, whose own answer was lost in the crash
+	Wait                     // ask the viewer to retry soon: the play may run, and a new one could duplicate it
 )
 
-// ResolveRequest judges a viewer's fresh request for the same title and product as a play of an earlier life.
+// ResolveRequest decides on a request without a token for the same viewer, title and product as a play of an earlier
+// epoch. answered says that the play's viewer was told that it plays, recorded that the play was in the play log.
 //
-// Guards against the crash between a set-up and its answer: the viewer, who was told nothing, asks again, and
-// would hold two seats and pay for two plays. Could harm a viewer who opens the same title on a second screen
-// within moments of a crash: it gets the same play, which the node delivers to both.
-func ResolveRequest(s State, heard, kept bool) Resolution {
+// It covers a crash between a set-up and its answer: the viewer got no answer and repeats the request, and would
+// otherwise occupy two seats and pay for two plays. The cost: a viewer who opens the same title on a second screen
+// shortly after a crash gets the same play, which the node then delivers to both screens.
+func ResolveRequest(s State, answered, recorded bool) Resolution {
 	switch {
-	case heard || !kept: // its viewer has it, or it may be doubled without harm
+	case answered || !recorded: // the viewer has the play, or a duplicate does no harm
 		return Fresh
 	case s == Held:
 		return Resume
@@ -83,6 +88,7 @@
 	return Fresh
 }
 
-// Ready says how a front that starts may take plays: at once after the first list, if its records tell of all
-// it held; only once each node was heard or its lease has passed, if records are missing or none were kept.
-func Ready(kept bool, lost uint64) (atOnce bool) { return kept && lost == 0 }
+// Ready tells whether a restarted front end may take plays immediately after the first node list, because its play
+// log is complete. If records are missing or none were kept, it must wait until each node has reported or its lease
+// has expired.
+func Ready(recorded bool, lost uint64) (immediately bool) { return recorded && lost == 0 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -2,36 +2,36 @@
 
 import "testing"
 
-// Every standing with every word: what may run is held or ended, and only an unknown play of an earlier life, of
-// a product still known, is taken over.
-func TestEveryWordOfANode(t *testing.T) {
+// Every state is combined with every kind of report: a play that may run is kept or ended, and only an unknown play of
+// an earlier epoch whose product is still known is adopted.
+func TestReconcileAllStates(t *testing.T) {
 	for s := Unknown; s <= Ended; s++ {
-		for _, older := range []bool{false, true} {
-			for _, known := range []bool{false, true} {
+		for _, earlierEpoch := range []bool{false, true} {
+			for _, productKnown := range []bool{false, true} {
 				want := End
 				switch {
 				case s == Held:
 					want = Nothing
 				case s == Recorded:
 					want = Confirm
-				case s == Unknown && older && known:
+				case s == Unknown && earlierEpoch && productKnown:
 					want = Adopt
 				}
-				if got := Reconcile(s, older, known); got != want {
-					t.Errorf("standing %d, older %v, known %v: %d, want %d", s, older, known, got, want)
+				if got := Reconcile(s, earlierEpoch, productKnown); got != want {
+					t.Errorf("state %d, earlier epoch %v, product known %v: action %d, want %d", s, earlierEpoch, productKnown, got, want)
 				}
 			}
 		}
 	}
 	if MissingIsOver(true, false) || !MissingIsOver(true, true) || !MissingIsOver(false, false) {
-		t.Error("only a word that covers the play ends it, or another process's")
+		t.Error("a missing play is over only if it was set up before the report or the report is from another process")
 	}
 }
 
-func TestWhoAsksAgain(t *testing.T) {
+func TestResolveRepeatedRequest(t *testing.T) {
 	for s := Unknown; s <= Ended; s++ {
 		if ResolveRequest(s, true, true) != Fresh || ResolveRequest(s, false, false) != Fresh {
-			t.Errorf("standing %d: heard, or of no record", s)
+			t.Errorf("state %d: want Fresh for a play that was answered or not recorded", s)
 		}
 		want := Fresh
 		if s == Held {
@@ -40,10 +40,10 @@
 			want = Wait
 		}
 		if got := ResolveRequest(s, false, true); got != want {
-			t.Errorf("standing %d, unheard: %d, want %d", s, got, want)
+			t.Errorf("state %d, not answered: resolution %d, want %d", s, got, want)
 		}
 	}
 	if !Ready(true, 0) || Ready(true, 1) || Ready(false, 0) {
-		t.Error("only whole records let a front start at once")
+		t.Error("a front end may start immediately only with a complete play log")
 	}
 }
