--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -1,7 +1,7 @@
-// Package shutdown decides how a front end gives up what it holds when it ends in order: which requests
-// still wait for their answer and for how long, how the others are answered, and when the plays that play
-// are let go where nobody will take them over. No I/O and no clock: times are int64 tenths of a
-// millisecond, as in package decision, and come in as arguments.
+// Package shutdown decides how a front end winds down in an orderly shutdown: which requests keep waiting for their
+// answer and for how long, how the others are answered, and when running plays are ended if no other process takes
+// them over. It does no I/O and reads no clock: times are int64 tenths of a millisecond, as in package decision, and
+// are passed in as arguments.
 package shutdown
 
 import (
@@ -11,38 +11,38 @@
 )
 
 const (
-	atOnce   = 200 * decision.Millisecond // with less time than this to the end nothing is waited for
-	lastWord = 100 * decision.Millisecond // kept before the end, for answers to reach their clients
-	pace     = 50 * decision.Millisecond  // between two plays let go: twenty a second come back to the other fronts
+	minWait         = 200 * decision.Millisecond // don't wait for a set-up with less time left than this
+	answerReserve   = 100 * decision.Millisecond // reserved before the end for answers to reach their clients
+	releaseInterval = 50 * decision.Millisecond  // between the ends of two plays, so that the other front ends get at most 20 returning viewers a second
 )
 
-// Verdict is what becomes of a request that is not yet answered.
+// Verdict is the decision on an unanswered request.
 type Verdict uint8
 
 const (
-	Wait    Verdict = iota // for the node's word, until Deadline
-	Decline                // answer it as declined: nothing of it can have run, or it is safe to repeat
-	Fail                   // answer it as failed: something of it may have run
+	Wait    Verdict = iota // wait for the node's answer, until Deadline
+	Decline                // answer as declined: no attempt can have run, or a repeat is safe
+	Fail                   // answer as failed: an attempt may have run
 )
 
-// Request is a request that is not yet answered.
+// Request is an unanswered request.
 type Request struct {
-	Deadline   int64 // when its client gives up
+	Deadline   int64 // when its client stops waiting
 	Paid       bool
-	InFlight   bool // an allocation is out
-	MayHaveRun bool // an earlier one may have run
+	InFlight   bool // an allocation was sent and has not ended
+	MayHaveRun bool // an earlier attempt may have run
 }
 
-// Deadline is until when a front that is to end at a time waits for the nodes' words.
-func Deadline(end int64) int64 { return end - lastWord }
+// Deadline is when a front end that shuts down at end stops waiting for the nodes' answers.
+func Deadline(end int64) int64 { return end - answerReserve }
 
-// Decide decides on a request at a time before the end. One whose set-up is out waits for its node: it may
-// play, and a paid one is paid for. One that waits for a node's turn is answered at once, as no new set-up
-// is begun.
+// Decide decides on a request when the shutdown begins. A request whose set-up is in flight waits for its node, as the
+// play may still start, and a paid play is charged. Any other request is answered immediately, as no new set-up is
+// started during a shutdown.
 func Decide(now, end int64, r Request) Verdict {
-	last := min(Deadline(end), r.Deadline)
+	latest := min(Deadline(end), r.Deadline)
 	switch {
-	case r.InFlight && last-now >= atOnce && now < last:
+	case r.InFlight && latest-now >= minWait && now < latest:
 		return Wait
 	case r.Paid && (r.InFlight || r.MayHaveRun):
 		return Fail
@@ -50,7 +50,7 @@
 	return Decline
 }
 
-// Expired decides on a request whose set-up is still out when the front can't wait longer.
+// Expired decides on a request that is still unanswered when the front end can't wait any longer.
 func Expired(r Request) Verdict {
 	if r.Paid && (r.InFlight || r.MayHaveRun) {
 		return Fail
@@ -58,16 +58,17 @@
 	return Decline
 }
 
-// Play is a play that plays.
+// Play is a running play.
 type Play struct {
 	Importance float64
-	Key        int // any number that tells plays apart, for a steady order
+	Key        int // a unique number that makes the order deterministic
 }
 
-// Release is when each of some plays is let go by a front that nobody takes over from, least important
-// first, so that their viewers don't all come to the other fronts at once: evenly up to the end, and no faster than
-// the pace unless the end is too near for it. It returns the plays' order and their times.
-func Release(now, end int64, plays []Play) (order []int, at []int64) {
+// Release schedules the ends of the running plays of a front end that is not replaced, least important first, so that
+// their viewers don't all reach the other front ends at once. Plays are releaseInterval apart, or closer and evenly
+// spaced if they would not all end in time otherwise. It returns indexes into plays in that order, and the time for
+// each.
+func Release(now, end int64, plays []Play) (order []int, times []int64) {
 	order = make([]int, len(plays))
 	for i := range order {
 		order[i] = i
@@ -79,13 +80,13 @@
 		}
 		return p.Key < q.Key
 	})
-	gap := int64(pace)
+	interval := int64(releaseInterval)
 	if n := int64(len(plays)); n > 0 {
-		gap = min(gap, max(0, Deadline(end)-now)/n)
+		interval = min(interval, max(0, Deadline(end)-now)/n)
 	}
-	at = make([]int64, len(plays))
-	for i := range at {
-		at[i] = now + int64(i)*gap
+	times = make([]int64, len(plays))
+	for i := range times {
+		times[i] = now + int64(i)*interval
 	}
-	return order, at
+	return order, times
 }
