--- a/liveness/liveness_test.go
+++ b/liveness/liveness_test.go
@@ -8,88 +8,88 @@
 
 const now = 1_000_000
 
-func TestSilenceBreaksAStreamAndOnlyTheLeaseEndsItsPlays(t *testing.T) {
-	w := New(now, 1)
-	w.StreamOpened(now, 3)
-	if w.Silent(now+SilenceTimeout, 3) || !w.Silent(now+SilenceTimeout+1, 3) {
-		t.Fatal("silence is three beats")
+func TestSilenceBreaksStreamButOnlyLeaseEndsPlays(t *testing.T) {
+	m := New(now, 1)
+	m.StreamOpened(now, 3)
+	if m.Silent(now+SilenceTimeout, 3) || !m.Silent(now+SilenceTimeout+1, 3) {
+		t.Fatal("a stream is silent after three heartbeat intervals, not before")
 	}
-	at, ended := w.StreamBroke(now+SilenceTimeout+1, 3, false)
-	if ended || at <= now+SilenceTimeout || at > now+SilenceTimeout+1+retryLeast {
-		t.Fatalf("dial at %d, ended %v", at, ended)
+	at, ended := m.StreamBroke(now+SilenceTimeout+1, 3, false)
+	if ended || at <= now+SilenceTimeout || at > now+SilenceTimeout+1+minRetryDelay {
+		t.Fatalf("next dial at %d, plays ended %v", at, ended)
 	}
-	if w.LeaseExpired(now+Lease+margin-1, 3) {
-		t.Fatal("plays given up while the node may still run them")
+	if m.LeaseExpired(now+Lease+leaseMargin-1, 3) {
+		t.Fatal("plays counted as ended while the node may still run them")
 	}
-	if !w.LeaseExpired(now+Lease+margin, 3) || w.LeaseExpired(now+Lease+margin+1, 3) {
-		t.Fatal("given up once, when the lease has passed")
+	if !m.LeaseExpired(now+Lease+leaseMargin, 3) || m.LeaseExpired(now+Lease+leaseMargin+1, 3) {
+		t.Fatal("want plays to be counted as ended exactly once, when the lease has expired")
 	}
 }
 
 func TestRefusedConnectionEndsPlaysOnce(t *testing.T) {
-	w := New(now, 1)
-	w.StreamOpened(now, 0)
-	if _, ended := w.StreamBroke(now, 0, true); !ended {
-		t.Fatal("nobody is there to run them")
+	m := New(now, 1)
+	m.StreamOpened(now, 0)
+	if _, ended := m.StreamBroke(now, 0, true); !ended {
+		t.Fatal("plays not counted as ended although no process is there to run them")
 	}
-	if _, ended := w.StreamBroke(now+1, 0, true); ended || w.LeaseExpired(now+Lease+margin, 0) {
-		t.Fatal("told twice")
+	if _, ended := m.StreamBroke(now+1, 0, true); ended || m.LeaseExpired(now+Lease+leaseMargin, 0) {
+		t.Fatal("the end of the plays was reported twice")
 	}
-	w.StreamOpened(now+decision.Second, 0)
-	if _, ended := w.StreamBroke(now+2*decision.Second, 0, true); !ended {
-		t.Fatal("a new life ends too")
+	m.StreamOpened(now+decision.Second, 0)
+	if _, ended := m.StreamBroke(now+2*decision.Second, 0, true); !ended {
+		t.Fatal("plays not counted as ended when the stream broke again after it was re-established")
 	}
 }
 
-func TestPausesDoubleAndDiffer(t *testing.T) {
-	w := New(now, 1)
+func TestDialDelaysDoubleWithJitter(t *testing.T) {
+	m := New(now, 1)
 	seen := map[int64]bool{}
 	for node := range 20 {
-		at, _ := w.StreamBroke(now, node, false)
+		at, _ := m.StreamBroke(now, node, false)
 		seen[at] = true
 	}
 	if len(seen) < 15 {
-		t.Fatalf("%d different pauses of 20", len(seen))
+		t.Fatalf("%d different delays of 20", len(seen))
 	}
 	last := int64(0)
 	for range 12 {
-		last, _ = w.StreamBroke(now, 0, false)
+		last, _ = m.StreamBroke(now, 0, false)
 	}
-	if last < now+retryMost/2 || last > now+retryMost {
-		t.Fatalf("the longest pause is %d", last-now)
+	if last < now+maxRetryDelay/2 || last > now+maxRetryDelay {
+		t.Fatalf("the delay after many failures is %d", last-now)
 	}
 }
 
-func TestReadyOnceAllAreMetOrTheLeaseHasPassed(t *testing.T) {
-	w := New(now, 1)
-	if w.Ready(now+startMost-1, nil) {
-		t.Fatal("ready without a list")
+func TestReadyOnceAllNodesReportedOrLeaseExpired(t *testing.T) {
+	m := New(now, 1)
+	if m.Ready(now+maxStartup-1, nil) {
+		t.Fatal("ready without a node list")
 	}
-	w.StreamOpened(now, 0)
-	w.StreamBroke(now, 1, false)
-	if w.Ready(now+decision.Second, []int{0, 1}) {
-		t.Fatal("node 1 may hold plays of an earlier life")
+	m.StreamOpened(now, 0)
+	m.StreamBroke(now, 1, false)
+	if m.Ready(now+decision.Second, []int{0, 1}) {
+		t.Fatal("ready while node 1 may run plays of an earlier run of the front end")
 	}
-	w.StreamBroke(now, 1, true)
-	if !w.Ready(now+decision.Second, []int{0, 1}) || !w.Ready(now+decision.Second, []int{0, 1, 2}) {
-		t.Fatal("all met, and ready stays")
+	m.StreamBroke(now, 1, true)
+	if !m.Ready(now+decision.Second, []int{0, 1}) || !m.Ready(now+decision.Second, []int{0, 1, 2}) {
+		t.Fatal("want ready once all nodes are accounted for, and ready to last")
 	}
-	if w = New(now, 1); !w.Ready(now+startMost, []int{5}) {
-		t.Fatal("the lease has passed")
+	if m = New(now, 1); !m.Ready(now+maxStartup, []int{5}) {
+		t.Fatal("not ready after the lease has expired")
 	}
 }
 
 func TestFirstDialsAreSpread(t *testing.T) {
-	w := New(now, 1)
+	m := New(now, 1)
 	last := int64(0)
 	for range 300 {
-		at := w.FirstDial(now, 300)
-		if at < now || at >= now+300*firstEach {
-			t.Fatalf("dial after %d", at-now)
+		at := m.FirstDial(now, 300)
+		if at < now || at >= now+300*firstDialSpread {
+			t.Fatalf("first dial after %d", at-now)
 		}
 		last = max(last, at)
 	}
-	if last < now+250*firstEach || w.FirstDial(now, 1) > now+firstEach {
-		t.Fatalf("the last is dialled after %d", last-now)
+	if last < now+250*firstDialSpread || m.FirstDial(now, 1) > now+firstDialSpread {
+		t.Fatalf("the last node is dialled after %d", last-now)
 	}
 }
