--- a/session/core.go
+++ b/session/core.go
@@ -1,9 +1,9 @@
-// Package session holds what one front end knows of its plays beside the decisions: which request
-// waits for which answer, where each play runs, which names stand for which small numbers. It tells
-// the module what happens and hands on what the module orders.
+// Package session keeps the state of one front end's plays: which requests are unanswered, where each play runs, and
+// which small integers stand for which names. It passes events to the policy (package decision), which makes the
+// decisions, and carries out the policy's orders.
 //
-// Core does no I/O, has no clock and no goroutine, so that the same events give the same orders on
-// sockets and in simulated time. Runner puts it on a goroutine of its own behind a bounded queue.
+// Core does no I/O, reads no clock and starts no goroutine, so that the same events lead to the same orders over
+// sockets and in simulated time. Runner runs a Core on a goroutine of its own behind a bounded queue.
 package session
 
 import (
@@ -20,12 +20,12 @@
 )
 
 const (
-	endedKept = 1 << 16               // endings remembered at most: some 30 minutes at 33 plays a second
-	endedFor  = 600 * decision.Second // and at longest; an older play's token has expired
-	sweepMost = 64                    // idle numbers looked at in one wake, five times a second
+	maxEndedPlays = 1 << 16               // enough for about 30 minutes at 33 plays a second
+	endedPlayTTL  = 600 * decision.Second // the token of a play that ended earlier has expired
+	sweepLimit    = 64                    // unused numbers checked per call of Wake, which runs five times a second
 )
 
-// Ref names an allocation.
+// Ref identifies an allocation.
 type Ref struct {
 	Play    string
 	Attempt int
@@ -42,55 +42,56 @@
 	Viewer  string
 	Rung    int
 	MaxRung int
-	Seq     int   // of the rung; a node keeps to the highest it heard
-	Until   int64 // then it is given up
-	Length  int64 // guessed length; 0 is not told
+	Seq     int   // sequence number of the rung; a node ignores orders with a lower one
+	Until   int64 // when the front end stops waiting for the set-up
+	Length  int64 // estimated length; 0 if unknown
 }
 
-// Transport carries out what the core orders, towards the playout nodes. It must not block, and each
-// order comes to a call on the Core later: SetUp to Started or SetUpEnded, Probe to Probed, OpenStream to
-// StreamBroke at the latest when CloseStream was called.
+// Transport sends the core's orders to the playout nodes. Its methods must not block. Some lead to a later call on the
+// Core: SetUp to Started or SetUpEnded, Probe to ProbeEnded, OpenStream to StreamBroke, at the latest after CloseStream.
 type Transport interface {
 	SetUp(a Allocation)
 	Cancel(r Ref)
 	SetRung(r Ref, address string, rung, seq int)
-	End(r Ref, address, why string)
+	End(r Ref, address, reason string)
 	Probe(node int, address string)
 	OpenStream(node int, address string, at int64)
 	CloseStream(node int)
-	// PlayStarted says that a play's viewer was told that it plays; back is the play whose token brought the viewer
-	// and is used up, if any. Nothing comes of it, nor of the following two.
-	PlayStarted(r Ref, product int, back string)
-	// PlayFinished says that a play of which allocations were sent is over, and how, if it ever played.
-	PlayFinished(play string, product int, how playlog.EndReason)
-	// RecoveryDone says, once, that what may run of earlier lives of this front is known from the nodes alone.
+	// PlayStarted records that a play's viewer was told that it plays; previous is the play whose token the
+	// viewer returned with, if any; that token is now used up. PlayStarted, PlayFinished and RecoveryDone lead to no call on the
+	// Core.
+	PlayStarted(r Ref, product int, previous string)
+	// PlayFinished records that a play for which an allocation was sent has ended; reason is empty if it never
+	// played.
+	PlayFinished(play string, product int, reason playlog.EndReason)
+	// RecoveryDone is called once, when the nodes have accounted for all plays of this front end's earlier runs.
 	RecoveryDone()
 }
 
-// Expected is a play of an earlier life of this front that may still run, by its own record.
+// Expected is a play of an earlier run of this front end that may still be running according to the play log.
 type Expected struct {
 	Running
 	Node     string // name of the node of its last allocation
 	Answered bool   // its viewer was told that it plays
 }
 
-// NodeEntry is one line of the list of playout nodes, by name.
+// NodeEntry is one entry of the list of playout nodes.
 type NodeEntry = membership.Entry
 
-// Running is a play that a node reports as running for this front.
+// Running is a play that a node reports as running for this front end.
 type Running struct {
 	Play      string
-	Epoch     int64 // of the front's life that set it up
+	Epoch     int64 // of the front end that set it up
 	Attempt   int
-	Product   int // below 0 when this front knows no such product
+	Product   int // negative if this front end has no such product
 	Title     string
 	FirstCell int
 	CellCount int
 	Viewer    string
 	Rung      int
-	Seq       int // of the last order of a rung that it heard
+	Seq       int // sequence number of the last rung order that the node received
 	MaxRung   int
-	TimeLeft  int64 // guessed time left; 0 is not told
+	TimeLeft  int64 // estimated; 0 if unknown
 }
 
 // Request is a viewer's request for a play.
@@ -100,27 +101,27 @@
 	FirstCell int // first cell that holds the title
 	CellCount int
 	Viewer    string
-	Deadline  int64 // when the client gives up
-	Length    int64 // guessed; 0 is not told
+	Deadline  int64 // when the client stops waiting
+	Length    int64 // estimated; 0 if unknown
 	MaxRung   int
-	Previous  *Previous // who it was before, by its token; nil for a first try
+	Previous  *Previous // the play whose token came with the request; nil without a token
 	Reply     *Reply
-	OnEvent   func(Event) // hears of the play from its answer on; nil if nobody does
+	OnEvent   func(Event) // called with changes of the play after its answer; may be nil
 }
 
-// Event is a change of a play that plays, for who follows it.
+// Event is a change of a running play.
 type Event struct {
-	Ended  playlog.EndReason // empty while it plays
-	Answer Answer            // as it is now; of an ended play only its id
+	Ended  playlog.EndReason // empty while the play runs
+	Answer Answer            // the current state; only the ID for an ended play
 }
 
-// key tells requests for the same play apart from others.
-func (a *Request) key() string { return a.Viewer + "\x00" + a.Title + "\x00" + strconv.Itoa(a.Product) }
+// key is the same for repeated requests of a viewer for the same title and product.
+func (r *Request) key() string { return r.Viewer + "\x00" + r.Title + "\x00" + strconv.Itoa(r.Product) }
 
-// Previous is what a returning viewer's token says.
+// Previous is the earlier play of a viewer who returns with its token.
 type Previous struct {
 	Play         string
-	NotDelivered bool // the viewer says that its playout node does not deliver
+	NotDelivered bool // the viewer reports that the play's node doesn't deliver
 }
 
 type stage uint8
@@ -131,65 +132,65 @@
 	playing
 )
 
-// play is a play in hand.
+// play is a play that has not ended.
 type play struct {
-	id      string
-	h       decision.Handle
-	ask     Request
-	title   int
-	viewer  int
-	stage   stage
-	node    int
-	life    int64 // of the node's process that runs it
-	mark    int64 // of its start, in the node's own count
-	try     int
-	rung    int
-	seq     int
-	mayHave bool // an allocation that ended may have run
-	left    bool // nobody waits for its answer any more
-	adopted bool
-	early   *decision.Outcome // its end, where that was told before its start
-}
-
-// follow lets another hear of the play, in place of who did.
-func (p *play) follow(f func(Event)) {
-	if f != nil {
-		p.ask.OnEvent = f
-	}
-}
-
-// number is the module's number of the last allocation: it counts from 0, for adopted plays too.
-func (p *play) number() int {
+	id         string
+	handle     decision.Handle
+	request    Request
+	title      int
+	viewer     int
+	stage      stage
+	node       int
+	instance   int64 // of the node's process that runs the play
+	startSeq   int64 // value of the node's start counter when the play was set up
+	attempt    int
+	rung       int
+	rungSeq    int
+	mayHaveRun bool // a previous allocation may have run
+	viewerLeft bool // nobody waits for the answer any more
+	adopted    bool
+	earlyEnd   *decision.Outcome // outcome of the play, if reported before its start
+}
+
+// setEventHandler replaces the play's event handler, unless onEvent is nil.
+func (p *play) setEventHandler(onEvent func(Event)) {
+	if onEvent != nil {
+		p.request.OnEvent = onEvent
+	}
+}
+
+// policyAttempt is the policy's number of the last attempt. The policy counts from 0, for adopted plays too.
+func (p *play) policyAttempt() int {
 	if p.adopted {
 		return 0
 	}
-	return p.try
+	return p.attempt
 }
 
-// release is a play to be let go at a time.
-type release struct {
+// scheduledRelease is a play that is to be ended at a given time during shutdown.
+type scheduledRelease struct {
 	id string
 	at int64
 }
 
-type finished struct {
-	id  string
-	at  int64
-	how playlog.EndReason
+type endedPlay struct {
+	id     string
+	at     int64
+	reason playlog.EndReason
 }
 
-// node is a playout node that the front knows.
+// node is a playout node.
 type node struct {
 	name, address string
 	phase         decision.Phase
 	listed        bool
-	followed      bool
-	life          int64
-	plays         int
+	keepStream    bool
+	instance      int64
+	playCount     int
 	probing       bool
 }
 
-// Products says what the front's end must know of a product, by its number.
+// Products gives the properties of a product, by its number, that shutdown decisions depend on.
 type Products interface {
 	Paid(product int) bool
 	Importance(product int) float64
@@ -203,845 +204,853 @@
 	return c.products.Importance(product)
 }
 
-// Counts are what the core has seen since its start.
+// Counts are the counters since the core's start, and its current sizes.
 type Counts struct {
 	Taken, Plays, Declined, Failed, Denied, Moved, Lost, Adopted, Orphans uint64
 	InHand, Viewers, Titles, Nodes, Remembered                            int
 	Ready                                                                 bool
 }
 
-// Core is one front end's plays. Its methods come one at a time, with a clock that never goes back.
+// Core manages the plays of one front end. It is not safe for concurrent use, and now must not decrease from call to
+// call.
 type Core struct {
-	name     string
-	epoch    int64
-	mod      decision.Policy
-	out      Transport
-	watch    *liveness.Monitor
-	fleet    *membership.Fleet
-	fleetAt  int64 // when the fleet is to be asked again; 0 is not by itself
-	n        uint64
-	plays    map[string]*play
-	places   []*play // by place of the handle
-	asking   map[string]*play
-	titles   *intern.Table
-	viewers  *intern.Table
-	nodes    []node
-	nodeAt   map[string]int
-	freed    []int // node numbers that may name another
-	products Products
-	tell     func(to int, bytes []byte) // nil where fronts send each other nothing
-	parting  bool
-	expected []Expected       // until the first list
-	atOnce   bool             // what was held before is known by record
-	settled  bool             // it is known from the nodes
-	unheard  map[string]*play // of earlier lives, by record, by what their viewers would ask for again
-	releases []release
-	ended    map[string]finished
-	endings  []finished // in their order, from oldest on
-	oldest   int
-	list     []decision.Node
-	listed   []int
-	wakeAt   int64
-	counts   Counts
-}
-
-// NewCore makes a core for a front's life. Epoch tells its lives apart and only grows; seed draws
-// the pauses between dials. Products may be nil: all then count as paid.
-func NewCore(now int64, name string, epoch int64, mod decision.Policy, out Transport, products Products, seed uint64) *Core {
-	return &Core{products: products, name: name, epoch: epoch, mod: mod, out: out, watch: liveness.New(now, seed), fleet: membership.New(), wakeAt: now,
-		plays: map[string]*play{}, asking: map[string]*play{}, unheard: map[string]*play{}, titles: intern.New(), viewers: intern.New(),
-		nodeAt: map[string]int{}, ended: map[string]finished{}}
-}
-
-// WakeAt is when Wake wants to be called at the latest.
+	name            string
+	epoch           int64
+	policy          decision.Policy
+	transport       Transport
+	monitor         *liveness.Monitor
+	fleet           *membership.Fleet
+	fleetWakeAt     int64 // when the fleet's next change is due; 0 if none is
+	playsTaken      uint64
+	plays           map[string]*play
+	playsByIndex    []*play          // by index of the handle
+	pending         map[string]*play // unanswered requests, by key
+	titles          *intern.Table
+	viewers         *intern.Table
+	nodes           []node
+	nodeIndexes     map[string]int
+	freeNodes       []int // node numbers to reuse
+	products        Products
+	send            func(to int, bytes []byte) // nil if front ends exchange no messages
+	shuttingDown    bool
+	expected        []Expected       // plays to adopt with the first node list
+	recordsComplete bool             // the play log of the earlier runs is complete
+	recovered       bool             // the nodes have accounted for all plays of earlier runs
+	unacknowledged  map[string]*play // recorded plays of earlier runs whose viewers may have got no answer, by key
+	releases        []scheduledRelease
+	ended           map[string]endedPlay
+	endedQueue      []endedPlay // in order of their ends
+	endedHead       int         // index of the oldest entry of endedQueue
+	nodeUpdates     []decision.Node
+	listedNodes     []int
+	wakeAt          int64
+	counts          Counts
+}
+
+// NewCore returns a core for one run of a front end. epoch identifies the run and must increase with each; seed is for
+// the random delays between dials. If products is nil, all products count as paid.
+func NewCore(now int64, name string, epoch int64, policy decision.Policy, transport Transport, products Products, seed uint64) *Core {
+	return &Core{products: products, name: name, epoch: epoch, policy: policy, transport: transport, monitor: liveness.New(now, seed), fleet: membership.New(), wakeAt: now,
+		plays: map[string]*play{}, pending: map[string]*play{}, unacknowledged: map[string]*play{}, titles: intern.New(), viewers: intern.New(),
+		nodeIndexes: map[string]int{}, ended: map[string]endedPlay{}}
+}
+
+// WakeAt is the latest time at which Wake must be called.
 func (c *Core) WakeAt() int64 { return c.wakeAt }
 
-// Counts returns a copy of what was seen so far.
+// Counts returns a copy of the counters.
 func (c *Core) Counts() Counts {
-	s := c.counts
-	s.InHand, s.Viewers, s.Titles, s.Nodes = len(c.plays), c.viewers.Len(), c.titles.Len(), len(c.nodeAt)
-	s.Remembered = len(c.ended)
-	return s
+	counts := c.counts
+	counts.InHand, counts.Viewers, counts.Titles, counts.Nodes = len(c.plays), c.viewers.Len(), c.titles.Len(), len(c.nodeIndexes)
+	counts.Remembered = len(c.ended)
+	return counts
 }
 
-// Recover says what an earlier life of this front recorded: what is open, and whose tokens are good no more. It
-// comes before anything else. With the first list the open plays are taken over at their nodes, so that their
-// seats count from then on; the nodes' words then settle which of them still run. A front whose records are
-// whole need not wait for all nodes; lost counts those that are missing.
-func (c *Core) Recover(now int64, open []Expected, past []playlog.EndedPlay, lost uint64) {
-	c.expected, c.atOnce = open, recovery.Ready(true, lost)
-	for _, p := range past {
-		c.remember(now, p.Play, p.EndReason)
+// Recover restores what earlier runs of this front end recorded: open are the plays that may still run, ended those whose
+// tokens are no longer valid, lost is the number of missing records. It must be called before any other method. The
+// open plays are adopted with the first node list, so that their seats count from then on; the nodes' reports then tell
+// which of them still run. Only if records are missing must the front end wait for all nodes before it is ready.
+func (c *Core) Recover(now int64, open []Expected, ended []playlog.EndedPlay, lost uint64) {
+	c.expected, c.recordsComplete = open, recovery.Ready(true, lost)
+	for _, p := range ended {
+		c.rememberEnd(now, p.Play, p.EndReason)
 	}
 }
 
-// takeOver adopts what is expected. A play at a node that the list does not have has ended with it.
-func (c *Core) takeOver(now int64) {
+// adoptExpected adopts the recorded plays. A play on a node that is not listed is over.
+func (c *Core) adoptExpected(now int64) {
 	for _, e := range c.expected {
-		at, ok := c.nodeAt[e.Node]
+		index, ok := c.nodeIndexes[e.Node]
 		switch {
 		case !ok || e.Product < 0:
-			c.out.PlayFinished(e.Play, max(0, e.Product), playlog.Broken)
+			c.transport.PlayFinished(e.Play, max(0, e.Product), playlog.Broken)
 		case c.plays[e.Play] == nil:
-			p := c.adopt(now, at, 0, 0, e.Running)
+			p := c.adopt(now, index, 0, 0, e.Running)
 			if recovery.ResolveRequest(recovery.Recorded, e.Answered, true) != recovery.Fresh {
-				c.unheard[p.ask.key()] = p
+				c.unacknowledged[p.request.key()] = p
 			}
 		}
 	}
 	c.expected = nil
 }
 
-// Ready tells whether the front may take plays.
+// Ready tells whether the front end may take plays.
 func (c *Core) Ready(now int64) bool {
-	if !c.settled && c.watch.Ready(now, c.listed) {
-		c.settled = true
-		c.out.RecoveryDone()
+	if !c.recovered && c.monitor.Ready(now, c.listedNodes) {
+		c.recovered = true
+		c.transport.RecoveryDone()
 	}
-	c.counts.Ready = c.settled || c.atOnce && c.expected == nil && len(c.listed) > 0
+	c.counts.Ready = c.recovered || c.recordsComplete && c.expected == nil && len(c.listedNodes) > 0
 	return c.counts.Ready
 }
 
-// again answers a fresh request by what may run of an earlier life, and tells whether it did.
-func (c *Core) again(now int64, a Request) bool {
-	p := c.unheard[a.key()]
+// resolveRepeat answers a request without a token that repeats the request of a play of an earlier run. It returns false
+// if there is no such play or the request needs a new one.
+func (c *Core) resolveRepeat(now int64, req Request) bool {
+	p := c.unacknowledged[req.key()]
 	if p == nil {
 		return false
 	}
-	switch recovery.ResolveRequest(c.standing(p.id, Ref{p.id, p.try, p.node}), false, true) {
+	switch recovery.ResolveRequest(c.recoveryState(p.id, Ref{p.id, p.attempt, p.node}), false, true) {
 	case recovery.Resume:
-		p.follow(a.OnEvent)
-		if a.Reply.Resolve(c.answer(p, "plays already")) {
-			c.heard(p)
+		p.setEventHandler(req.OnEvent)
+		if req.Reply.Resolve(c.answer(p, "plays already")) {
+			c.viewerAnswered(p)
 		}
 		return true
 	case recovery.Wait:
 		c.counts.Denied++
-		a.Reply.Resolve(Answer{Verdict: Denied, Reason: "an earlier play of this request may still run", Busy: true, RetryAfter: decision.Second})
+		req.Reply.Resolve(Answer{Verdict: Denied, Reason: "an earlier play of this request may still run", Busy: true, RetryAfter: decision.Second})
 		return true
 	}
 	return false
 }
 
-// heard says that the viewer of a play was told.
-func (c *Core) heard(p *play) {
-	back := ""
-	if p.ask.Previous != nil {
-		back = p.ask.Previous.Play
+// viewerAnswered records that the viewer of a play was told that it plays.
+func (c *Core) viewerAnswered(p *play) {
+	previous := ""
+	if p.request.Previous != nil {
+		previous = p.request.Previous.Play
 	}
-	c.out.PlayStarted(Ref{p.id, p.try, p.node}, p.ask.Product, back)
-	if k := p.ask.key(); c.unheard[k] == p {
-		delete(c.unheard, k)
+	c.transport.PlayStarted(Ref{p.id, p.attempt, p.node}, p.request.Product, previous)
+	if k := p.request.key(); c.unacknowledged[k] == p {
+		delete(c.unacknowledged, k)
 	}
 }
 
-// standing is what is held of an allocation that a node speaks of.
-func (c *Core) standing(id string, r Ref) recovery.State {
+// recoveryState is what is known of an allocation that a node reports.
+func (c *Core) recoveryState(id string, r Ref) recovery.State {
 	switch p := c.plays[id]; {
-	case p == nil && c.ended[id].how != "":
+	case p == nil && c.ended[id].reason != "":
 		return recovery.Ended
 	case p == nil:
 		return recovery.Unknown
-	case p.node != r.Node || p.try != r.Attempt || p.stage == waiting:
+	case p.node != r.Node || p.attempt != r.Attempt || p.stage == waiting:
 		return recovery.Elsewhere
-	case p.adopted && p.life == 0:
+	case p.adopted && p.instance == 0:
 		return recovery.Recorded
 	}
 	return recovery.Held
 }
 
-// RequestPlay brings a viewer's request. Exactly one answer is given to its reply, now or later, unless the
-// reply is withdrawn first.
-func (c *Core) RequestPlay(now int64, a Request) {
-	if c.parting {
-		a.Reply.Resolve(Answer{Verdict: Declined, Reason: "the front is ending", RetryAfter: decision.Second})
+// RequestPlay handles a viewer's request. Its reply is resolved exactly once, during the call or later, unless it is
+// withdrawn first.
+func (c *Core) RequestPlay(now int64, req Request) {
+	if c.shuttingDown {
+		req.Reply.Resolve(Answer{Verdict: Declined, Reason: "the front is ending", RetryAfter: decision.Second})
 		c.counts.Declined++
 		return
 	}
 	if !c.Ready(now) {
-		a.Reply.Resolve(Answer{Verdict: Declined, Reason: "the front is starting", RetryAfter: decision.Second})
+		req.Reply.Resolve(Answer{Verdict: Declined, Reason: "the front is starting", RetryAfter: decision.Second})
 		c.counts.Declined++
 		return
 	}
 	isMoved := false
-	if a.Previous != nil {
-		how, p := c.recall(a.Previous.Play)
+	if req.Previous != nil {
+		reason, p := c.lookUp(req.Previous.Play)
 		switch {
-		case p != nil && p.stage == playing && !a.Previous.NotDelivered:
-			if a.Title == p.ask.Title {
-				p.follow(a.OnEvent)
-				a.Reply.Resolve(c.answer(p, "plays already"))
+		case p != nil && p.stage == playing && !req.Previous.NotDelivered:
+			if req.Title == p.request.Title {
+				p.setEventHandler(req.OnEvent)
+				req.Reply.Resolve(c.answer(p, "plays already"))
 			} else {
-				c.deny(a, "the token is of another title")
+				c.deny(req, "the token is of another title")
 			}
 			return
 		case p != nil && p.stage == playing:
-			c.nodeGaveUp(now, p)
+			c.nodeFailed(now, p)
 		case p != nil:
-			c.deny(a, busy)
+			c.deny(req, busyReason)
 			return
-		case how == playlog.Served:
-			c.deny(a, "the play has ended")
+		case reason == playlog.Served:
+			c.deny(req, "the play has ended")
 			return
-		case how == playlog.Returned:
-			c.deny(a, "the token was used to come back already")
+		case reason == playlog.Returned:
+			c.deny(req, "the token was used to come back already")
 			return
-		case how == "" && c.ownLife(a.Previous.Play):
-			c.deny(a, "the play ended long ago")
+		case reason == "" && c.fromThisEpoch(req.Previous.Play):
+			c.deny(req, "the play ended long ago")
 			return
 		}
-		isMoved = how == playlog.Moved
+		isMoved = reason == playlog.Moved
 	}
-	if a.Previous == nil && c.again(now, a) {
+	if req.Previous == nil && c.resolveRepeat(now, req) {
 		return
 	}
-	key := a.key()
-	if c.asking[key] != nil {
-		c.deny(a, busy)
+	key := req.key()
+	if c.pending[key] != nil {
+		c.deny(req, busyReason)
 		return
 	}
-	c.n++
-	p := &play{id: fmt.Sprintf("%s-%x-%d", c.name, c.epoch, c.n), ask: a, title: c.titles.Acquire(a.Title),
-		viewer: c.viewers.Acquire(a.Viewer)}
-	c.plays[p.id], c.asking[key] = p, p
+	c.playsTaken++
+	p := &play{id: fmt.Sprintf("%s-%x-%d", c.name, c.epoch, c.playsTaken), request: req, title: c.titles.Acquire(req.Title),
+		viewer: c.viewers.Acquire(req.Viewer)}
+	c.plays[p.id], c.pending[key] = p, p
 	c.counts.Taken++
-	h, res := c.mod.AddPlay(now, decision.Request{Product: a.Product, Title: p.title, Viewer: p.viewer, Deadline: a.Deadline,
-		Length: a.Length, FirstCell: a.FirstCell, CellCount: a.CellCount, MaxRung: a.MaxRung, Key: decision.HashName(a.Title), Moved: isMoved, Retry: a.Previous != nil})
-	c.enter(p, h)
-	c.carry(now, res)
+	h, res := c.policy.AddPlay(now, decision.Request{Product: req.Product, Title: p.title, Viewer: p.viewer, Deadline: req.Deadline,
+		Length: req.Length, FirstCell: req.FirstCell, CellCount: req.CellCount, MaxRung: req.MaxRung, Key: decision.HashName(req.Title), Moved: isMoved, Retry: req.Previous != nil})
+	c.indexPlay(p, h)
+	c.execute(now, res)
 }
 
-const busy = "the same viewer's request is being answered"
+const busyReason = "the same viewer's request is being answered"
 
-func (c *Core) deny(a Request, why string) {
+func (c *Core) deny(req Request, reason string) {
 	c.counts.Denied++
-	a.Reply.Resolve(Answer{Verdict: Denied, Reason: why, Busy: why == busy})
+	req.Reply.Resolve(Answer{Verdict: Denied, Reason: reason, Busy: reason == busyReason})
 }
 
-// Subscribe lets a viewer who was away hear of its play again, in place of who did. It returns the play as it is now,
-// if it plays, or how it ended, if that is remembered; neither if this front does not know it.
-func (c *Core) Subscribe(id string, f func(Event)) (ans Answer, plays bool, how playlog.EndReason) {
-	how, p := c.recall(id)
+// Subscribe replaces the event handler of a running play, for a viewer who reconnects. It returns the current state of
+// the play if it is running, or else why it ended. Both are empty if this front end doesn't know the play.
+func (c *Core) Subscribe(id string, onEvent func(Event)) (ans Answer, isPlaying bool, reason playlog.EndReason) {
+	reason, p := c.lookUp(id)
 	if p == nil || p.stage != playing {
-		return Answer{}, false, how
+		return Answer{}, false, reason
 	}
-	p.follow(f)
+	p.setEventHandler(onEvent)
 	return c.answer(p, ""), true, ""
 }
 
-// Unsubscribe says that nobody hears of a play any more.
+// Unsubscribe removes the event handler of a play.
 func (c *Core) Unsubscribe(id string) {
 	if p := c.plays[id]; p != nil {
-		p.ask.OnEvent = nil
+		p.request.OnEvent = nil
 	}
 }
 
-// RequestWithdrawn says that nobody waits for a request's answer any more, as its client left or its time
-// ran out. A play that was answered meanwhile is ended.
+// RequestWithdrawn records that nobody waits for a request's answer any more, because its client left or its time limit
+// passed. It has no effect on a play that was answered before its reply was withdrawn.
 func (c *Core) RequestWithdrawn(now int64, r *Reply) {
-	for _, p := range c.asking { // at most one has this reply
-		if p.ask.Reply == r {
-			c.leave(now, p)
+	for _, p := range c.pending { // at most one has this reply
+		if p.request.Reply == r {
+			c.abandon(now, p)
 			return
 		}
 	}
 }
 
-// leave takes a play from its viewer.
-func (c *Core) leave(now int64, p *play) {
-	if p.left {
+// abandon gives up an unanswered play because its viewer no longer waits.
+func (c *Core) abandon(now int64, p *play) {
+	if p.viewerLeft {
 		return
 	}
-	p.left = true
-	res := c.mod.ViewerLeft(now, p.h)
+	p.viewerLeft = true
+	res := c.policy.ViewerLeft(now, p.handle)
 	if p.stage == waiting {
 		c.finish(now, p, playlog.Served)
 	}
-	c.carry(now, res)
+	c.execute(now, res)
 }
 
-// EndPlay ends a play whose answer did not reach its viewer, or whom the viewer ended.
+// EndPlay ends a play that its viewer ended or whose answer didn't reach its viewer.
 func (c *Core) EndPlay(now int64, id string) {
 	p := c.plays[id]
 	if p == nil {
 		return
 	}
 	if p.stage == playing {
-		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
+		c.endPlaying(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
-	c.leave(now, p)
+	c.abandon(now, p)
 }
 
-// endAt ends a playing play at its node and for the module.
-func (c *Core) endAt(now int64, p *play, why string, how decision.Outcome, as playlog.EndReason) {
-	c.out.End(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, why)
-	res := c.mod.AttemptEnded(now, p.h, p.number(), how, true, decision.UnknownLoad)
-	c.finish(now, p, as)
-	c.carry(now, res)
+// endPlaying ends a running play at its node and in the policy.
+func (c *Core) endPlaying(now int64, p *play, message string, outcome decision.Outcome, reason playlog.EndReason) {
+	c.transport.End(Ref{p.id, p.attempt, p.node}, c.nodes[p.node].address, message)
+	res := c.policy.AttemptEnded(now, p.handle, p.policyAttempt(), outcome, true, decision.UnknownLoad)
+	c.finish(now, p, reason)
+	c.execute(now, res)
 }
 
-// NotDelivered says that a viewer is not delivered: its play ends there, to be placed anew when it asks again.
+// NotDelivered handles a viewer's report that the node doesn't deliver its play. The play is ended and can be set up
+// again when the viewer returns with its token.
 func (c *Core) NotDelivered(now int64, id string) {
 	if p := c.plays[id]; p != nil && p.stage == playing {
-		c.nodeGaveUp(now, p)
+		c.nodeFailed(now, p)
 	}
 }
 
-// nodeGaveUp takes a viewer's word that the node does not deliver.
-func (c *Core) nodeGaveUp(now int64, p *play) {
+// nodeFailed ends a running play whose viewer reports that the node doesn't deliver it.
+func (c *Core) nodeFailed(now int64, p *play) {
 	c.counts.Lost++
-	c.endAt(now, p, "viewer says it broke", decision.ConnectionLost, playlog.Broken)
+	c.endPlaying(now, p, "viewer says it broke", decision.ConnectionLost, playlog.Broken)
 }
 
-// Started says that a node set an allocation up, in which life of its process, with which mark of
-// its own count of starts, and at which rung it plays.
-func (c *Core) Started(now int64, r Ref, life, mark int64, rung int, load decision.Load) {
-	p := c.at(r, settingUp)
+// Started records that a node set up an allocation: in which process instance, at which value of the instance's start
+// counter, and at which rung.
+func (c *Core) Started(now int64, r Ref, instance, startSeq int64, rung int, load decision.Load) {
+	p := c.playInStage(r, settingUp)
 	if p == nil {
-		c.orphan(r)
+		c.endOrphan(r)
 		return
 	}
-	p.stage, p.life, p.mark = playing, life, mark
-	c.free(p)
-	if p.left { // the module still counts a set-up: its end is called off
-		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
+	p.stage, p.instance, p.startSeq = playing, instance, startSeq
+	c.clearPending(p)
+	if p.viewerLeft { // the policy still counts the set-up and expects it to end as canceled
+		c.endPlaying(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
-	c.carry(now, c.mod.AttemptStarted(now, p.h, r.Attempt))
+	c.execute(now, c.policy.AttemptStarted(now, p.handle, r.Attempt))
 	if c.plays[p.id] == nil {
 		return
 	}
 	if load != decision.UnknownLoad {
-		c.carry(now, c.mod.LoadReported(now, p.h, load))
+		c.execute(now, c.policy.LoadReported(now, p.handle, load))
 	}
-	if rung != p.rung { // an order to change it overtook the set-up
-		p.seq++
-		c.out.SetRung(r, c.nodes[p.node].address, p.rung, p.seq)
+	if rung != p.rung { // the rung was changed while the set-up was in flight
+		p.rungSeq++
+		c.transport.SetRung(r, c.nodes[p.node].address, p.rung, p.rungSeq)
 	}
-	if !p.ask.Reply.Resolve(c.answer(p, "")) { // withdrawn in the same moment: nobody will watch it
-		c.endAt(now, p, "viewer left", decision.Canceled, playlog.Served)
+	if !p.request.Reply.Resolve(c.answer(p, "")) { // withdrawn concurrently: nobody will watch the play
+		c.endPlaying(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
 	c.counts.Plays++
-	c.heard(p)
-	if p.ask.Previous != nil { // its token is used up only now: a viewer declined may try again with it
-		c.remember(now, p.ask.Previous.Play, playlog.Returned)
+	c.viewerAnswered(p)
+	if p.request.Previous != nil { // the token is used up only now, so that a declined viewer can retry with it
+		c.rememberEnd(now, p.request.Previous.Play, playlog.Returned)
 	}
-	if p.early != nil {
-		c.PlayEnded(now, r, *p.early)
+	if p.earlyEnd != nil {
+		c.PlayEnded(now, r, *p.earlyEnd)
 	}
 }
 
-// orphan ends what a node runs and this front knows nothing of, or gave up.
-func (c *Core) orphan(r Ref) {
+// endOrphan ends an allocation at a node that this front end has abandoned or doesn't know.
+func (c *Core) endOrphan(r Ref) {
 	c.counts.Orphans++
 	if r.Node < len(c.nodes) && c.nodes[r.Node].address != "" {
-		c.out.End(r, c.nodes[r.Node].address, "given up before")
+		c.transport.End(r, c.nodes[r.Node].address, "given up before")
 	}
 }
 
-// SetUpEnded says how a set-up ended that did not start.
-func (c *Core) SetUpEnded(now int64, r Ref, how decision.Outcome, load decision.Load) {
-	p := c.at(r, settingUp)
+// SetUpEnded records the outcome of a set-up that didn't start.
+func (c *Core) SetUpEnded(now int64, r Ref, outcome decision.Outcome, load decision.Load) {
+	p := c.playInStage(r, settingUp)
 	if p == nil {
 		return
 	}
 	p.stage = waiting
-	p.mayHave = p.mayHave || how.MayHaveRun()
-	c.nodes[p.node].plays--
-	res := c.mod.AttemptEnded(now, p.h, r.Attempt, how, p.left, load)
-	if p.left {
+	p.mayHaveRun = p.mayHaveRun || outcome.MayHaveRun()
+	c.nodes[p.node].playCount--
+	res := c.policy.AttemptEnded(now, p.handle, r.Attempt, outcome, p.viewerLeft, load)
+	if p.viewerLeft {
 		c.finish(now, p, playlog.Served)
 	}
-	c.carry(now, res)
+	c.execute(now, res)
 }
 
-// PlayEnded says that a node ended a play: Served when its time was over or its viewer stopped.
-func (c *Core) PlayEnded(now int64, r Ref, how decision.Outcome) {
-	if p := c.at(r, settingUp); p != nil { // the stream overtook the answer to the set-up
-		p.early = &how
+// PlayEnded records that a play ended at its node; the outcome is Served if it reached its end or its viewer stopped it.
+func (c *Core) PlayEnded(now int64, r Ref, outcome decision.Outcome) {
+	if p := c.playInStage(r, settingUp); p != nil { // the stream reported the end before the answer to the set-up arrived
+		p.earlyEnd = &outcome
 		return
 	}
-	if p := c.at(r, playing); p != nil {
-		as := playlog.Served
-		if how != decision.Served {
-			as = playlog.Broken
+	if p := c.playInStage(r, playing); p != nil {
+		reason := playlog.Served
+		if outcome != decision.Served {
+			reason = playlog.Broken
 			c.counts.Lost++
 		}
-		res := c.mod.AttemptEnded(now, p.h, p.number(), how, true, decision.UnknownLoad)
-		c.finish(now, p, as)
-		c.carry(now, res)
+		res := c.policy.AttemptEnded(now, p.handle, p.policyAttempt(), outcome, true, decision.UnknownLoad)
+		c.finish(now, p, reason)
+		c.execute(now, res)
 	}
 }
 
-// DeliveryReported brings the share of its rate that a play is delivered.
+// DeliveryReported records the share of a play's rate that is being delivered.
 func (c *Core) DeliveryReported(now int64, r Ref, share float64) {
-	if p := c.at(r, playing); p != nil {
-		c.carry(now, c.mod.DeliveryReported(now, p.h, share))
+	if p := c.playInStage(r, playing); p != nil {
+		c.execute(now, c.policy.DeliveryReported(now, p.handle, share))
 	}
 }
 
-// LoadReported brings a note of what is asked of the link or uplink of a play's node.
+// LoadReported records a report of the load on a play's node, its link or its uplink.
 func (c *Core) LoadReported(now int64, r Ref, load decision.Load) {
-	if p := c.at(r, playing); p != nil {
-		c.carry(now, c.mod.LoadReported(now, p.h, load))
+	if p := c.playInStage(r, playing); p != nil {
+		c.execute(now, c.policy.LoadReported(now, p.handle, load))
 	}
 }
 
-// ProbeEnded brings the end of a probe.
-func (c *Core) ProbeEnded(now int64, at int, how decision.Outcome, load decision.Load) {
-	if at < len(c.nodes) && c.nodes[at].probing {
-		c.nodes[at].probing = false
-		c.carry(now, c.mod.ProbeEnded(now, at, how, load))
+// ProbeEnded records the outcome of a probe.
+func (c *Core) ProbeEnded(now int64, index int, outcome decision.Outcome, load decision.Load) {
+	if index < len(c.nodes) && c.nodes[index].probing {
+		c.nodes[index].probing = false
+		c.execute(now, c.policy.ProbeEnded(now, index, outcome, load))
 	}
 }
 
-// StreamOpened brings the first word of a stream from a node: what it calls itself, which life of its process it is, its count
-// of starts, and what it runs for this front. Plays of an earlier life of this front are adopted,
-// those that this life gave up are ended, and those that the node does not run any more are lost.
-func (c *Core) StreamOpened(now int64, at int, calls string, life, mark int64, runs []Running) {
-	if at >= len(c.nodes) || !c.nodes[at].followed {
+// StreamOpened handles the first message on a stream from a node: the node's own name, its process instance, the value of
+// its start counter and the plays it runs for this front end. Plays of an earlier run of this front end are adopted,
+// plays that this run has abandoned are ended, and plays that the node no longer runs are lost.
+func (c *Core) StreamOpened(now int64, index int, reportedName string, instance, startSeq int64, running []Running) {
+	if index >= len(c.nodes) || !c.nodes[index].keepStream {
 		return
 	}
-	c.fleet.Confirmed(now, c.nodes[at].name, calls)
-	defer c.learn(now)
-	if calls != "" && calls != c.nodes[at].name { // another node at its address: what that one runs is no business of this one's
+	c.fleet.Confirmed(now, c.nodes[index].name, reportedName)
+	defer c.syncMembership(now)
+	if reportedName != "" && reportedName != c.nodes[index].name { // another node now has this address; ignore its plays
 		return
 	}
-	c.watch.StreamOpened(now, at)
-	c.nodes[at].life = life
-	still := make(map[string]bool, len(runs))
-	for _, r := range runs {
-		still[r.Play] = true
-		switch recovery.Reconcile(c.standing(r.Play, Ref{r.Play, r.Attempt, at}), r.Epoch < c.epoch, r.Product >= 0) {
+	c.monitor.StreamOpened(now, index)
+	c.nodes[index].instance = instance
+	reported := make(map[string]bool, len(running))
+	for _, r := range running {
+		reported[r.Play] = true
+		switch recovery.Reconcile(c.recoveryState(r.Play, Ref{r.Play, r.Attempt, index}), r.Epoch < c.epoch, r.Product >= 0) {
 		case recovery.Confirm:
 			p := c.plays[r.Play]
-			p.life, p.mark, p.seq, p.rung = life, mark, r.Seq, r.Rung
-			c.carry(now, c.mod.RungReported(now, p.h, r.Rung))
+			p.instance, p.startSeq, p.rungSeq, p.rung = instance, startSeq, r.Seq, r.Rung
+			c.execute(now, c.policy.RungReported(now, p.handle, r.Rung))
 		case recovery.Adopt:
-			c.adopt(now, at, life, mark, r)
+			c.adopt(now, index, instance, startSeq, r)
 		case recovery.End:
-			c.orphan(Ref{Play: r.Play, Attempt: r.Attempt, Node: at})
+			c.endOrphan(Ref{Play: r.Play, Attempt: r.Attempt, Node: index})
 		}
 	}
-	for _, p := range c.runningAt(at) {
-		if !still[p.id] && recovery.MissingIsOver(p.life == life, p.mark <= mark) {
-			c.PlayEnded(now, Ref{p.id, p.try, at}, decision.ConnectionLost)
+	for _, p := range c.playingOn(index) {
+		if !reported[p.id] && recovery.MissingIsOver(p.instance == instance, p.startSeq <= startSeq) {
+			c.PlayEnded(now, Ref{p.id, p.attempt, index}, decision.ConnectionLost)
 		}
 	}
 }
 
-func (c *Core) adopt(now int64, at int, life, mark int64, r Running) *play {
+func (c *Core) adopt(now int64, index int, instance, startSeq int64, r Running) *play {
 	c.counts.Adopted++
-	p := &play{id: r.Play, stage: playing, node: at, life: life, mark: mark, try: r.Attempt, rung: r.Rung, seq: r.Seq,
+	p := &play{id: r.Play, stage: playing, node: index, instance: instance, startSeq: startSeq, attempt: r.Attempt, rung: r.Rung, rungSeq: r.Seq,
 		adopted: true, title: c.titles.Acquire(r.Title), viewer: c.viewers.Acquire(r.Viewer),
-		ask: Request{Product: r.Product, Title: r.Title, FirstCell: r.FirstCell, CellCount: r.CellCount, Viewer: r.Viewer, MaxRung: r.MaxRung,
+		request: Request{Product: r.Product, Title: r.Title, FirstCell: r.FirstCell, CellCount: r.CellCount, Viewer: r.Viewer, MaxRung: r.MaxRung,
 			Length: r.TimeLeft}}
 	c.plays[p.id] = p
-	c.nodes[at].plays++
-	h, res := c.mod.AdoptPlay(now, decision.Request{Product: r.Product, Title: p.title, Viewer: p.viewer, Deadline: now,
-		Length: r.TimeLeft, FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Key: decision.HashName(r.Title)}, at)
-	c.enter(p, h)
-	c.carry(now, res)
-	c.carry(now, c.mod.RungReported(now, p.h, r.Rung))
+	c.nodes[index].playCount++
+	h, res := c.policy.AdoptPlay(now, decision.Request{Product: r.Product, Title: p.title, Viewer: p.viewer, Deadline: now,
+		Length: r.TimeLeft, FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Key: decision.HashName(r.Title)}, index)
+	c.indexPlay(p, h)
+	c.execute(now, res)
+	c.execute(now, c.policy.RungReported(now, p.handle, r.Rung))
 	return p
 }
 
-// SetSender sets how messages to other fronts are sent; it must not block, nor keep the bytes. Without it none are.
-func (c *Core) SetSender(tell func(to int, bytes []byte)) { c.tell = tell }
+// SetSender sets the function that sends messages to other front ends. It must neither block nor retain the bytes.
+// Without it no messages are sent.
+func (c *Core) SetSender(send func(to int, bytes []byte)) { c.send = send }
 
-// MessageReceived brings a message of another front.
+// MessageReceived handles a message from another front end.
 func (c *Core) MessageReceived(now int64, from int, bytes []byte) {
-	c.carry(now, c.mod.MessageReceived(now, from, bytes))
+	c.execute(now, c.policy.MessageReceived(now, from, bytes))
 }
 
-// StreamActive says that something came on a node's stream.
-func (c *Core) StreamActive(now int64, at int) { c.watch.StreamActive(now, at) }
+// StreamActive records that something was received on a node's stream.
+func (c *Core) StreamActive(now int64, index int) { c.monitor.StreamActive(now, index) }
 
-// StreamBroke says that a stream ended or could not be opened; gone, that the connection was refused
-// outright, so that no process is there.
-func (c *Core) StreamBroke(now int64, at int, gone bool) {
-	if at >= len(c.nodes) || !c.nodes[at].followed {
+// StreamBroke records that a stream ended or could not be opened; refused, that the node's machine refused the
+// connection, so that no process is there.
+func (c *Core) StreamBroke(now int64, index int, refused bool) {
+	if index >= len(c.nodes) || !c.nodes[index].keepStream {
 		return
 	}
-	c.fleet.Disconnected(now, c.nodes[at].name)
-	defer c.learn(now)
-	dialAt, ended := c.watch.StreamBroke(now, at, gone)
+	c.fleet.Disconnected(now, c.nodes[index].name)
+	defer c.syncMembership(now)
+	dialAt, ended := c.monitor.StreamBroke(now, index, refused)
 	if ended {
-		c.loseAll(now, at)
+		c.losePlaysOn(now, index)
 	}
-	c.follow(now, at, dialAt)
+	c.updateStream(now, index, dialAt)
 }
 
-// loseAll ends the plays of a node that can't run them any more.
-func (c *Core) loseAll(now int64, at int) {
-	for _, p := range c.runningAt(at) {
-		c.PlayEnded(now, Ref{p.id, p.try, at}, decision.ConnectionLost)
+// losePlaysOn records the end of all plays on a node that can't be running them any more.
+func (c *Core) losePlaysOn(now int64, index int) {
+	for _, p := range c.playingOn(index) {
+		c.PlayEnded(now, Ref{p.id, p.attempt, index}, decision.ConnectionLost)
 	}
 }
 
-// runningAt are the plays that play at a node, in the order of their places.
-func (c *Core) runningAt(at int) (on []*play) {
-	if c.nodes[at].plays == 0 {
+// playingOn returns the running plays on a node, in the order of their handles.
+func (c *Core) playingOn(index int) (found []*play) {
+	if c.nodes[index].playCount == 0 {
 		return nil
 	}
-	for _, p := range c.places {
-		if p != nil && p.stage == playing && p.node == at {
-			on = append(on, p)
+	for _, p := range c.playsByIndex {
+		if p != nil && p.stage == playing && p.node == index {
+			found = append(found, p)
 		}
 	}
-	return on
+	return found
 }
 
-// follow keeps the stream of a node open while the list has it or plays run there.
-func (c *Core) follow(now int64, at int, dialAt int64) {
-	n := &c.nodes[at]
-	n.followed = n.listed || n.plays > 0
-	if n.followed {
-		c.out.OpenStream(at, n.address, dialAt)
+// updateStream opens the stream of a node at dialAt if the node is listed or has plays.
+func (c *Core) updateStream(now int64, index int, dialAt int64) {
+	n := &c.nodes[index]
+	n.keepStream = n.listed || n.playCount > 0
+	if n.keepStream {
+		c.transport.OpenStream(index, n.address, dialAt)
 	}
 }
 
-// UpdateList brings the whole list of nodes, or what changed of it, from a list service that counts no versions.
-func (c *Core) UpdateList(now int64, lines []NodeEntry, whole bool) {
-	c.UpdateMembership(now, membership.Update{Source: membership.List, Full: whole, Entries: lines})
+// UpdateList applies the full list of nodes, or changes to it, from a list service that doesn't number its versions.
+func (c *Core) UpdateList(now int64, entries []NodeEntry, full bool) {
+	c.UpdateMembership(now, membership.Update{Source: membership.List, Full: full, Entries: entries})
 }
 
-// UpdateMembership brings what a source says of the fleet, and tells whether it counts.
-func (c *Core) UpdateMembership(now int64, w membership.Update) bool {
-	counts := c.fleet.Apply(now, w)
-	c.learn(now)
-	return counts
+// UpdateMembership applies what a source reports of the fleet, and tells whether it was accepted.
+func (c *Core) UpdateMembership(now int64, update membership.Update) bool {
+	accepted := c.fleet.Apply(now, update)
+	c.syncMembership(now)
+	return accepted
 }
 
-// NodeStates are what the front believes of its fleet.
+// NodeStates returns the front end's view of its fleet.
 func (c *Core) NodeStates(now int64) []membership.NodeState { return c.fleet.NodeStates(now) }
 
-// ListReceived tells that the list service has spoken in this life.
+// ListReceived tells whether the list service has reported since the front end started.
 func (c *Core) ListReceived() bool { return c.fleet.HasReported(membership.List) }
 
-// ListSnapshot is the list as it is worth writing down.
-func (c *Core) ListSnapshot() (version int64, lines []NodeEntry) { return c.fleet.Snapshot() }
+// ListSnapshot returns the node list for storage.
+func (c *Core) ListSnapshot() (version int64, entries []NodeEntry) { return c.fleet.Snapshot() }
 
-// learn takes over what the membership holds now.
-func (c *Core) learn(now int64) {
-	lines, wake := c.fleet.Due(now)
-	c.fleetAt = wake
-	if wake > 0 && (c.wakeAt == 0 || wake < c.wakeAt) {
-		c.wakeAt = wake
+// syncMembership applies the membership changes that are due.
+func (c *Core) syncMembership(now int64) {
+	entries, wakeAt := c.fleet.Due(now)
+	c.fleetWakeAt = wakeAt
+	if wakeAt > 0 && (c.wakeAt == 0 || wakeAt < c.wakeAt) {
+		c.wakeAt = wakeAt
 	}
-	if len(lines) > 0 {
-		c.take(now, lines)
+	if len(entries) > 0 {
+		c.applyNodes(now, entries)
 	}
 }
 
-// take tells the module and the streams of nodes that changed.
-func (c *Core) take(now int64, lines []NodeEntry) {
-	c.list = c.list[:0]
-	for _, l := range lines {
-		at, ok := c.nodeAt[l.Name]
+// applyNodes passes changed nodes to the policy and opens or closes their streams.
+func (c *Core) applyNodes(now int64, entries []NodeEntry) {
+	c.nodeUpdates = c.nodeUpdates[:0]
+	for _, entry := range entries {
+		index, ok := c.nodeIndexes[entry.Name]
 		if !ok {
-			if l.Phase == decision.Gone {
+			if entry.Phase == decision.Gone {
 				continue
 			}
-			at = c.newNode(l.Name)
+			index = c.newNode(entry.Name)
 		}
-		n := &c.nodes[at]
-		n.listed, n.phase = l.Phase != decision.Gone, l.Phase
-		if n.address != l.Address && n.followed {
-			c.out.CloseStream(at) // dialled again at its new address once the old stream has ended
+		n := &c.nodes[index]
+		n.listed, n.phase = entry.Phase != decision.Gone, entry.Phase
+		if n.address != entry.Address && n.keepStream {
+			c.transport.CloseStream(index) // StreamBroke then dials the new address
 		}
-		n.address = l.Address
-		if !n.followed && n.listed {
-			c.follow(now, at, c.watch.FirstDial(now, len(lines)))
+		n.address = entry.Address
+		if !n.keepStream && n.listed {
+			c.updateStream(now, index, c.monitor.FirstDial(now, len(entries)))
 		}
-		c.list = append(c.list, decision.Node{Index: at, Phase: l.Phase, Kind: l.Kind, Zone: l.Zone, Cell: l.Cell,
-			StartedAt: l.StartedAt, Weight: l.Weight, Key: decision.HashName(n.name)})
+		c.nodeUpdates = append(c.nodeUpdates, decision.Node{Index: index, Phase: entry.Phase, Kind: entry.Kind, Zone: entry.Zone, Cell: entry.Cell,
+			StartedAt: entry.StartedAt, Weight: entry.Weight, Key: decision.HashName(n.name)})
 	}
-	c.listed = c.listed[:0]
+	c.listedNodes = c.listedNodes[:0]
 	for i := range c.nodes {
 		if c.nodes[i].listed {
-			c.listed = append(c.listed, i)
+			c.listedNodes = append(c.listedNodes, i)
 		}
 	}
-	c.carry(now, c.mod.UpdateNodes(now, c.list, false))
-	if len(c.expected) > 0 && len(c.listed) > 0 {
-		c.takeOver(now)
-	} else if len(c.listed) > 0 {
+	c.execute(now, c.policy.UpdateNodes(now, c.nodeUpdates, false))
+	if len(c.expected) > 0 && len(c.listedNodes) > 0 {
+		c.adoptExpected(now)
+	} else if len(c.listedNodes) > 0 {
 		c.expected = nil
 	}
 }
 
-func (c *Core) newNode(name string) (at int) {
-	if k := len(c.freed); k > 0 {
-		at, c.freed = c.freed[k-1], c.freed[:k-1]
+func (c *Core) newNode(name string) (index int) {
+	if k := len(c.freeNodes); k > 0 {
+		index, c.freeNodes = c.freeNodes[k-1], c.freeNodes[:k-1]
 	} else {
-		at = len(c.nodes)
+		index = len(c.nodes)
 		c.nodes = append(c.nodes, node{})
 	}
-	c.nodes[at] = node{name: name}
-	c.nodeAt[name] = at
-	return at
+	c.nodes[index] = node{name: name}
+	c.nodeIndexes[name] = index
+	return index
 }
 
-// Wake does what is due: the module's own checks, streams gone silent, and numbers to give back.
+// Wake does what is due: the policy's own checks, silent streams, expired leases, and numbers to be reused.
 func (c *Core) Wake(now int64) {
 	c.wakeAt = 0
-	c.carry(now, c.mod.Wake(now))
-	if c.fleetAt > 0 {
-		c.learn(now)
+	c.execute(now, c.policy.Wake(now))
+	if c.fleetWakeAt > 0 {
+		c.syncMembership(now)
 	}
-	c.letGo(now)
-	for at := range c.nodes {
-		n := &c.nodes[at]
+	c.releaseDue(now)
+	for index := range c.nodes {
+		n := &c.nodes[index]
 		if n.name == "" {
 			continue
 		}
-		if n.followed && c.watch.Silent(now, at) {
-			c.out.CloseStream(at)
+		if n.keepStream && c.monitor.Silent(now, index) {
+			c.transport.CloseStream(index)
 		}
-		if c.watch.LeaseExpired(now, at) {
-			c.loseAll(now, at)
+		if c.monitor.LeaseExpired(now, index) {
+			c.losePlaysOn(now, index)
 		}
-		if !n.listed && n.plays == 0 && !n.probing {
-			if n.followed {
-				n.followed = false
-				c.out.CloseStream(at)
+		if !n.listed && n.playCount == 0 && !n.probing {
+			if n.keepStream {
+				n.keepStream = false
+				c.transport.CloseStream(index)
 			}
-			if c.mod.ForgetNode(now, at) {
-				delete(c.nodeAt, n.name)
-				c.watch.Forget(at)
+			if c.policy.ForgetNode(now, index) {
+				delete(c.nodeIndexes, n.name)
+				c.monitor.Forget(index)
 				*n = node{}
-				c.freed = append(c.freed, at)
+				c.freeNodes = append(c.freeNodes, index)
 			}
 		}
 	}
-	c.viewers.Sweep(sweepMost, func(i int) bool { return c.mod.ForgetViewer(now, i) })
-	c.titles.Sweep(sweepMost, func(int) bool { return true })
-	c.forget(now)
+	c.viewers.Sweep(sweepLimit, func(i int) bool { return c.policy.ForgetViewer(now, i) })
+	c.titles.Sweep(sweepLimit, func(int) bool { return true })
+	c.expireEnded(now)
 }
 
-// ---- The front's end ----
+// ---- Shutdown ----
 
-// BeginShutdown begins an orderly end: nothing new is taken, and what is not waited for until the end is answered.
+// BeginShutdown begins an orderly shutdown that is to be over at end. From then on new requests are declined. Unanswered
+// requests are answered at once, except those that package shutdown decides to wait for.
 func (c *Core) BeginShutdown(now, end int64) {
-	c.parting = true
+	c.shuttingDown = true
 	for _, p := range c.unanswered() {
-		c.giveUp(now, p, shutdown.Decide(now, end, c.request(p)))
+		c.applyShutdown(now, p, shutdown.Decide(now, end, c.shutdownRequest(p)))
 	}
 }
 
-// Close answers what still waits for an answer, as the front can't wait longer.
+// Close answers all requests that are still unanswered, as the front end can't wait any longer.
 func (c *Core) Close(now int64) {
-	c.parting = true
+	c.shuttingDown = true
 	for _, p := range c.unanswered() {
-		c.giveUp(now, p, shutdown.Expired(c.request(p)))
+		c.applyShutdown(now, p, shutdown.Expired(c.shutdownRequest(p)))
 	}
 }
 
-// ReleasePlays lets the plays that play go, one by one up to a time, as nobody takes this front's place.
+// ReleasePlays schedules the ends of all running plays, spread until the given end, as no other process takes over from
+// this front end.
 func (c *Core) ReleasePlays(now, end int64) {
 	var plays []shutdown.Play
 	var ids []string
-	for i, p := range c.places {
+	for i, p := range c.playsByIndex {
 		if p != nil && p.stage == playing {
-			plays = append(plays, shutdown.Play{Importance: c.importance(p.ask.Product), Key: i})
+			plays = append(plays, shutdown.Play{Importance: c.importance(p.request.Product), Key: i})
 			ids = append(ids, p.id)
 		}
 	}
-	order, at := shutdown.Release(now, end, plays)
-	for i, o := range order {
-		c.releases = append(c.releases, release{ids[o], at[i]})
+	order, times := shutdown.Release(now, end, plays)
+	for i, next := range order {
+		c.releases = append(c.releases, scheduledRelease{ids[next], times[i]})
 	}
-	c.letGo(now)
+	c.releaseDue(now)
 }
 
-// letGo ends the plays whose time has come.
-func (c *Core) letGo(now int64) {
+// releaseDue ends the plays whose scheduled release is due.
+func (c *Core) releaseDue(now int64) {
 	for len(c.releases) > 0 && c.releases[0].at <= now {
 		if p := c.plays[c.releases[0].id]; p != nil && p.stage == playing {
-			c.endAt(now, p, "the front retires", decision.Canceled, playlog.Broken)
+			c.endPlaying(now, p, "the front retires", decision.Canceled, playlog.Broken)
 		}
 		c.releases = c.releases[1:]
 	}
 }
 
-func (c *Core) unanswered() (all []*play) {
-	for _, p := range c.places {
-		if p != nil && p.stage != playing && !p.left {
-			all = append(all, p)
+func (c *Core) unanswered() (unanswered []*play) {
+	for _, p := range c.playsByIndex {
+		if p != nil && p.stage != playing && !p.viewerLeft {
+			unanswered = append(unanswered, p)
 		}
 	}
-	return all
+	return unanswered
 }
 
-func (c *Core) request(p *play) shutdown.Request {
-	return shutdown.Request{Deadline: p.ask.Deadline, Paid: c.paid(p.ask.Product), InFlight: p.stage == settingUp, MayHaveRun: p.mayHave}
+func (c *Core) shutdownRequest(p *play) shutdown.Request {
+	return shutdown.Request{Deadline: p.request.Deadline, Paid: c.paid(p.request.Product), InFlight: p.stage == settingUp, MayHaveRun: p.mayHaveRun}
 }
 
-func (c *Core) giveUp(now int64, p *play, v shutdown.Verdict) {
-	switch v {
+func (c *Core) applyShutdown(now int64, p *play, verdict shutdown.Verdict) {
+	switch verdict {
 	case shutdown.Wait:
 		return
 	case shutdown.Fail:
 		c.counts.Failed++
-		p.ask.Reply.Resolve(Answer{Verdict: Failed, Play: p.id, Reason: "the front is ending"})
+		p.request.Reply.Resolve(Answer{Verdict: Failed, Play: p.id, Reason: "the front is ending"})
 	case shutdown.Decline:
 		c.counts.Declined++
-		p.ask.Reply.Resolve(Answer{Verdict: Declined, Play: p.id, Reason: "the front is ending", RetryAfter: decision.Second})
+		p.request.Reply.Resolve(Answer{Verdict: Declined, Play: p.id, Reason: "the front is ending", RetryAfter: decision.Second})
 	}
-	c.leave(now, p)
+	c.abandon(now, p)
 }
 
-// ---- What the module ordered ----
+// ---- The policy's orders ----
 
-// carry hands on what a call decided, and then does what follows from it.
-func (c *Core) carry(now int64, res *decision.Result) {
-	if res.WakeAt > 0 && (c.wakeAt == 0 || res.WakeAt < c.wakeAt) { // a later call must not put off what an earlier one needs
+// execute carries out the result of a call on the policy.
+func (c *Core) execute(now int64, res *decision.Result) {
+	if res.WakeAt > 0 && (c.wakeAt == 0 || res.WakeAt < c.wakeAt) { // a later call must not postpone a wake-up that an earlier one asked for
 		c.wakeAt = res.WakeAt
 	}
 	var moves []*play
 	for i := range res.Orders {
-		o := &res.Orders[i]
-		p := c.places[o.Play.Index]
-		switch o.Action {
+		order := &res.Orders[i]
+		p := c.playsByIndex[order.Play.Index]
+		switch order.Action {
 		case decision.Place:
-			p.stage, p.node, p.rung, p.early = settingUp, o.Node, o.Rung, nil
-			p.try++
-			n := &c.nodes[o.Node]
-			n.plays++
-			c.out.SetUp(Allocation{Ref: Ref{p.id, p.try, o.Node}, Name: n.name, Address: n.address, Product: p.ask.Product,
-				Title: p.ask.Title, Viewer: p.ask.Viewer, Rung: o.Rung, MaxRung: p.ask.MaxRung, Seq: p.seq, Until: o.Until,
-				Length: p.ask.Length})
+			p.stage, p.node, p.rung, p.earlyEnd = settingUp, order.Node, order.Rung, nil
+			p.attempt++
+			n := &c.nodes[order.Node]
+			n.playCount++
+			c.transport.SetUp(Allocation{Ref: Ref{p.id, p.attempt, order.Node}, Name: n.name, Address: n.address, Product: p.request.Product,
+				Title: p.request.Title, Viewer: p.request.Viewer, Rung: order.Rung, MaxRung: p.request.MaxRung, Seq: p.rungSeq, Until: order.Until,
+				Length: p.request.Length})
 		case decision.Decline:
 			c.counts.Declined++
-			p.ask.Reply.Resolve(Answer{Verdict: Declined, Play: p.id, RetryAfter: o.RetryAfter, Reason: "no node can take it"})
+			p.request.Reply.Resolve(Answer{Verdict: Declined, Play: p.id, RetryAfter: order.RetryAfter, Reason: "no node can take it"})
 			c.finish(now, p, playlog.Served)
 		case decision.Fail:
 			c.counts.Failed++
-			p.ask.Reply.Resolve(Answer{Verdict: Failed, Play: p.id, Reason: "its set-up may have run and did not answer"})
+			p.request.Reply.Resolve(Answer{Verdict: Failed, Play: p.id, Reason: "its set-up may have run and did not answer"})
 			c.finish(now, p, playlog.Served)
 		case decision.SetRung:
-			p.rung = o.Rung
-			p.seq++
-			if p.stage == playing && p.ask.OnEvent != nil {
-				p.ask.OnEvent(Event{Answer: c.answer(p, "")})
+			p.rung = order.Rung
+			p.rungSeq++
+			if p.stage == playing && p.request.OnEvent != nil {
+				p.request.OnEvent(Event{Answer: c.answer(p, "")})
 			}
-			c.out.SetRung(Ref{p.id, p.try, p.node}, c.nodes[p.node].address, o.Rung, p.seq)
+			c.transport.SetRung(Ref{p.id, p.attempt, p.node}, c.nodes[p.node].address, order.Rung, p.rungSeq)
 		case decision.Move:
 			moves = append(moves, p)
 		case decision.Cancel:
-			c.out.Cancel(Ref{p.id, o.Attempt, p.node})
+			c.transport.Cancel(Ref{p.id, order.Attempt, p.node})
 		}
 	}
-	for _, at := range res.Probes {
-		c.nodes[at].probing = true
-		c.out.Probe(at, c.nodes[at].address)
+	for _, index := range res.Probes {
+		c.nodes[index].probing = true
+		c.transport.Probe(index, c.nodes[index].address)
 	}
-	if c.tell != nil {
-		for _, t := range res.Messages {
-			c.tell(t.To, t.Bytes)
+	if c.send != nil {
+		for _, message := range res.Messages {
+			c.send(message.To, message.Bytes)
 		}
 	}
-	for _, p := range moves { // the result is not read any more: the module may be called again
+	for _, p := range moves { // last, as endPlaying calls the policy again, which invalidates res
 		c.counts.Moved++
-		c.endAt(now, p, "moved", decision.Canceled, playlog.Moved)
+		c.endPlaying(now, p, "moved", decision.Canceled, playlog.Moved)
 	}
 }
 
-// ---- Records ----
+// ---- Tables of plays ----
 
-func (c *Core) enter(p *play, h decision.Handle) {
+func (c *Core) indexPlay(p *play, h decision.Handle) {
 	if !p.adopted {
-		p.try = -1
+		p.attempt = -1
 	}
-	p.h = h
-	for int(h.Index) >= len(c.places) {
-		c.places = append(c.places, nil)
+	p.handle = h
+	for int(h.Index) >= len(c.playsByIndex) {
+		c.playsByIndex = append(c.playsByIndex, nil)
 	}
-	c.places[h.Index] = p
+	c.playsByIndex[h.Index] = p
 }
 
-// at is the play of an allocation if that is its last and it is in this stage.
-func (c *Core) at(r Ref, s stage) *play {
-	if p := c.plays[r.Play]; p != nil && p.try == r.Attempt && p.node == r.Node && p.stage == s {
+// playInStage returns the play of an allocation if that is its last and the play is in the given stage, or else nil.
+func (c *Core) playInStage(r Ref, want stage) *play {
+	if p := c.plays[r.Play]; p != nil && p.attempt == r.Attempt && p.node == r.Node && p.stage == want {
 		return p
 	}
 	return nil
 }
 
-func (c *Core) answer(p *play, why string) Answer {
+func (c *Core) answer(p *play, reason string) Answer {
 	n := &c.nodes[p.node]
-	return Answer{Verdict: Plays, Play: p.id, Node: n.name, Address: n.address, Title: p.ask.Title,
-		Product: p.ask.Product, Viewer: p.ask.Viewer, Rung: p.rung, MaxRung: p.ask.MaxRung, Reason: why}
+	return Answer{Verdict: Plays, Play: p.id, Node: n.name, Address: n.address, Title: p.request.Title,
+		Product: p.request.Product, Viewer: p.request.Viewer, Rung: p.rung, MaxRung: p.request.MaxRung, Reason: reason}
 }
 
-// free lets the same viewer ask for the title again.
-func (c *Core) free(p *play) {
-	if key := p.ask.key(); c.asking[key] == p {
-		delete(c.asking, key)
+// clearPending allows the same viewer to request the title again.
+func (c *Core) clearPending(p *play) {
+	if key := p.request.key(); c.pending[key] == p {
+		delete(c.pending, key)
 	}
 }
 
-// finish drops a play that the module has dropped.
-func (c *Core) finish(now int64, p *play, how playlog.EndReason) {
+// finish removes a play that is finished for the policy.
+func (c *Core) finish(now int64, p *play, reason playlog.EndReason) {
 	if c.plays[p.id] != p {
 		return
 	}
 	if p.stage != waiting {
-		c.nodes[p.node].plays--
+		c.nodes[p.node].playCount--
 	}
-	c.free(p)
-	if k := p.ask.key(); c.unheard[k] == p {
-		delete(c.unheard, k)
+	c.clearPending(p)
+	if k := p.request.key(); c.unacknowledged[k] == p {
+		delete(c.unacknowledged, k)
 	}
 	delete(c.plays, p.id)
-	c.places[p.h.Index] = nil
+	c.playsByIndex[p.handle.Index] = nil
 	c.titles.Release(p.title)
 	c.viewers.Release(p.viewer)
-	if p.stage == playing { // nobody holds a token of another
-		c.remember(now, p.id, how)
-		if p.ask.OnEvent != nil {
-			p.ask.OnEvent(Event{Ended: how, Answer: Answer{Play: p.id}})
+	if p.stage == playing { // otherwise no token was issued
+		c.rememberEnd(now, p.id, reason)
+		if p.request.OnEvent != nil {
+			p.request.OnEvent(Event{Ended: reason, Answer: Answer{Play: p.id}})
 		}
 	} else {
-		how = ""
+		reason = ""
 	}
-	if p.try >= 0 {
-		c.out.PlayFinished(p.id, p.ask.Product, how)
+	if p.attempt >= 0 {
+		c.transport.PlayFinished(p.id, p.request.Product, reason)
 	}
 }
 
-// remember keeps how a play ended for those who come back with its token, as long as one is good.
-func (c *Core) remember(now int64, id string, how playlog.EndReason) {
-	f := finished{id, now, how}
-	c.ended[id] = f
-	c.endings = append(c.endings, f)
-	if len(c.ended) > endedKept {
-		c.forget(now)
+// rememberEnd keeps why a play ended for viewers who return with its token, for as long as a token is valid.
+func (c *Core) rememberEnd(now int64, id string, reason playlog.EndReason) {
+	end := endedPlay{id, now, reason}
+	c.ended[id] = end
+	c.endedQueue = append(c.endedQueue, end)
+	if len(c.ended) > maxEndedPlays {
+		c.expireEnded(now)
 	}
 }
 
-func (c *Core) forget(now int64) {
-	old := func(f finished) bool { return now-f.at > endedFor || len(c.endings)-c.oldest > endedKept }
-	for c.oldest < len(c.endings) && old(c.endings[c.oldest]) {
-		if f := c.endings[c.oldest]; c.ended[f.id] == f {
-			delete(c.ended, f.id)
+func (c *Core) expireEnded(now int64) {
+	expired := func(end endedPlay) bool {
+		return now-end.at > endedPlayTTL || len(c.endedQueue)-c.endedHead > maxEndedPlays
+	}
+	for c.endedHead < len(c.endedQueue) && expired(c.endedQueue[c.endedHead]) {
+		if end := c.endedQueue[c.endedHead]; c.ended[end.id] == end {
+			delete(c.ended, end.id)
 		}
-		c.oldest++
+		c.endedHead++
 	}
-	if 2*c.oldest > len(c.endings) { // moved down seldom, or each wake would copy them all
-		c.endings = c.endings[:copy(c.endings, c.endings[c.oldest:])]
-		c.oldest = 0
+	if 2*c.endedHead > len(c.endedQueue) { // compact rarely, as otherwise each call of Wake would copy the queue
+		c.endedQueue = c.endedQueue[:copy(c.endedQueue, c.endedQueue[c.endedHead:])]
+		c.endedHead = 0
 	}
 }
 
-// recall is what is known of a play by its id.
-func (c *Core) recall(id string) (playlog.EndReason, *play) { return c.ended[id].how, c.plays[id] }
+// lookUp returns a play by its ID, or why it ended.
+func (c *Core) lookUp(id string) (playlog.EndReason, *play) { return c.ended[id].reason, c.plays[id] }
 
-// ownLife tells that a play was taken by this life of this front.
-func (c *Core) ownLife(id string) bool {
+// fromThisEpoch tells whether a play was accepted by this run of the front end.
+func (c *Core) fromThisEpoch(id string) bool {
 	prefix := fmt.Sprintf("%s-%x-", c.name, c.epoch)
 	return len(id) > len(prefix) && id[:len(prefix)] == prefix
 }
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -12,179 +12,181 @@
 	"gullrail/playlog"
 )
 
-// truth is the naive model of what a crash leaves: where each play of the earlier life really runs, whatever
-// was recorded.
-type truth struct {
+// modelPlay is the reference model of a play after a crash of the front end: where it really runs, whatever was
+// recorded.
+type modelPlay struct {
 	Running
-	node   int
-	runs   bool
-	booked bool // the record says that it is open
-	heard  bool
+	node     int
+	running  bool
+	recorded bool // the play log says that it has not ended
+	answered bool
 }
 
-// A front that starts again beside nodes that speak in any order, fall silent, are gone, or die meanwhile: what
-// really runs is held, so that its seat counts, from the first list on until its node ends it; what does
-// not run is let go once its node has spoken or its lease has passed; nothing is taken over twice; and a viewer
-// who asks again for a play that was never answered gets that play or is told to wait.
-func TestRecoveryAgainstANaiveModel(t *testing.T) {
+// A front end restarts while its nodes report in any order, disconnect or crash. Compared with a reference model:
+//   - a play that really runs is tracked, so that its seat counts: from the first node list on if it was recorded, or
+//     else from its node's report on, until it ends;
+//   - a play that doesn't run is dropped once its node has reported or its lease has expired;
+//   - no play is adopted twice;
+//   - a viewer who repeats the request of a play that was never answered gets that play or is told to wait.
+func TestRecoveryAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 4
-		now := start
-		rec := &recorder{dials: map[int]int64{}}
-		c := NewCore(now, "f", 5, placement.New(terms(), 1), rec, products{}, 1)
+		now := startTime
+		transport := &fakeTransport{dials: map[int]int64{}}
+		c := NewCore(now, "f", 5, placement.New(policySettings(), 1), transport, testProducts{}, 1)
 		lost := uint64(rapid.IntRange(0, 1).Draw(t, "lost"))
-		var plays []*truth
+		var plays []*modelPlay
 		var open []Expected
-		var past []playlog.EndedPlay
+		var ended []playlog.EndedPlay
 		for i := range rapid.IntRange(0, 8).Draw(t, "plays") {
-			p := &truth{Running: Running{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Attempt: rapid.IntRange(0, 2).Draw(t, "try"),
+			p := &modelPlay{Running: Running{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Attempt: rapid.IntRange(0, 2).Draw(t, "attempt"),
 				Product: 1, Title: fmt.Sprint("t", i), CellCount: 4, Viewer: fmt.Sprint("v", i), Rung: 1, MaxRung: 2}, node: rapid.IntRange(0, nodes-1).Draw(t, "node")}
-			// An allocation is recorded before it is sent; its end after it ended. So what runs is booked, unless
-			// records were lost.
-			p.runs = rapid.Bool().Draw(t, "runs")
-			p.booked = p.runs && (lost == 0 || rapid.Bool().Draw(t, "kept")) || !p.runs && rapid.Bool().Draw(t, "end lost")
-			p.heard = rapid.Bool().Draw(t, "heard")
+			// An allocation is recorded before it is sent, and its end after it has ended. A running play is therefore
+			// recorded unless records were lost.
+			p.running = rapid.Bool().Draw(t, "running")
+			p.recorded = p.running && (lost == 0 || rapid.Bool().Draw(t, "recorded")) || !p.running && rapid.Bool().Draw(t, "end lost")
+			p.answered = rapid.Bool().Draw(t, "answered")
 			plays = append(plays, p)
 			switch {
-			case p.booked:
-				open = append(open, Expected{p.Running, fmt.Sprint("n", p.node), p.heard})
-			case !p.runs:
-				past = append(past, playlog.EndedPlay{Play: p.Play, EndReason: playlog.Served})
+			case p.recorded:
+				open = append(open, Expected{p.Running, fmt.Sprint("n", p.node), p.answered})
+			case !p.running:
+				ended = append(ended, playlog.EndedPlay{Play: p.Play, EndReason: playlog.Served})
 			}
 		}
-		c.Recover(now, open, past, lost)
-		var lines []NodeEntry
+		c.Recover(now, open, ended, lost)
+		var entries []NodeEntry
 		for i := range nodes {
-			lines = append(lines, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
+			entries = append(entries, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
 		}
-		c.UpdateList(now, lines, true)
+		c.UpdateList(now, entries, true)
 		if c.Ready(now) != (lost == 0) {
 			t.Fatalf("ready %v with %d records lost", c.Ready(now), lost)
 		}
-		var spoken, gone [nodes]bool
-		heardAt := [nodes]int64{}
-		says := func(at int) (runs []Running) {
+		var reported, gone [nodes]bool
+		reportedAt := [nodes]int64{}
+		runningOn := func(node int) (reports []Running) {
 			for _, p := range plays {
-				if p.runs && p.node == at {
-					runs = append(runs, p.Running)
+				if p.running && p.node == node {
+					reports = append(reports, p.Running)
 				}
 			}
-			return runs
+			return reports
 		}
 		check := func(when string) {
 			for _, p := range plays {
-				held := c.plays[p.Play]
+				tracked := c.plays[p.Play]
 				switch {
-				case p.runs && (p.booked || spoken[p.node]) && held == nil:
-					t.Fatalf("%s: %s runs at %d and is not held", when, p.Play, p.node)
-				case held != nil && (held.node != p.node || held.try != p.Attempt):
-					t.Fatalf("%s: %s is held elsewhere", when, p.Play)
-				case held != nil && !p.runs && (spoken[p.node] || gone[p.node]):
-					t.Fatalf("%s: %s does not run, its node has told, and it is held", when, p.Play)
+				case p.running && (p.recorded || reported[p.node]) && tracked == nil:
+					t.Fatalf("%s: %s runs at node %d and is not tracked", when, p.Play, p.node)
+				case tracked != nil && (tracked.node != p.node || tracked.attempt != p.Attempt):
+					t.Fatalf("%s: %s is tracked with the wrong node or attempt", when, p.Play)
+				case tracked != nil && !p.running && (reported[p.node] || gone[p.node]):
+					t.Fatalf("%s: %s is still tracked although its node reported or was gone, and it doesn't run", when, p.Play)
 				}
 			}
 			if n := int(c.Counts().Adopted); n > len(plays) {
-				t.Fatalf("%s: %d taken over of %d", when, n, len(plays))
+				t.Fatalf("%s: %d plays adopted of %d", when, n, len(plays))
 			}
 		}
-		check("after the list")
+		check("after the node list")
 		for range rapid.IntRange(0, 20).Draw(t, "events") {
 			now += int64(rapid.IntRange(0, 20000).Draw(t, "pause"))
-			at := rapid.IntRange(0, nodes-1).Draw(t, "at")
+			node := rapid.IntRange(0, nodes-1).Draw(t, "event node")
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1:
-				if !gone[at] {
-					c.StreamOpened(now, at, "", 7, 100, says(at))
-					spoken[at], heardAt[at] = true, now
+				if !gone[node] {
+					c.StreamOpened(now, node, "", 7, 100, runningOn(node))
+					reported[node], reportedAt[node] = true, now
 				}
-			case 2: // its process dies
+			case 2: // the node's process dies
 				for _, p := range plays {
-					if p.node == at {
-						p.runs = false
+					if p.node == node {
+						p.running = false
 					}
 				}
-				gone[at] = true
-				c.StreamBroke(now, at, true)
-			case 3: // it is out of reach; it ends our plays when its lease passes, and not before
-				if !gone[at] && !spoken[at] {
-					c.StreamBroke(now, at, false)
+				gone[node] = true
+				c.StreamBroke(now, node, true)
+			case 3: // the node is unreachable and ends this front end's plays only when the lease expires
+				if !gone[node] && !reported[node] {
+					c.StreamBroke(now, node, false)
 				}
 			case 4:
 				if len(plays) == 0 {
 					break
 				}
-				p := plays[rapid.IntRange(0, len(plays)-1).Draw(t, "again")]
-				known := c.plays[p.Play]
+				p := plays[rapid.IntRange(0, len(plays)-1).Draw(t, "repeated play")]
+				tracked := c.plays[p.Play]
 				before := c.Counts().Taken
-				a := Request{Product: 1, Title: p.Title, CellCount: 4, Viewer: p.Viewer, Deadline: now + 4*decision.Second, MaxRung: 2, Reply: NewReply()}
-				c.RequestPlay(now, a)
-				if c.settledOrAtOnce() && p.booked && !p.heard && known != nil {
+				req := Request{Product: 1, Title: p.Title, CellCount: 4, Viewer: p.Viewer, Deadline: now + 4*decision.Second, MaxRung: 2, Reply: NewReply()}
+				c.RequestPlay(now, req)
+				if c.wasReady() && p.recorded && !p.answered && tracked != nil {
 					select {
-					case x := <-a.Reply.Answer():
-						if x.Verdict == Plays && x.Play != p.Play || x.Verdict == Declined || x.Verdict == Failed || c.Counts().Taken != before {
-							t.Fatalf("asked again for %s: %+v", p.Play, x)
+					case ans := <-req.Reply.Answer():
+						if ans.Verdict == Plays && ans.Play != p.Play || ans.Verdict == Declined || ans.Verdict == Failed || c.Counts().Taken != before {
+							t.Fatalf("repeated request of %s: %+v", p.Play, ans)
 						}
-						if x.Verdict == Plays {
-							p.heard = true
+						if ans.Verdict == Plays {
+							p.answered = true
 						}
 					default:
-						t.Fatalf("asked again for %s: taken as another", p.Play)
+						t.Fatalf("repeated request of %s: accepted as a new play", p.Play)
 					}
 				} else {
-					c.RequestWithdrawn(now, a.Reply)
+					c.RequestWithdrawn(now, req.Reply)
 				}
 			case 5:
 				c.Wake(now)
 			}
 			check("after an event")
 		}
-		// Each node now speaks, but those that never did, whose leases pass.
-		for at := range nodes {
-			if !spoken[at] && !gone[at] {
-				c.StreamBroke(now, at, false)
+		// The leases of all nodes that have not reported expire.
+		for node := range nodes {
+			if !reported[node] && !gone[node] {
+				c.StreamBroke(now, node, false)
 			}
 		}
 		now += liveness.Lease + 3*decision.Second
-		for at := range nodes {
-			if !spoken[at] {
+		for node := range nodes {
+			if !reported[node] {
 				for _, p := range plays {
-					if p.node == at {
-						p.runs = false
+					if p.node == node {
+						p.running = false
 					}
 				}
 			}
 		}
 		c.Wake(now)
 		for _, p := range plays {
-			if (c.plays[p.Play] != nil) != p.runs {
-				t.Fatalf("at last: %s runs %v, held %v", p.Play, p.runs, c.plays[p.Play] != nil)
+			if (c.plays[p.Play] != nil) != p.running {
+				t.Fatalf("after all leases expired: %s running %v, tracked %v", p.Play, p.running, c.plays[p.Play] != nil)
 			}
 		}
-		if !c.Ready(now) || rec.settled != 1 {
-			t.Fatalf("ready %v, settled %d times", c.Ready(now), rec.settled)
+		if !c.Ready(now) || transport.recoveries != 1 {
+			t.Fatalf("ready %v, RecoveryDone called %d times", c.Ready(now), transport.recoveries)
 		}
 	})
 }
 
-func (c *Core) settledOrAtOnce() bool { return c.counts.Ready }
+func (c *Core) wasReady() bool { return c.counts.Ready }
 
-func TestTokensEndedStayEndedOverACrash(t *testing.T) {
-	c := NewCore(start, "f", 2, placement.New(terms(), 1), &recorder{dials: map[int]int64{}}, products{}, 1)
-	c.Recover(start, nil, []playlog.EndedPlay{{Play: "f-1-1", EndReason: playlog.Returned}, {Play: "f-1-2", EndReason: playlog.Served}, {Play: "f-1-3", EndReason: playlog.Moved}}, 0)
-	c.UpdateList(start, []NodeEntry{{Name: "n0", Address: "a0", Weight: 1}}, true)
-	c.StreamOpened(start, 0, "", 7, 0, nil)
-	for play, why := range map[string]string{"f-1-1": "the token was used to come back already", "f-1-2": "the play has ended"} {
-		a := want(1, play)
-		a.Previous = &Previous{Play: play}
-		c.RequestPlay(ready, a)
-		if x := got(t, a); x.Verdict != Denied || x.Reason != why {
-			t.Errorf("%s: %+v", play, x)
+func TestUsedUpTokensStayInvalidAfterCrash(t *testing.T) {
+	c := NewCore(startTime, "f", 2, placement.New(policySettings(), 1), &fakeTransport{dials: map[int]int64{}}, testProducts{}, 1)
+	c.Recover(startTime, nil, []playlog.EndedPlay{{Play: "f-1-1", EndReason: playlog.Returned}, {Play: "f-1-2", EndReason: playlog.Served}, {Play: "f-1-3", EndReason: playlog.Moved}}, 0)
+	c.UpdateList(startTime, []NodeEntry{{Name: "n0", Address: "a0", Weight: 1}}, true)
+	c.StreamOpened(startTime, 0, "", 7, 0, nil)
+	for play, reason := range map[string]string{"f-1-1": "the token was used to come back already", "f-1-2": "the play has ended"} {
+		req := newRequest(1, play)
+		req.Previous = &Previous{Play: play}
+		c.RequestPlay(readyTime, req)
+		if ans := mustAnswer(t, req); ans.Verdict != Denied || ans.Reason != reason {
+			t.Errorf("%s: %+v", play, ans)
 		}
 	}
-	a := want(1, "moved")
-	a.Previous = &Previous{Play: "f-1-3"}
-	c.RequestPlay(ready, a)
+	req := newRequest(1, "moved")
+	req.Previous = &Previous{Play: "f-1-3"}
+	c.RequestPlay(readyTime, req)
 	if c.Counts().Taken != 1 {
-		t.Error("a moved viewer is placed anew, also after a crash")
+		t.Error("the viewer of a play that was moved before the crash got no new play")
 	}
 }
--- a/session/reply.go
+++ b/session/reply.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// Verdict is what a request for a play came to.
+// Verdict is the outcome of a request for a play.
 type Verdict uint8
 
 const (
-	Plays    Verdict = iota // set up; the answer says where
-	Declined                // refused; no allocation of it can have run, if it is paid
-	Failed                  // it failed; an allocation of it may have run
-	Denied                  // not taken at all: its token or its timing does not allow it
+	Plays    Verdict = iota // the play runs; the answer says where
+	Declined                // refused; if its product is paid, no allocation can have run
+	Failed                  // an allocation may have run
+	Denied                  // not accepted because of its token, or because the play may already be under way
 )
 
 func (v Verdict) String() string { return [...]string{"plays", "declined", "failed", "denied"}[v] }
@@ -17,51 +17,51 @@
 // Answer is the one answer to a request for a play.
 type Answer struct {
 	Verdict    Verdict
-	Play       string // id of the play
+	Play       string // ID of the play
 	Node       string // name of its playout node
-	Address    string // host:port where players fetch
+	Address    string // host:port from which players fetch segments
 	Title      string
 	Product    int
 	Viewer     string
 	Rung       int
 	MaxRung    int
-	RetryAfter int64  // tenths of a millisecond; 0 is no advice
-	Busy       bool   // denied as the same viewer's request is being answered
-	TimedOut   bool   // failed as nothing came within the time limit
+	RetryAfter int64  // tenths of a millisecond; 0 if not advised
+	Busy       bool   // denied because a request of the same viewer, or its earlier play, is still unresolved
+	TimedOut   bool   // failed because there was no answer within the time limit
 	Reason     string // one line for the log and the client
 }
 
-// Reply carries one answer from the core to one waiting request, once. Whoever comes second, an
-// answer after the request was withdrawn or a withdrawal after the answer, is told so.
+// Reply carries the answer from the core to a waiting request. It is used once, either to answer or to withdraw; the
+// second of the two calls returns false.
 type Reply struct {
-	taken  atomic.Bool
-	answer chan Answer
-	then   func(Answer)
+	used     atomic.Bool
+	answer   chan Answer
+	callback func(Answer)
 }
 
-// NewReply makes a reply that nobody has used.
+// NewReply returns an unused reply whose answer goes to the channel Answer.
 func NewReply() *Reply { return &Reply{answer: make(chan Answer, 1)} }
 
-// NewReplyFunc makes a reply whose answer goes to a function, on the core's goroutine. The function must not
-// call the core.
-func NewReplyFunc(then func(Answer)) *Reply { return &Reply{then: then} }
+// NewReplyFunc returns a reply whose answer is passed to a function on the goroutine that calls Resolve. The function
+// must neither block nor call the core.
+func NewReplyFunc(callback func(Answer)) *Reply { return &Reply{callback: callback} }
 
-// Resolve answers, and tells whether this was the first use. It never blocks.
+// Resolve answers the request. It returns false if the reply was used before. With NewReply it never blocks.
 func (r *Reply) Resolve(a Answer) bool {
-	if r == nil || !r.taken.CompareAndSwap(false, true) {
+	if r == nil || !r.used.CompareAndSwap(false, true) {
 		return false
 	}
-	if r.then != nil {
-		r.then(a)
+	if r.callback != nil {
+		r.callback(a)
 	} else {
 		r.answer <- a
 	}
 	return true
 }
 
-// Withdraw says that nobody waits any more. False says that an answer was given before: it is in
-// Answer, and holds.
-func (r *Reply) Withdraw() bool { return r.taken.CompareAndSwap(false, true) }
+// Withdraw records that nobody waits for the answer any more. It returns false if the request was answered before; that
+// answer stands.
+func (r *Reply) Withdraw() bool { return r.used.CompareAndSwap(false, true) }
 
-// Answer brings the answer, if there is one.
+// Answer returns the channel that receives the answer.
 func (r *Reply) Answer() <-chan Answer { return r.answer }
--- a/session/runner.go
+++ b/session/runner.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	eventsHeld = 4096 // events that wait for the core; whoever brings one more waits itself
-	asksAtOnce = 8    // requests taken before events are looked at again
+	eventQueueSize = 4096 // Post blocks when so many events wait for the core
+	requestBatch   = 8    // requests handled before events are checked again
 )
 
-// Clock is the one clock of a front: monotonic tenths of a millisecond, never going back.
-type Clock struct{ began time.Time }
+// Clock is the monotonic clock of a front end, in tenths of a millisecond.
+type Clock struct{ startedAt time.Time }
 
-// ClockStart is where clocks begin, so that a time well before the start is still above 0, which
-// stands for long past.
+// ClockStart is the reading of a new clock. It is high enough for times well before the start to be positive, as 0
+// stands for a time in the distant past.
 const ClockStart = 24 * 3600 * decision.Second
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts now.
 func NewClock() *Clock { return &Clock{time.Now()} }
 
-// Now reads the clock.
-func (c *Clock) Now() int64 { return ClockStart + int64(time.Since(c.began)/(100*time.Microsecond)) }
+// Now returns the clock's current time.
+func (c *Clock) Now() int64 {
+	return ClockStart + int64(time.Since(c.startedAt)/(100*time.Microsecond))
+}
 
-// At is the clock's time of a moment told by the wall clock; 0 if it lies before the clock's beginning.
+// At converts a wall-clock time to the clock's time. It returns 0 for the zero time and for times before the clock's 0.
 func (c *Clock) At(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
@@ -36,40 +38,39 @@
 	return max(0, c.Now()-int64(time.Since(t)/(100*time.Microsecond)))
 }
 
-// Duration turns the clock's ticks into a duration.
+// Duration converts clock ticks to a duration.
 func Duration(ticks int64) time.Duration { return time.Duration(ticks) * 100 * time.Microsecond }
 
-// Ticks turns a duration into the clock's ticks.
+// Ticks converts a duration to clock ticks.
 func Ticks(d time.Duration) int64 { return int64(d / (100 * time.Microsecond)) }
 
-// Runner runs a Core on one goroutine. Requests come through the admission queue, all else as events;
-// events go first, as they free what requests wait for.
+// Runner runs a Core on one goroutine. Requests pass through the admission queue; everything else arrives as events.
+// Events are handled first, as they free the capacity that requests wait for.
 type Runner struct {
 	clock  *Clock
 	core   *Core
 	events chan func(now int64, c *Core)
-	poke   chan struct{}
+	wakeup chan struct{}
 	done   chan struct{}
 
-	mu   sync.Mutex
-	gate *admission.Queue
-	shut bool
-	turn uint64 // requests turned away at admission
+	mu       sync.Mutex
+	queue    *admission.Queue
+	closed   bool
+	rejected uint64 // requests rejected at admission
 
-	busy atomic.Int64 // nanoseconds that the core worked
+	busyNanos atomic.Int64 // time spent in the core
 }
 
-// NewRunner makes a runner; Run runs it. The core must not be used by anyone else.
-func NewRunner(clock *Clock, gate *admission.Queue) *Runner {
-	return &Runner{clock: clock, gate: gate, events: make(chan func(int64, *Core), eventsHeld),
-		poke: make(chan struct{}, 1), done: make(chan struct{})}
+// NewRunner returns a runner, to be started with Run.
+func NewRunner(clock *Clock, queue *admission.Queue) *Runner {
+	return &Runner{clock: clock, queue: queue, events: make(chan func(int64, *Core), eventQueueSize),
+		wakeup: make(chan struct{}, 1), done: make(chan struct{})}
 }
 
-// Clock is the runner's clock.
+// Clock returns the runner's clock.
 func (r *Runner) Clock() *Clock { return r.clock }
 
-// Post brings an event to the core, waiting while too many wait. After the runner has ended it does
-// nothing.
+// Post queues an event for the core. It blocks while the event queue is full, and does nothing once Run has returned.
 func (r *Runner) Post(ev func(now int64, c *Core)) {
 	select {
 	case r.events <- ev:
@@ -77,7 +78,7 @@
 	}
 }
 
-// TryPost is Post for what may be lost: it drops the event while too many wait.
+// TryPost queues an event that may be lost: it drops the event if the event queue is full.
 func (r *Runner) TryPost(ev func(now int64, c *Core)) {
 	select {
 	case r.events <- ev:
@@ -85,63 +86,64 @@
 	}
 }
 
-// RequestPlay brings a request from a client, by whose name floods are told. Its answer comes to a.Reply.
-// The result withdraws it: the caller must call it if it stops waiting before the answer.
-func (r *Runner) RequestPlay(a Request, client string, importance float64) (withdraw func()) {
+// RequestPlay submits a request to the admission queue, which limits the request rate by client name. The answer goes to
+// req.Reply. The caller must call withdraw if it stops waiting before the answer.
+func (r *Runner) RequestPlay(req Request, client string, importance float64) (withdraw func()) {
 	now := r.clock.Now()
-	w := &admission.Request{Importance: importance, Deadline: a.Deadline, Client: client, Value: a}
+	entry := &admission.Request{Importance: importance, Deadline: req.Deadline, Client: client, Value: req}
 	r.mu.Lock()
-	var turned []*admission.Rejection
-	if r.shut {
-		turned = append(turned, r.gate.Reject(w, admission.ShuttingDown))
+	var rejections []*admission.Rejection
+	if r.closed {
+		rejections = append(rejections, r.queue.Reject(entry, admission.ShuttingDown))
 	} else {
-		v, back, gone := r.gate.Offer(now, w)
-		if gone != nil {
-			turned = append(turned, gone)
+		verdict, retryAfter, evicted := r.queue.Offer(now, entry)
+		if evicted != nil {
+			rejections = append(rejections, evicted)
 		}
-		if v != admission.Queued {
-			turned = append(turned, &admission.Rejection{Request: w, Reason: v, RetryAfter: back})
+		if verdict != admission.Queued {
+			rejections = append(rejections, &admission.Rejection{Request: entry, Reason: verdict, RetryAfter: retryAfter})
 		}
 	}
-	r.turn += uint64(len(turned))
+	r.rejected += uint64(len(rejections))
 	r.mu.Unlock()
-	for _, t := range turned {
-		turnAway(t)
+	for _, rejection := range rejections {
+		reject(rejection)
 	}
 	select {
-	case r.poke <- struct{}{}:
+	case r.wakeup <- struct{}{}:
 	default:
 	}
 	return func() {
 		r.mu.Lock()
-		waited := r.gate.Withdraw(w)
+		wasQueued := r.queue.Withdraw(entry)
 		r.mu.Unlock()
-		if !waited {
-			r.Post(func(now int64, c *Core) { c.RequestWithdrawn(now, a.Reply) })
+		if !wasQueued {
+			r.Post(func(now int64, c *Core) { c.RequestWithdrawn(now, req.Reply) })
 		}
 	}
 }
 
-func turnAway(t *admission.Rejection) {
-	t.Request.Value.(Request).Reply.Resolve(Answer{Verdict: Declined, Reason: t.Reason.String(), RetryAfter: t.RetryAfter})
+func reject(rejection *admission.Rejection) {
+	rejection.Request.Value.(Request).Reply.Resolve(Answer{Verdict: Declined, Reason: rejection.Reason.String(), RetryAfter: rejection.RetryAfter})
 }
 
-// Rejected is how many requests were turned away at admission, and how many wait there.
-func (r *Runner) Rejected() (turned uint64, waiting int) {
+// Rejected returns how many requests were rejected at admission, and how many wait there.
+func (r *Runner) Rejected() (rejected uint64, waiting int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.turn, r.gate.Len()
+	return r.rejected, r.queue.Len()
 }
 
-// Run runs the core until the context ends, which it must at last, then turns away what still waits for admission. The clock
-// is read once for each call on the core.
+// Run runs the core until the context is canceled, and then rejects all requests that wait for admission. It must be
+// called, and the context canceled, exactly once, as Post may block until Run returns. The core must not be used by
+// anyone else. The clock is read once for each call on the core.
 func (r *Runner) Run(ctx context.Context, core *Core) error {
 	r.core = core
-	var beats sync.WaitGroup
-	beats.Add(1)
-	go func() { defer beats.Done(); r.beat(ctx) }()
-	defer beats.Wait()
-	defer r.end()
+	var heartbeats sync.WaitGroup
+	heartbeats.Add(1)
+	go func() { defer heartbeats.Done(); r.heartbeat(ctx) }()
+	defer heartbeats.Wait()
+	defer r.stop()
 	defer func() { core.Close(r.clock.Now()) }()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -152,7 +154,7 @@
 			return nil
 		case ev := <-r.events:
 			ev(r.clock.Now(), core)
-		case <-r.poke:
+		case <-r.wakeup:
 		case <-timer.C:
 		}
 		began := time.Now()
@@ -160,33 +162,33 @@
 		if now := r.clock.Now(); now >= core.WakeAt() {
 			core.Wake(now)
 		}
-		r.busy.Add(int64(time.Since(began)))
+		r.busyNanos.Add(int64(time.Since(began)))
 	}
 }
 
-// beat tells the admission queue that the process runs, whatever the core is doing.
-func (r *Runner) beat(ctx context.Context) {
-	every := time.NewTicker(Duration(admission.HeartbeatInterval))
-	defer every.Stop()
+// heartbeat tells the admission queue that the process is running, even while the core is busy.
+func (r *Runner) heartbeat(ctx context.Context) {
+	ticker := time.NewTicker(Duration(admission.HeartbeatInterval))
+	defer ticker.Stop()
 	for {
 		r.mu.Lock()
-		r.gate.Heartbeat(r.clock.Now())
+		r.queue.Heartbeat(r.clock.Now())
 		r.mu.Unlock()
 		select {
-		case <-every.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// BusyTime is how long the core has worked so far.
-func (r *Runner) BusyTime() time.Duration { return time.Duration(r.busy.Load()) }
+// BusyTime returns the total time spent in the core.
+func (r *Runner) BusyTime() time.Duration { return time.Duration(r.busyNanos.Load()) }
 
-// drain takes all events that wait, then requests, and again while there are requests.
+// drain handles all queued events, then a batch of requests, and repeats until no request waits.
 func (r *Runner) drain() {
 	for {
-		for range eventsHeld {
+		for range eventQueueSize {
 			select {
 			case ev := <-r.events:
 				ev(r.clock.Now(), r.core)
@@ -195,49 +197,49 @@
 			}
 			break
 		}
-		for range asksAtOnce {
+		for range requestBatch {
 			now := r.clock.Now()
 			r.mu.Lock()
-			a, late := r.gate.Next(now)
-			if late != nil {
-				r.turn++
+			next, expired := r.queue.Next(now)
+			if expired != nil {
+				r.rejected++
 			}
 			r.mu.Unlock()
 			switch {
-			case late != nil:
-				turnAway(late)
-			case a != nil:
-				ask := a.Value.(Request)
-				ask.Deadline = admission.Deadline(now, a.Deadline)
-				r.core.RequestPlay(now, ask)
+			case expired != nil:
+				reject(expired)
+			case next != nil:
+				req := next.Value.(Request)
+				req.Deadline = admission.Deadline(now, next.Deadline)
+				r.core.RequestPlay(now, req)
 			default:
 				return
 			}
 		}
-		if now := r.clock.Now(); now >= r.core.WakeAt() { // a long queue must not hold up what is due
+		if now := r.clock.Now(); now >= r.core.WakeAt() { // a long queue must not delay Wake
 			r.core.Wake(now)
 		}
 	}
 }
 
-// RejectAll turns away what waits for admission and all that still comes, each with its advice when to come back.
+// RejectAll rejects all requests that wait for admission and all later ones, each with an advised delay before a retry.
 func (r *Runner) RejectAll() {
 	for {
 		r.mu.Lock()
-		r.shut = true
-		t := r.gate.RejectNext()
-		if t != nil {
-			r.turn++
+		r.closed = true
+		rejection := r.queue.RejectNext()
+		if rejection != nil {
+			r.rejected++
 		}
 		r.mu.Unlock()
-		if t == nil {
+		if rejection == nil {
 			return
 		}
-		turnAway(t)
+		reject(rejection)
 	}
 }
 
-func (r *Runner) end() {
+func (r *Runner) stop() {
 	r.RejectAll()
 	close(r.done)
 }
--- a/session/soak_test.go
+++ b/session/soak_test.go
@@ -8,13 +8,13 @@
 	"gullrail/decision"
 )
 
-// soakPlays asks TestMemoryStaysBounded for a long run: go test ./session -run Memory -soak 5000000 -v
-var soakPlays = flag.Int("soak", 0, "plays to take through the core in the memory test")
+// soakPlays sets the number of plays in TestMemoryStaysBounded: go test ./session -run Memory -soak 5000000 -v
+var soakPlays = flag.Int("soak", 0, "number of plays in the memory test")
 
-// BenchmarkCore is one play's whole life in the core, without sockets.
+// BenchmarkCore measures a play from request to end in the core, without sockets.
 func BenchmarkCore(b *testing.B) {
-	c, out := core(4)
-	now := int64(ready)
+	c, out := newTestCore(4)
+	now := int64(readyTime)
 	names := make([]string, 4096)
 	for i := range names {
 		names[i] = fmt.Sprint("v", i)
@@ -29,7 +29,7 @@
 			c.Started(now, s.Ref, 7, int64(i), s.Rung, decision.UnknownLoad)
 			c.PlayEnded(now+10, s.Ref, decision.Served)
 		}
-		out.setUps, out.ends, out.rungs, out.recall, out.hung = out.setUps[:0], out.ends[:0], out.rungs[:0], out.recall[:0], out.hung[:0]
+		out.setUps, out.ends, out.rungs, out.canceled, out.closedStreams = out.setUps[:0], out.ends[:0], out.rungs[:0], out.canceled[:0], out.closedStreams[:0]
 		if now >= c.WakeAt() {
 			c.Wake(now)
 		}
