--- a/session/core.go
+++ b/session/core.go
@@ -57,8 +57,8 @@
 	Probe(node int, address string)
 	OpenStream(node int, address string, at int64)
 	CloseStream(node int)
-	// PlayStarted records that a play's viewer was told that it plays; previous is the play whose token the
-	// viewer returned with, if any; that token is now used up. PlayStarted, PlayFinished and RecoveryDone lead to no call on the
+	// PlayStarted records that a play's viewer was told that it plays; previous is the play whose token the viewer
+	// returned with, if any, and which is now used up. PlayStarted, PlayFinished and RecoveryDone lead to no call on the
 	// Core.
 	PlayStarted(r Ref, product int, previous string)
 	// PlayFinished records that a play for which an allocation was sent has ended; reason is empty if it never
@@ -81,7 +81,7 @@
 // Running is a play that a node reports as running for this front end.
 type Running struct {
 	Play      string
-	Epoch     int64 // of the front end that set it up
+	Epoch     int64 // of the front end when it set the play up
 	Attempt   int
 	Product   int // negative if this front end has no such product
 	Title     string
