--- a/sockets/outbox.go
+++ b/sockets/outbox.go
@@ -1,62 +1,62 @@
 package sockets
 
-// Kind is what a message kept for a viewer tells.
+// Kind is the type of a message to a viewer.
 type Kind uint8
 
 const (
 	Answer Kind = iota // the one answer to its request
-	Rung               // another rung from now on; it holds all that an earlier one told
-	End                // the play is over, or is to be placed anew
+	Rung               // a change of rung; it includes all that an earlier change said
+	End                // the play is over, or must be set up again
 )
 
-// Message is one message for a viewer, with its place in the order.
+// Message is one message to a viewer, with its position in the sequence.
 type Message struct {
 	Cursor  uint64 // from 1
 	Kind    Kind
-	Omitted int // messages before it that were left out at the bound
-	Value   any // the caller's own
+	Omitted int // messages before it that were dropped at the limit
+	Value   any // set by the caller
 }
 
-// Outbox keeps what a viewer was not seen to receive, in order. Each message has a cursor; the viewer says up to
-// which it has them. The zero Outbox is empty. One goroutine at a time.
+// Outbox keeps the messages that a viewer has not acknowledged, in order. Each message has a cursor, and the viewer
+// acknowledges all messages up to a cursor. The zero Outbox is empty. An Outbox is not safe for concurrent use.
 //
-// The bound: at most MaxOutbox messages are kept. One more leaves out the oldest change of rung, which a later one
-// replaces; the next message that is kept says how many were left out. The answer and the end, of which there is
-// one each, are never left out.
+// It holds at most MaxOutbox messages. Beyond that, the oldest change of rung is dropped, as a later one replaces it;
+// the next message that is kept counts the dropped ones. The answer and the end, of which there is one each, are never
+// dropped.
 type Outbox struct {
-	kept  []Message
-	last  uint64
-	acked uint64
+	messages    []Message
+	lastCursor  uint64
+	ackedCursor uint64
 }
 
-// NewOutboxAt makes an empty box whose messages go on after a cursor that was given elsewhere.
-func NewOutboxAt(cursor uint64) Outbox { return Outbox{last: cursor, acked: cursor} }
+// NewOutboxAt returns an empty Outbox whose messages continue after a cursor assigned by another Outbox.
+func NewOutboxAt(cursor uint64) Outbox { return Outbox{lastCursor: cursor, ackedCursor: cursor} }
 
 // Put adds a message and returns its cursor.
 func (o *Outbox) Put(k Kind, value any) uint64 {
-	if len(o.kept) >= MaxOutbox {
-		for i, m := range o.kept {
+	if len(o.messages) >= MaxOutbox {
+		for i, m := range o.messages {
 			if m.Kind == Rung {
-				o.kept = append(o.kept[:i], o.kept[i+1:]...)
-				if i < len(o.kept) {
-					o.kept[i].Omitted += m.Omitted + 1
+				o.messages = append(o.messages[:i], o.messages[i+1:]...)
+				if i < len(o.messages) {
+					o.messages[i].Omitted += m.Omitted + 1
 				} else {
-					o.last++
-					o.kept = append(o.kept, Message{Cursor: o.last, Kind: k, Omitted: m.Omitted + 1, Value: value})
-					return o.last
+					o.lastCursor++
+					o.messages = append(o.messages, Message{Cursor: o.lastCursor, Kind: k, Omitted: m.Omitted + 1, Value: value})
+					return o.lastCursor
 				}
 				break
 			}
 		}
 	}
-	o.last++
-	o.kept = append(o.kept, Message{Cursor: o.last, Kind: k, Value: value})
-	return o.last
+	o.lastCursor++
+	o.messages = append(o.messages, Message{Cursor: o.lastCursor, Kind: k, Value: value})
+	return o.lastCursor
 }
 
-// Next is the first message kept after a cursor.
+// Next returns the first kept message after a cursor.
 func (o *Outbox) Next(cursor uint64) (Message, bool) {
-	for _, m := range o.kept {
+	for _, m := range o.messages {
 		if m.Cursor > cursor {
 			return m, true
 		}
@@ -64,23 +64,24 @@
 	return Message{}, false
 }
 
-// Ack says that the viewer has all up to a cursor. One that was never given, or that goes back, does nothing.
+// Ack removes the messages up to a cursor, which the viewer has received. A cursor that was never assigned, or is not
+// above the last acknowledged one, has no effect.
 func (o *Outbox) Ack(cursor uint64) {
-	if cursor > o.last || cursor <= o.acked {
+	if cursor > o.lastCursor || cursor <= o.ackedCursor {
 		return
 	}
-	o.acked = cursor
+	o.ackedCursor = cursor
 	n := 0
-	for n < len(o.kept) && o.kept[n].Cursor <= cursor {
+	for n < len(o.messages) && o.messages[n].Cursor <= cursor {
 		n++
 	}
-	rest := copy(o.kept, o.kept[n:])
-	clear(o.kept[rest:])
-	o.kept = o.kept[:rest]
+	remaining := copy(o.messages, o.messages[n:])
+	clear(o.messages[remaining:])
+	o.messages = o.messages[:remaining]
 }
 
-// Acked is up to where the viewer has said that it has all.
-func (o *Outbox) Acked() uint64 { return o.acked }
+// Acked returns the last acknowledged cursor.
+func (o *Outbox) Acked() uint64 { return o.ackedCursor }
 
-// Len is how many messages are kept.
-func (o *Outbox) Len() int { return len(o.kept) }
+// Len returns the number of messages kept.
+func (o *Outbox) Len() int { return len(o.messages) }
--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -1,7 +1,7 @@
-// Package sockets decides about the sockets of players that hold one open: which are let in and when the others
-// may come back, which are shed, how long a broken one's plays and answers are kept, how much a player may say, and
-// when one that floods or lies is cut off. No I/O and no clock: times are int64 tenths of a millisecond, as in
-// package decision. One goroutine at a time.
+// Package sockets implements the policies for the WebSocket connections of players: which are accepted and when a
+// refused client may retry, which are closed to shed load, how long plays and answers are kept after a disconnect,
+// and when a player is limited or disconnected for too many, malformed or false messages. It does no I/O and reads
+// no clock: times are int64 tenths of a millisecond, as in package decision. Its types are not safe for concurrent use.
 package sockets
 
 import (
@@ -15,242 +15,246 @@
 )
 
 const (
-	ReconnectGrace  = 10 * decision.Second // what a broken socket leaves is kept so long: a phone changes its network in a few
-	MaxOutbox       = 16                   // messages kept for one play: rungs change every few seconds at most
-	MaxMessageBytes = 8 << 10              // bytes of a player's message: a token and a few words
-	MaxPlays        = 4                    // requests and plays on one socket: a screen, a preview and room to change
-	PingInterval    = 15 * decision.Second // longer than the common idle times of a phone's radio would be of no use
-	PongTimeout     = 5 * decision.Second  // a live peer answers in a round trip
-	WriteTimeout    = 3 * decision.Second  // a peer that takes nothing for so long doesn't read
-	HelloTimeout    = 10 * decision.Second // a socket on which nothing was asked or resumed for so long is closed
+	ReconnectGrace  = 10 * decision.Second // how long state is kept after a disconnect: a phone changes networks within a few seconds
+	MaxOutbox       = 16                   // messages kept for one play: the rung changes at most every few seconds
+	MaxMessageBytes = 8 << 10              // size of a message from a player: a token and a few short fields
+	MaxPlays        = 4                    // requests and plays on one socket: the main play, a preview, and spares for switching titles
+	PingInterval    = 15 * decision.Second // a longer interval would exceed the common idle timeouts of phone radios
+	PongTimeout     = 5 * decision.Second  // a live peer answers within one round trip
+	WriteTimeout    = 3 * decision.Second  // a peer that accepts no data for this long is not reading
+	HelloTimeout    = 10 * decision.Second // a socket without a request or resumption for this long is closed
 	MinRetryAfter   = 1 * decision.Second
 
-	paceRate    = 400.0                // sockets let in a second: a handshake and a first request cost about 1 ms of CPU
-	paceBurst   = 200.0                // at once, on top: a half second's
-	paceAhead   = 30 * decision.Second // advice to come back lies no further ahead, however many wait
-	sayRate     = 4.0                  // messages a second that a player earns: a report each second and room
-	sayBurst    = 20.0                 // and may save up
-	warnings    = 10                   // messages over it that are told off before the socket is cut
-	claimsMost  = 3                    // times a player may say that a node does not deliver
-	claimsOver  = 30 * decision.Second // within this: a third broken node in half a minute is the player's own line
-	malformed   = 3                    // messages that do not hold before the socket is cut: a version that differs, not chance
-	barredFor   = 30 * decision.Second // a player cut off stays out so long
-	barredMost  = 4096                 // names kept that are barred; the longest unseen goes first
-	shedSlice   = 64                   // at the bound: one socket in so many is let go at a time, so that room is made in few steps
-	slowPenalty = 2 * decision.Second  // of waiting bytes: a reader that far behind goes before one that keeps up
+	admitRate           = 400.0                // accepted sockets per second: a handshake and a first request cost about 1 ms of CPU
+	admitBurst          = 200.0                // size of the token bucket: half a second at admitRate
+	maxRetryAfter       = 30 * decision.Second // limit of the retry delay, however many clients wait
+	messageRate         = 4.0                  // messages per second that a player may send: one report each second, and some room
+	messageBurst        = 20.0                 // size of the player's token bucket
+	maxWarnings         = 10                   // messages over the rate that are ignored with a warning before the socket is closed
+	maxDeliveryClaims   = 3                    // times a player may report that a node does not deliver
+	deliveryClaimWindow = 30 * decision.Second // within this time: a further broken node in half a minute points to the player's own connection
+	maxMalformed        = 3                    // malformed messages that close the socket: repeated ones come from a different version, not from chance
+	banDuration         = 30 * decision.Second // how long a player is refused after a forced disconnect
+	maxBans             = 4096                 // banned clients remembered; the least recently used is evicted first
+	shedDivisor         = 64                   // at MaxSockets, one socket in this many is closed at a time, so that room is made in few steps
+	slowReaderDelay     = 2 * decision.Second  // a reader this far behind on its messages is closed before one that keeps up
 )
 
-// MaxSockets is how many sockets a front may hold that may hold so many connections: a quarter is left for those who ask by
-// single requests, and for probes of its health.
+// MaxSockets is the socket limit of a front with the given connection limit. A quarter of the connections is reserved
+// for single HTTP requests and health checks.
 func MaxSockets(connections int) int { return max(1, connections*3/4) }
 
-// Refusal is why a socket is not let in, or is let go.
+// Refusal is the result of Admission.Admit: Admitted, or why the socket is refused.
 type Refusal uint8
 
 const (
 	Admitted    Refusal = iota
-	Full                // as many sockets as the front may hold, and none is worth less
-	RateLimited         // too many come at once
-	Banned              // the player was cut off a moment ago
+	Full                // the front is at its socket limit
+	RateLimited         // too many new sockets at once
+	Banned              // the player was recently disconnected for its behavior
 )
 
 func (r Refusal) String() string {
 	return [...]string{"welcome", "the front holds as many sockets as it may", "too many come at once", "this player was cut off"}[r]
 }
 
-// Admission lets sockets in.
+// Admission limits the rate and number of new sockets.
 //
-// Guards against the herd that comes when another front dies: thousands of players dial the fronts that are left
-// in the same second, and each handshake takes from those that play. Each one over the pace is given a time of its
-// own, one after the other, so that those who heed it come evenly. Could harm the first second after a quiet
-// start, which lets in no more than the burst.
+// It protects against the reconnects that follow the failure of another front: thousands of players connect to the
+// remaining fronts within a second, and each handshake takes CPU time from running plays. Each client over the rate is
+// given a retry time of its own, one after the other, so that clients that follow it arrive evenly. The drawback:
+// in the first second after an idle start, no more than the burst is accepted.
 type Admission struct {
-	most   int
-	rnd    pcg.Source
-	tokens float64
-	at     int64
-	next   int64 // the first time not yet given away
-	barred *simplelru.LRU[string, int64]
+	maxSockets int
+	random     pcg.Source
+	tokens     float64
+	refilledAt int64
+	nextRetry  int64 // earliest retry time that is not assigned yet
+	bans       *simplelru.LRU[string, int64]
 }
 
-// NewAdmission makes the admission of a front that may hold so many sockets.
-func NewAdmission(now int64, most int, seed uint64) *Admission {
-	barred, err := simplelru.NewLRU[string, int64](barredMost, nil)
+// NewAdmission returns the Admission of a front that accepts up to maxSockets sockets.
+func NewAdmission(now int64, maxSockets int, seed uint64) *Admission {
+	bans, err := simplelru.NewLRU[string, int64](maxBans, nil)
 	if err != nil {
 		panic(err) // the size is a constant above 0
 	}
-	return &Admission{most: most, rnd: pcg.New(seed), tokens: paceBurst, at: now, barred: barred}
+	return &Admission{maxSockets: maxSockets, random: pcg.New(seed), tokens: admitBurst, refilledAt: now, bans: bans}
 }
 
-// Admit judges a new socket of a client, while so many are open, and says when to come back if it is not let in.
+// Admit decides whether to accept a new socket of client while open sockets exist. If it refuses, it also returns the
+// delay before the client may retry.
 func (a *Admission) Admit(now int64, client string, open int) (Refusal, int64) {
-	if until, ok := a.barred.Get(client); ok {
+	if until, ok := a.bans.Get(client); ok {
 		if now < until {
 			return Banned, max(MinRetryAfter, until-now)
 		}
-		a.barred.Remove(client)
+		a.bans.Remove(client)
 	}
-	if open >= a.most {
-		return Full, a.slot(now)
+	if open >= a.maxSockets {
+		return Full, a.reserveRetry(now)
 	}
-	a.tokens = min(paceBurst, a.tokens+float64(now-a.at)/float64(decision.Second)*paceRate)
-	a.at = now
+	a.tokens = min(admitBurst, a.tokens+float64(now-a.refilledAt)/float64(decision.Second)*admitRate)
+	a.refilledAt = now
 	if a.tokens < 1 {
-		return RateLimited, a.slot(now)
+		return RateLimited, a.reserveRetry(now)
 	}
 	a.tokens--
 	return Admitted, 0
 }
 
-// slot gives the next free time away, as a pause from now, a little moved by chance.
-func (a *Admission) slot(now int64) int64 {
-	each := int64(float64(decision.Second) / paceRate)
-	a.next = max(a.next, now+MinRetryAfter) + each
-	if a.next > now+paceAhead { // more wait than come in that time: begin again, mixed by chance
-		a.next = now + MinRetryAfter
+// reserveRetry assigns the next free retry time and returns it as a delay from now, with a little random jitter.
+func (a *Admission) reserveRetry(now int64) int64 {
+	interval := int64(float64(decision.Second) / admitRate)
+	a.nextRetry = max(a.nextRetry, now+MinRetryAfter) + interval
+	if a.nextRetry > now+maxRetryAfter { // every time within the limit is assigned: start over; the jitter mixes the clients
+		a.nextRetry = now + MinRetryAfter
 	}
-	return a.next - now + int64(a.rnd.Float()*float64(each))
+	return a.nextRetry - now + int64(a.random.Float()*float64(interval))
 }
 
-// Ban keeps a client out for a while.
-func (a *Admission) Ban(now int64, client string) { a.barred.Add(client, now+barredFor) }
+// Ban refuses new sockets of a client for banDuration.
+func (a *Admission) Ban(now int64, client string) { a.bans.Add(client, now+banDuration) }
 
-// SpreadReturns spreads those who are told to go: of so many, each gets a pause drawn from the time that their return
-// takes at the pace of one front.
+// SpreadReturns returns a retry delay for one of sockets clients that are told to reconnect elsewhere. It is drawn at
+// random from the time that one front needs to accept them all at admitRate, limited to maxRetryAfter.
 func (a *Admission) SpreadReturns(sockets int) int64 {
-	window := max(MinRetryAfter, int64(float64(sockets)/paceRate*float64(decision.Second)))
-	return MinRetryAfter + int64(a.rnd.Float()*float64(min(window, paceAhead)))
+	window := max(MinRetryAfter, int64(float64(sockets)/admitRate*float64(decision.Second)))
+	return MinRetryAfter + int64(a.random.Float()*float64(min(window, maxRetryAfter)))
 }
 
-// SocketState is a socket as the shedding sees it.
+// SocketState is the input to Shed for one socket.
 type SocketState struct {
-	Importance float64 // the highest of its plays; 0 without any
+	Importance float64 // highest importance among its plays; 0 without plays
 	Playing    bool
-	WriteDelay int64 // how long its oldest message waits to be taken
-	Since      int64 // when it last asked, or opened
+	WriteDelay int64 // how long its oldest unsent message has been waiting
+	Since      int64 // time of its last request, or of its opening
 }
 
-// Shed chooses which sockets to let go so that others find room: at least one, at most one in shedSlice. Slow
-// readers go first, as what waits for them costs memory; then those that play nothing, the longest idle first;
-// then those that play, the least important and latest come first. It returns places in the list.
+// Shed chooses which sockets to close to make room for new ones: one in shedDivisor, and at least one where there is a
+// candidate. Slow readers come first, as their queued messages use memory; then sockets without a play, the longest
+// idle first; then sockets with a play, the least important first, and of equal importance the latest first. It
+// returns indexes into states.
 //
-// Guards against a front that fills up with idle screens while players who want to watch are turned away. A socket that
-// plays is let go for another only if that one matters more, which the caller says by worth; one that plays nothing for anyone.
-func Shed(now int64, all []SocketState, worth float64) []int {
-	order := make([]int, 0, len(all))
-	for i, s := range all {
-		if s.WriteDelay < slowPenalty && s.Playing && s.Importance >= worth {
+// It keeps a front from filling up with idle clients while new players are refused. A playing socket that keeps up is
+// closed only if its importance is below minImportance; a socket without a play may be closed for any new socket.
+func Shed(now int64, states []SocketState, minImportance float64) []int {
+	order := make([]int, 0, len(states))
+	for i, s := range states {
+		if s.WriteDelay < slowReaderDelay && s.Playing && s.Importance >= minImportance {
 			continue
 		}
 		order = append(order, i)
 	}
 	slices.SortFunc(order, func(i, j int) int {
-		a, b := all[i], all[j]
-		slow := func(s SocketState) int {
-			if s.WriteDelay >= slowPenalty {
+		a, b := states[i], states[j]
+		slowRank := func(s SocketState) int {
+			if s.WriteDelay >= slowReaderDelay {
 				return 0
 			}
 			return 1
 		}
-		playing := func(s SocketState) int {
+		playingRank := func(s SocketState) int {
 			if s.Playing {
 				return 1
 			}
 			return 0
 		}
 		since := cmp.Compare(a.Since, b.Since)
-		if a.Playing { // of those that play the latest goes: it has watched least
+		if a.Playing { // among playing sockets the latest is closed: it has watched least
 			since = -since
 		}
-		return cmp.Or(cmp.Compare(slow(a), slow(b)), cmp.Compare(playing(a), playing(b)), cmp.Compare(a.Importance, b.Importance), since, cmp.Compare(i, j))
+		return cmp.Or(cmp.Compare(slowRank(a), slowRank(b)), cmp.Compare(playingRank(a), playingRank(b)), cmp.Compare(a.Importance, b.Importance), since, cmp.Compare(i, j))
 	})
-	return order[:min(len(order), max(1, len(all)/shedSlice))]
+	return order[:min(len(order), max(1, len(states)/shedDivisor))]
 }
 
-// Disposition is what becomes of a request or play whose socket broke.
+// Disposition is what to do with a request or play after its socket disconnected.
 type Disposition uint8
 
 const (
-	Keep     Disposition = iota // until its time comes
-	Withdraw                    // nobody waits for the answer any more
-	Abandon                     // it plays and its viewer never said that it knows: end it, its seat is free
-	Forget                      // the viewer has its play, and may come back by its token; nothing more is kept for it
+	Keep     Disposition = iota // keep it until the returned time
+	Withdraw                    // withdraw the request: nobody waits for its answer
+	Abandon                     // end the play and free its stream: its viewer never acknowledged it
+	Forget                      // drop what is kept: the viewer has its play and may return with its token, or did not fetch a refusal in time
 )
 
-// AfterDisconnect judges what a broken socket left: answered, and then whether the answer was that it plays, and whether the
-// viewer has said that it has that answer. limit is the request's time limit, brokeAt when the socket broke. It returns when to judge again.
+// AfterDisconnect decides what to do with a request or play whose socket disconnected at disconnectedAt. answered says
+// whether the request has an answer, playing whether that answer started a play, and acked whether the viewer
+// acknowledged it. deadline is the request's time limit. For Keep it also returns when to decide again.
 //
-// Guards against an answer that is decided while nobody listens: it waits for its viewer until the time limit
-// and no longer, so that a seat is not held for somebody who was told nothing.
-func AfterDisconnect(now, limit, brokeAt int64, answered, plays, has bool) (Disposition, int64) {
-	over := brokeAt + ReconnectGrace
-	if !answered || plays && !has {
-		over = min(over, limit)
+// An answer that is reached after the disconnect is kept for its viewer only until the deadline, so that no stream is
+// reserved for a viewer who was never told.
+func AfterDisconnect(now, deadline, disconnectedAt int64, answered, playing, acked bool) (Disposition, int64) {
+	keepUntil := disconnectedAt + ReconnectGrace
+	if !answered || playing && !acked {
+		keepUntil = min(keepUntil, deadline)
 	}
 	switch {
-	case now < over:
-		return Keep, over
+	case now < keepUntil:
+		return Keep, keepUntil
 	case !answered:
 		return Withdraw, 0
-	case plays && !has:
+	case playing && !acked:
 		return Abandon, 0
 	}
 	return Forget, 0
 }
 
-// Behavior judges what one player says on one socket.
+// Behavior limits the messages of one player on one socket.
 type Behavior struct {
-	tokens float64
-	at     int64
-	warned int
-	bad    int
-	claims [claimsMost]int64 // when the last claims of a broken node were
-	next   int
+	tokens         float64
+	refilledAt     int64
+	warnings       int
+	malformed      int
+	deliveryClaims [maxDeliveryClaims]int64 // times of the latest reports that a node does not deliver; a ring buffer
+	nextClaim      int
 }
 
-// Response is what to do about a message.
+// Response is what to do with a message.
 type Response uint8
 
 const (
 	Accept     Response = iota
-	Ignore              // told off, and not acted upon
-	Disconnect          // the socket is closed, and the player kept out for a while
+	Ignore              // warn the player and do not act on the message
+	Disconnect          // close the socket and ban the player
 )
 
-// NewBehavior begins with all a player may have saved up.
-func NewBehavior(now int64) Behavior { return Behavior{tokens: sayBurst, at: now} }
+// NewBehavior returns a Behavior with a full token bucket.
+func NewBehavior(now int64) Behavior { return Behavior{tokens: messageBurst, refilledAt: now} }
 
-// Message judges one more message. Guards against a player in a loop: it costs itself its socket, and others nothing, as what
-// is over the rate is not looked at.
+// Message counts one more message against the rate limit. A player that sends in a loop loses its own socket without
+// cost to others, as messages over the rate are not processed.
 func (b *Behavior) Message(now int64) Response {
-	b.tokens = min(sayBurst, b.tokens+float64(now-b.at)/float64(decision.Second)*sayRate)
-	b.at = now
+	b.tokens = min(messageBurst, b.tokens+float64(now-b.refilledAt)/float64(decision.Second)*messageRate)
+	b.refilledAt = now
 	if b.tokens >= 1 {
 		b.tokens--
 		return Accept
 	}
-	if b.warned++; b.warned > warnings {
+	if b.warnings++; b.warnings > maxWarnings {
 		return Disconnect
 	}
 	return Ignore
 }
 
-// Malformed judges a message that does not hold.
+// Malformed counts a malformed message.
 func (b *Behavior) Malformed() Response {
-	if b.bad++; b.bad >= malformed {
+	if b.malformed++; b.malformed >= maxMalformed {
 		return Disconnect
 	}
 	return Ignore
 }
 
-// NotDelivered judges a player's word that its node does not deliver. Each ends the play there and asks for another place. Guards against a
-// player whose own line is broken, or who lies, and would be moved from node to node.
+// NotDelivered decides whether to accept a player's report that its node does not deliver, which ends the play there
+// and asks for another node. The limit keeps a player with a broken connection, or one that reports falsely, from being
+// moved from node to node.
 func (b *Behavior) NotDelivered(now int64) Response {
-	oldest := b.claims[b.next]
-	if oldest != 0 && now-oldest < claimsOver {
+	oldest := b.deliveryClaims[b.nextClaim]
+	if oldest != 0 && now-oldest < deliveryClaimWindow {
 		return Ignore
 	}
-	b.claims[b.next] = now
-	b.next = (b.next + 1) % claimsMost
+	b.deliveryClaims[b.nextClaim] = now
+	b.nextClaim = (b.nextClaim + 1) % maxDeliveryClaims
 	return Accept
 }
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -11,21 +11,21 @@
 
 const now = 1_000_000
 
-// The box against a naive model: a list of all that was ever put, and what the viewer has.
-func TestBoxGivesInOrderOnceAndTellsWhatIsLeftOut(t *testing.T) {
+// Compares Outbox with a reference model: the number of messages put, and the last cursor that the viewer has read.
+func TestOutboxDeliversInOrderAndCountsOmittedMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from := rapid.Uint64Range(0, 50).Draw(t, "from")
-		b := NewOutboxAt(from)
-		put, have, told := 0, from, 0
+		outbox := NewOutboxAt(from)
+		put, have, accounted := 0, from, 0
 		answered, ended, sawEnd := false, false, false
-		read := func(m Message) { // the viewer reads one, and has it
+		receive := func(m Message) { // the viewer receives one message
 			if m.Cursor <= have || uint64(m.Value.(int)) != m.Cursor-from {
-				t.Fatalf("%+v after %d", m, have)
+				t.Fatalf("received %+v after cursor %d", m, have)
 			}
 			if gap := int(m.Cursor-have) - 1; gap != m.Omitted {
-				t.Fatalf("%d left out, %d told", gap, m.Omitted)
+				t.Fatalf("%d messages omitted, Omitted is %d", gap, m.Omitted)
 			}
-			told += 1 + m.Omitted
+			accounted += 1 + m.Omitted
 			sawEnd = sawEnd || m.Kind == End
 			have = m.Cursor
 		}
@@ -42,198 +42,198 @@
 					k, ended = End, true
 				}
 				put++
-				if c := b.Put(k, put); c != from+uint64(put) {
+				if c := outbox.Put(k, put); c != from+uint64(put) {
 					t.Fatalf("cursor %d for message %d", c, put)
 				}
 			case 6, 7:
-				m, ok := b.Next(have)
+				m, ok := outbox.Next(have)
 				if !ok {
 					if have != from+uint64(put) {
-						t.Fatalf("nothing after %d of %d", have, put)
+						t.Fatalf("no message after cursor %d of %d", have, put)
 					}
 					break
 				}
-				read(m)
-				b.Ack(have)
-			case 8, 9: // words that do not hold
-				b.Ack(have + uint64(put) + 100)
-				b.Ack(rapid.Uint64Range(0, have).Draw(t, "old"))
+				receive(m)
+				outbox.Ack(have)
+			case 8, 9: // invalid acknowledgements: of a cursor not yet assigned, and of an old one
+				outbox.Ack(have + uint64(put) + 100)
+				outbox.Ack(rapid.Uint64Range(0, have).Draw(t, "old"))
 			}
-			if b.Len() > MaxOutbox || b.Acked() != have {
-				t.Fatalf("%d kept, acknowledged %d of %d", b.Len(), b.Acked(), have)
+			if outbox.Len() > MaxOutbox || outbox.Acked() != have {
+				t.Fatalf("%d messages kept, acknowledged up to %d, want %d", outbox.Len(), outbox.Acked(), have)
 			}
 		}
-		for m, ok := b.Next(have); ok; m, ok = b.Next(have) {
-			read(m)
+		for m, ok := outbox.Next(have); ok; m, ok = outbox.Next(have) {
+			receive(m)
 		}
-		if told != put {
-			t.Fatalf("%d of %d given or told as left out", told, put)
+		if accounted != put {
+			t.Fatalf("%d of %d messages delivered or counted as omitted", accounted, put)
 		}
 		if sawEnd != ended {
-			t.Fatalf("the end was put: %v, read: %v", ended, sawEnd)
+			t.Fatalf("end put: %v, received: %v", ended, sawEnd)
 		}
 	})
 }
 
-func TestDoorSpreadsAHerd(t *testing.T) {
-	d := NewAdmission(now, 100_000, 1)
-	in, slots := 0, map[int64]int{}
-	var backs []int64
-	const herd = 6000
-	for range herd {
-		r, back := d.Admit(now, "v", in)
+func TestAdmissionSpreadsReconnects(t *testing.T) {
+	admission := NewAdmission(now, 100_000, 1)
+	admitted, perSecond := 0, map[int64]int{}
+	var retryDelays []int64
+	const clients = 6000
+	for range clients {
+		r, retryAfter := admission.Admit(now, "v", admitted)
 		if r == Admitted {
-			in++
+			admitted++
 			continue
 		}
-		if r != RateLimited || back < MinRetryAfter || back > paceAhead+MinRetryAfter {
-			t.Fatalf("%v, %d", r, back)
+		if r != RateLimited || retryAfter < MinRetryAfter || retryAfter > maxRetryAfter+MinRetryAfter {
+			t.Fatalf("got %v with retry delay %d", r, retryAfter)
 		}
-		slots[back/decision.Second]++
-		backs = append(backs, back)
+		perSecond[retryAfter/decision.Second]++
+		retryDelays = append(retryDelays, retryAfter)
 	}
-	if in != paceBurst {
-		t.Fatalf("%d let in at once", in)
+	if admitted != admitBurst {
+		t.Fatalf("%d sockets admitted at once", admitted)
 	}
-	for s, n := range slots {
-		if n > 1.1*paceRate {
-			t.Errorf("%d are told to come in second %d", n, s)
+	for s, n := range perSecond {
+		if n > 1.1*admitRate {
+			t.Errorf("%d clients are told to retry in second %d", n, s)
 		}
 	}
-	// Those who heed it are let in.
+	// Clients that follow the advice are admitted.
 	refused := 0
-	slices.Sort(backs)
-	for _, back := range backs {
-		if r, _ := d.Admit(now+back, "v", in); r != Admitted {
+	slices.Sort(retryDelays)
+	for _, retryAfter := range retryDelays {
+		if r, _ := admission.Admit(now+retryAfter, "v", admitted); r != Admitted {
 			refused++
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d came as told and were turned away again", refused)
+		t.Errorf("%d clients retried at their time and were refused again", refused)
 	}
-	if r, back := d.Admit(now, "v", 100_000); r != Full || back < MinRetryAfter {
-		t.Errorf("full: %v %d", r, back)
+	if r, retryAfter := admission.Admit(now, "v", 100_000); r != Full || retryAfter < MinRetryAfter {
+		t.Errorf("at the socket limit: got %v with retry delay %d", r, retryAfter)
 	}
 }
 
-func TestBarredForAWhile(t *testing.T) {
-	d := NewAdmission(now, 10, 1)
-	d.Ban(now, "bad")
-	if r, back := d.Admit(now+1, "bad", 0); r != Banned || back != barredFor-1 {
-		t.Fatalf("%v %d", r, back)
+func TestBanExpires(t *testing.T) {
+	admission := NewAdmission(now, 10, 1)
+	admission.Ban(now, "bad")
+	if r, retryAfter := admission.Admit(now+1, "bad", 0); r != Banned || retryAfter != banDuration-1 {
+		t.Fatalf("got %v with retry delay %d", r, retryAfter)
 	}
-	if r, _ := d.Admit(now+1, "good", 0); r != Admitted {
+	if r, _ := admission.Admit(now+1, "good", 0); r != Admitted {
 		t.Fatal(r)
 	}
-	if r, _ := d.Admit(now+barredFor, "bad", 0); r != Admitted {
-		t.Fatal("kept out for ever")
+	if r, _ := admission.Admit(now+banDuration, "bad", 0); r != Admitted {
+		t.Fatal("still refused after banDuration")
 	}
-	for i := range 3 * barredMost {
-		d.Ban(now, string(rune('a'+i%20))+string(rune(i)))
+	for i := range 3 * maxBans {
+		admission.Ban(now, string(rune('a'+i%20))+string(rune(i)))
 	}
-	if d.barred.Len() > barredMost {
-		t.Fatal("a table that grows with every name")
+	if admission.bans.Len() > maxBans {
+		t.Fatal("more than maxBans bans are kept")
 	}
 }
 
-func TestShedding(t *testing.T) {
-	all := []SocketState{
+func TestShedOrder(t *testing.T) {
+	states := []SocketState{
 		{Importance: 3, Playing: true, Since: 1},
 		{Importance: 1, Playing: true, Since: 2},
 		{Since: 5},
 		{Since: 3},
-		{Importance: 3, Playing: true, Since: 4, WriteDelay: slowPenalty},
+		{Importance: 3, Playing: true, Since: 4, WriteDelay: slowReaderDelay},
 	}
-	left := append([]SocketState{}, all...)
+	left := append([]SocketState{}, states...)
 	var order []int64
 	for len(left) > 0 {
-		gone := Shed(now, left, 3)
-		if len(gone) == 0 {
+		closed := Shed(now, left, 3)
+		if len(closed) == 0 {
 			break
 		}
-		if len(gone) != 1 {
-			t.Fatalf("%d at once of %d", len(gone), len(left))
+		if len(closed) != 1 {
+			t.Fatalf("%d of %d sockets closed at once", len(closed), len(left))
 		}
-		order = append(order, left[gone[0]].Since)
-		left = append(left[:gone[0]], left[gone[0]+1:]...)
+		order = append(order, left[closed[0]].Since)
+		left = append(left[:closed[0]], left[closed[0]+1:]...)
 	}
-	// The slow reader, the idle ones by age, then what matters less than the newcomer; never what matters as much.
+	// The slow reader, the idle ones by age, then the play less important than the newcomer; never one as important.
 	want := []int64{4, 3, 5, 2}
 	if len(order) != len(want) {
-		t.Fatalf("%v", order)
+		t.Fatalf("closed %v", order)
 	}
 	for i := range want {
 		if order[i] != want[i] {
-			t.Fatalf("%v, want %v", order, want)
+			t.Fatalf("closed %v, want %v", order, want)
 		}
 	}
-	if gone := Shed(now, all[:2], 0); len(gone) != 0 {
-		t.Fatal("one that plays went for one that plays nothing")
+	if closed := Shed(now, states[:2], 0); len(closed) != 0 {
+		t.Fatal("a playing socket was closed for one without a play")
 	}
-	if gone := Shed(now, make([]SocketState, 640), 0); len(gone) != 10 {
-		t.Fatalf("%d of 640", len(gone))
+	if closed := Shed(now, make([]SocketState, 640), 0); len(closed) != 10 {
+		t.Fatalf("%d of 640 sockets closed, want 10", len(closed))
 	}
 }
 
-func TestFates(t *testing.T) {
-	const broke = now
-	limit := int64(broke + 2*decision.Second)
+func TestAfterDisconnect(t *testing.T) {
+	const disconnectedAt = now
+	deadline := int64(disconnectedAt + 2*decision.Second)
 	for _, c := range []struct {
-		at                   int64
-		answered, plays, has bool
-		want                 Disposition
+		at                       int64
+		answered, playing, acked bool
+		want                     Disposition
 	}{
-		{limit - 1, false, false, false, Keep},
-		{limit, false, false, false, Withdraw},
-		{limit - 1, true, true, false, Keep},
-		{limit, true, true, false, Abandon}, // told nothing: its seat is free at its limit
-		{limit, true, true, true, Keep},     // it plays and its viewer knows
-		{broke + ReconnectGrace - 1, true, true, true, Keep},
-		{broke + ReconnectGrace, true, true, true, Forget},
-		{broke + ReconnectGrace - 1, true, false, false, Keep}, // a refusal waits to be fetched
-		{broke + ReconnectGrace, true, false, false, Forget},
+		{deadline - 1, false, false, false, Keep},
+		{deadline, false, false, false, Withdraw},
+		{deadline - 1, true, true, false, Keep},
+		{deadline, true, true, false, Abandon}, // the viewer was not told: the stream is freed at the deadline
+		{deadline, true, true, true, Keep},     // it plays and its viewer acknowledged it
+		{disconnectedAt + ReconnectGrace - 1, true, true, true, Keep},
+		{disconnectedAt + ReconnectGrace, true, true, true, Forget},
+		{disconnectedAt + ReconnectGrace - 1, true, false, false, Keep}, // a refusal is kept to be fetched
+		{disconnectedAt + ReconnectGrace, true, false, false, Forget},
 	} {
-		got, again := AfterDisconnect(c.at, limit, broke, c.answered, c.plays, c.has)
-		if got != c.want || got == Keep && again <= c.at {
-			t.Errorf("%+v: %d, again at %d", c, got, again)
+		got, decideAgain := AfterDisconnect(c.at, deadline, disconnectedAt, c.answered, c.playing, c.acked)
+		if got != c.want || got == Keep && decideAgain <= c.at {
+			t.Errorf("%+v: got %d, decide again at %d", c, got, decideAgain)
 		}
 	}
 }
 
-func TestConduct(t *testing.T) {
-	c := NewBehavior(now)
-	taken, ignored := 0, 0
+func TestBehaviorLimits(t *testing.T) {
+	behavior := NewBehavior(now)
+	accepted, ignored := 0, 0
 	for {
-		w := c.Message(now)
-		if w == Disconnect {
+		response := behavior.Message(now)
+		if response == Disconnect {
 			break
 		}
-		if w == Accept {
-			taken++
+		if response == Accept {
+			accepted++
 		} else {
 			ignored++
 		}
 	}
-	if taken != sayBurst || ignored != warnings {
-		t.Fatalf("%d taken, %d told off", taken, ignored)
+	if accepted != messageBurst || ignored != maxWarnings {
+		t.Fatalf("%d messages accepted, %d ignored", accepted, ignored)
 	}
-	c = NewBehavior(now)
-	for i := range 600 { // a report each second and an ack each two for ten minutes
-		if c.Message(now+int64(i)*decision.Second) != Accept || i%2 == 0 && c.Message(now+int64(i)*decision.Second) != Accept {
-			t.Fatal("a player that behaves was told off")
+	behavior = NewBehavior(now)
+	for i := range 600 { // a report each second and an acknowledgement every two seconds, for ten minutes
+		if behavior.Message(now+int64(i)*decision.Second) != Accept || i%2 == 0 && behavior.Message(now+int64(i)*decision.Second) != Accept {
+			t.Fatal("a message within the rate was not accepted")
 		}
 	}
 	for i, want := range []Response{Ignore, Ignore, Disconnect} {
-		if got := c.Malformed(); got != want {
+		if got := behavior.Malformed(); got != want {
 			t.Fatalf("malformed message %d: got %v, want %v", i+1, got, want)
 		}
 	}
-	for i := range claimsMost {
-		if c.NotDelivered(now+int64(i)) != Accept {
-			t.Fatal("a broken node")
+	for i := range maxDeliveryClaims {
+		if behavior.NotDelivered(now+int64(i)) != Accept {
+			t.Fatal("a report of a broken node was not accepted")
 		}
 	}
-	if c.NotDelivered(now+claimsOver-1) != Ignore || c.NotDelivered(now+claimsOver) != Accept {
-		t.Fatal("claims are counted over a time")
+	if behavior.NotDelivered(now+deliveryClaimWindow-1) != Ignore || behavior.NotDelivered(now+deliveryClaimWindow) != Accept {
+		t.Fatal("reports of broken nodes are not limited per deliveryClaimWindow")
 	}
 }
