--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,19 +1,21 @@
-// Package membership decides what a front end believes of its fleet: which playout nodes there are, by whose word, and which of
-// them may be given new plays. Words come from several sources, late, repeated, shuffled, behind or wrong. No I/O and no
-// clock: times are int64 tenths of a millisecond, as in package decision. One goroutine at a time.
+// Package membership keeps a front end's view of its fleet: which playout nodes exist, according to which source, and which
+// of them may receive new plays. Updates come from several sources and may be late, repeated, reordered, outdated or wrong.
+// The package does no I/O and reads no clock: times are int64 tenths of a millisecond, as in package decision. A Fleet is
+// not safe for concurrent use.
 //
-// The rules by which conflicts settle:
+// Conflicts are resolved by these rules:
 //
-//  1. A word that a node drains or is gone holds at once, whoever says it, and no older word undoes it. It is undone by a newer
-//     word of the same source or of a higher one, or by a later start of the node.
-//  2. A node's start time only goes forward.
-//  3. A source's version only goes forward; a word with an older one is passed over. A whole list with an older version is a
-//     list service that begins anew: it is heard, nothing that it leaves out is dropped at once, and until it has come
-//     further than it once was it takes back no word that a node drains or is gone.
-//  4. Absence is a weaker word than "gone". A whole list that leaves out more than a third of the fleet is not believed at once
-//     for nodes that are in touch: they are kept until it has said so for a while.
-//  5. An address that answers with another name is another node: the line is not used until its address or start changes.
-//  6. What was saved serves by its age, and only until the list service speaks.
+//  1. An update that a node is draining or gone takes effect at once, whatever its source, and no older update reverts it.
+//     It is reverted by a newer update of the same source or of one with more authority, or by a later start of the node.
+//  2. A node's start time never decreases.
+//  3. Partial updates with a version not above the source's last one are ignored. A full list with an older version means
+//     that the list service has restarted: it is applied, but nothing that it omits is removed at once, and until its
+//     version reaches the highest one seen it does not revert an update that a node is draining or gone.
+//  4. Omission from a full list is weaker than an explicit "gone". If a full list omits more than a third of the fleet, the
+//     omitted nodes that are connected are kept until the omission has lasted for missingDelay.
+//  5. If the process at a node's address reports another name, it is another node: the entry is not used until its address or
+//     start time changes.
+//  6. A saved list is used depending on its age, and only until the list service first sends something.
 package membership
 
 import (
@@ -25,32 +27,32 @@
 )
 
 const (
-	vanishShare = 1.0 / 3              // of the fleet: more at once is likelier a mistake of the list than of so many machines
-	vanishLeast = 2                    // of a small fleet so many may go at once
-	vanishFor   = 10 * decision.Second // then it is believed: a list that is wrong by a slip is mended in seconds
-	// SavedListDelay is how long a front that starts waits for the list service before it uses what it saved.
+	maxMissingShare   = 1.0 / 3              // of the fleet: if more nodes are missing at once, an error in the list is likelier than the loss of so many machines
+	minMissingAllowed = 2                    // missing nodes that are accepted at once in a small fleet
+	missingDelay      = 10 * decision.Second // an omission that lasts this long is accepted: a list broken by mistake is corrected within seconds
+	// SavedListDelay is how long a starting front waits for the list service before it uses the saved list.
 	SavedListDelay = 1 * decision.Second
-	savedFresh     = 60 * decision.Second // fewer nodes change in a minute than drain within their grace
-	savedOld       = 24 * 3600 * decision.Second
-	admitShare     = 1.0 / 8                    // of the fleet in use: so many more are given to the module in one step
-	admitLeast     = 4                          // and at least
-	goneFor        = 600 * decision.Second      // a node that is gone is remembered so long, so that no older word brings it back
-	admitEvery     = 250 * decision.Millisecond // a step: the module's pace for cold nodes counts plays, not nodes that come at once
+	savedFreshAge  = 60 * decision.Second // up to this age nodes need not confirm themselves: fewer nodes change in a minute than drain within their grace period
+	savedMaxAge    = 24 * 3600 * decision.Second
+	admitShare     = 1.0 / 8                    // of the admitted nodes: limit of the nodes admitted in one step
+	minAdmitted    = 4                          // lower bound of that limit
+	goneRetention  = 600 * decision.Second      // how long a gone node is remembered, so that no older update brings it back
+	admitInterval  = 250 * decision.Millisecond // interval between steps: the core's rate limit for cold nodes counts plays, not nodes that are added at once
 )
 
-// Source is who says something of the fleet; the higher has more authority.
+// Source is the origin of an Update; a higher value has more authority.
 type Source uint8
 
 const (
-	Saved Source = iota // the list as this front last wrote it down
-	File                // a file that the operator keeps
+	Saved Source = iota // the list that this front last saved
+	File                // a file maintained by the operator
 	List                // the list service
-	sources
+	sourceCount
 )
 
 func (s Source) String() string { return [...]string{"saved list", "file", "list service"}[s] }
 
-// Entry is one playout node, by name.
+// Entry describes one playout node, identified by its name.
 type Entry struct {
 	Name      string
 	Address   string // host:port
@@ -58,336 +60,339 @@
 	Kind      int
 	Zone      int
 	Cell      int
-	StartedAt int64 // on the front's clock; 0 is long past
+	StartedAt int64 // on the front's clock; 0 means long ago
 	Weight    float64
 }
 
-// Update is what a source says: the whole list, or what changed.
+// Update is a message from a source: the full list, or the entries that changed.
 type Update struct {
 	Source  Source
-	Version int64 // 0 where the source counts none
+	Version int64 // 0 if the source has no versions
 	Full    bool
-	Age     int64 // of what was saved; below 0 where the clock was set back since
+	Age     int64 // of a saved list; negative if the clock was set back since
 	Entries []Entry
 }
 
 type node struct {
-	line     Entry
-	by       Source
-	saidAt   int64
-	has      [sources]bool // the source's last whole list, and what followed it, has it
-	alive    bool          // its stream is open, and it has told who it is
-	met      bool          // it was alive once in this front's life
-	name     string        // another name that answered at its address
-	parted   bool          // told to drain or gone
-	partedBy Source
-	missing  int64 // since when a word that is not believed yet leaves it out; 0 is not
-	unsure   bool  // by a word that wants it to confirm itself
-	told     Entry // what the core was last told
-	known    bool  // the core was told anything
+	entry         Entry
+	source        Source
+	updatedAt     int64
+	listedBy      [sourceCount]bool // the source's last full list, with the changes since, contains the node
+	connected     bool              // its stream is open and it has reported its name
+	everConnected bool              // it was connected at some time since this front started
+	otherName     string            // a different name reported by the process at its address
+	stopped       bool              // reported as draining or gone
+	stoppedBy     Source
+	missingSince  int64 // since when a list omits it without the omission being accepted; 0 if none does
+	mustConfirm   bool  // it may be used only after it has been connected
+	announced     Entry // the entry last returned by Due
+	isAnnounced   bool  // Due has returned an entry for it
 }
 
-// Fleet is the fleet as the front believes it.
+// Fleet is a front's view of its fleet.
 type Fleet struct {
-	nodes   []node
-	at      map[string]int
-	version [sources]int64
-	top     [sources]int64 // the highest version that the source ever told
-	spoke   [sources]bool
-	admitAt int64 // when the next step begins
-	admits  int   // how many may still be given in this one
-	sweptAt int64
-	used    int // told as ready
-	counts  Counts
+	nodes          []node
+	indexes        map[string]int
+	version        [sourceCount]int64
+	highestVersion [sourceCount]int64 // highest version ever received from the source
+	reported       [sourceCount]bool
+	nextAdmitAt    int64 // when the next step of admissions begins
+	admitsLeft     int   // nodes that may still be admitted in this step
+	lastRemoval    int64
+	admittedCount  int // nodes last announced as ready
+	counts         Counts
 }
 
-// Counts are what the fleet has heard.
+// Counts are counters of the updates received and the problems found.
 type Counts struct {
 	Updates, Stale, Regressions, Doubted, NameMismatches uint64
 }
 
-// New makes an empty fleet.
-func New() *Fleet { return &Fleet{at: map[string]int{}} }
+// New returns an empty Fleet.
+func New() *Fleet { return &Fleet{indexes: map[string]int{}} }
 
-// Counts returns a copy of what was heard so far.
+// Counts returns a copy of the counters.
 func (f *Fleet) Counts() Counts { return f.counts }
 
-// HasReported tells that a source has said anything.
-func (f *Fleet) HasReported(s Source) bool { return f.spoke[s] }
+// HasReported reports whether an update of the source has been applied.
+func (f *Fleet) HasReported(s Source) bool { return f.reported[s] }
 
-// Usable says how a list that was saved may serve, by its age: not at all, or only nodes that confirm themselves. An age
-// below 0 tells of a clock that was set back, so that it is not known.
-func Usable(age int64) (use, unsure bool) {
+// Usable reports whether a saved list of the given age may be used, and if so, whether its nodes must confirm themselves
+// first by connecting. A negative age means that the clock was set back, so the real age is unknown.
+func Usable(age int64) (use, mustConfirm bool) {
 	switch {
-	case age > savedOld:
+	case age > savedMaxAge:
 		return false, false
-	case age < 0 || age > savedFresh:
+	case age < 0 || age > savedFreshAge:
 		return true, true
 	}
 	return true, false
 }
 
-// Apply takes a source's word, and tells whether it is one that counts: not older than what the same source said.
-func (f *Fleet) Apply(now int64, w Update) bool {
+// Apply applies an update and reports whether it was accepted. Rejected are partial updates not newer than the last
+// update of their source, and saved lists that are too old or come after an update of the list service.
+func (f *Fleet) Apply(now int64, u Update) bool {
 	f.counts.Updates++
-	unsure := false
-	if w.Source == Saved {
+	mustConfirm := false
+	if u.Source == Saved {
 		var use bool
-		if use, unsure = Usable(w.Age); !use || f.spoke[List] {
+		if use, mustConfirm = Usable(u.Age); !use || f.reported[List] {
 			return false
 		}
 	}
-	back := w.Version > 0 && w.Version < f.top[w.Source] // behind what the source once said
-	if w.Version > 0 && f.spoke[w.Source] {
-		switch have := f.version[w.Source]; {
-		case !w.Full && w.Version <= have:
+	regressed := u.Version > 0 && u.Version < f.highestVersion[u.Source] // below the highest version of the source: it has restarted
+	if u.Version > 0 && f.reported[u.Source] {
+		switch have := f.version[u.Source]; {
+		case !u.Full && u.Version <= have:
 			f.counts.Stale++
 			return false
-		case w.Full && w.Version < have:
+		case u.Full && u.Version < have:
 			f.counts.Regressions++
 		}
 	}
-	f.top[w.Source] = max(f.top[w.Source], w.Version)
-	f.version[w.Source], f.spoke[w.Source] = w.Version, true
-	in := make(map[string]bool, len(w.Entries))
-	for _, l := range w.Entries {
-		in[l.Name] = true
-		f.line(now, w, l, unsure, back)
+	f.highestVersion[u.Source] = max(f.highestVersion[u.Source], u.Version)
+	f.version[u.Source], f.reported[u.Source] = u.Version, true
+	listed := make(map[string]bool, len(u.Entries))
+	for _, e := range u.Entries {
+		listed[e.Name] = true
+		f.applyEntry(now, u, e, mustConfirm, regressed)
 	}
-	if w.Full {
-		f.absent(now, w, in, back)
+	if u.Full {
+		f.applyAbsences(now, u, listed, regressed)
 	}
 	return true
 }
 
-// line takes one line of a word in.
-func (f *Fleet) line(now int64, w Update, l Entry, unsure, back bool) {
-	i, ok := f.at[l.Name]
+// applyEntry applies one entry of an update.
+func (f *Fleet) applyEntry(now int64, u Update, e Entry, mustConfirm, regressed bool) {
+	i, ok := f.indexes[e.Name]
 	if !ok {
-		i = len(f.nodes) // one that is gone too: no older word may bring it
-		f.nodes = append(f.nodes, node{line: l, by: w.Source, saidAt: now})
-		f.at[l.Name] = i
+		i = len(f.nodes) // also for a node that is gone, so that no older update adds it
+		f.nodes = append(f.nodes, node{entry: e, source: u.Source, updatedAt: now})
+		f.indexes[e.Name] = i
 	}
 	n := &f.nodes[i]
-	if w.Source == Saved {
-		l.StartedAt = now // not known any more: it counts as cold for the pace
+	if u.Source == Saved {
+		e.StartedAt = now // not reliable any more: the node counts as cold for the rate limit
 		if ok {
 			return
 		}
 	}
-	// A lower source says nothing of a node that a higher one has, but that it drains or is gone.
-	lower := ok && w.Source < n.by && n.has[n.by]
-	later := l.StartedAt > n.line.StartedAt && (l.StartedAt > 0 && n.line.StartedAt > 0)
-	parts := l.Phase != decision.Ready
-	n.has[w.Source] = l.Phase != decision.Gone
-	if parts && !n.parted {
-		n.parted, n.partedBy = true, w.Source
+	// For a node listed by a source of more authority, an update only counts if it says draining or gone.
+	overruled := ok && u.Source < n.source && n.listedBy[n.source]
+	restarted := e.StartedAt > n.entry.StartedAt && (e.StartedAt > 0 && n.entry.StartedAt > 0)
+	stops := e.Phase != decision.Ready
+	n.listedBy[u.Source] = e.Phase != decision.Gone
+	if stops && !n.stopped {
+		n.stopped, n.stoppedBy = true, u.Source
 	}
 	switch {
-	case lower:
-		if parts {
-			n.line.Phase = max(n.line.Phase, l.Phase)
+	case overruled:
+		if stops {
+			n.entry.Phase = max(n.entry.Phase, e.Phase)
 		}
 		return
-	case n.parted && !parts && !later && (w.Source < n.partedBy || back):
-		l.Phase = n.line.Phase // an older word, or one of less authority
-	case !parts:
-		n.parted = false
+	case n.stopped && !stops && !restarted && (u.Source < n.stoppedBy || regressed):
+		e.Phase = n.entry.Phase // an older update, or one of less authority
+	case !stops:
+		n.stopped = false
 	}
-	if l.Address != n.line.Address || later {
-		n.name = "" // another process may answer there
-		if l.Address != n.line.Address {
-			n.alive = false
+	if e.Address != n.entry.Address || restarted {
+		n.otherName = "" // another process may answer there
+		if e.Address != n.entry.Address {
+			n.connected = false
 		}
 	}
-	l.StartedAt = max(l.StartedAt, n.line.StartedAt)
-	n.line, n.by, n.saidAt, n.missing, n.unsure = l, w.Source, now, 0, unsure
+	e.StartedAt = max(e.StartedAt, n.entry.StartedAt)
+	n.entry, n.source, n.updatedAt, n.missingSince, n.mustConfirm = e, u.Source, now, 0, mustConfirm
 }
 
-// absent judges the nodes that a whole list leaves out.
-func (f *Fleet) absent(now int64, w Update, in map[string]bool, back bool) {
-	var out []int
-	known := 0
+// applyAbsences handles the nodes that a full list omits.
+func (f *Fleet) applyAbsences(now int64, u Update, listed map[string]bool, regressed bool) {
+	var omitted []int
+	expected := 0
 	for i := range f.nodes {
 		n := &f.nodes[i]
-		if n.line.Phase == decision.Gone || !n.has[n.by] {
+		if n.entry.Phase == decision.Gone || !n.listedBy[n.source] {
 			continue
 		}
-		if n.missing == 0 || n.alive {
-			known++
+		if n.missingSince == 0 || n.connected {
+			expected++
 		}
-		covered := n.has[w.Source] || w.Source > n.by // the source had it, or has the last word on it
-		if covered && !in[n.line.Name] {
-			out = append(out, i)
+		covered := n.listedBy[u.Source] || u.Source > n.source // the source listed it before, or has more authority than the source of its entry
+		if covered && !listed[n.entry.Name] {
+			omitted = append(omitted, i)
 		}
 	}
-	doubted := back || len(out) > max(vanishLeast, int(vanishShare*float64(known)))
-	for _, i := range out {
+	doubted := regressed || len(omitted) > max(minMissingAllowed, int(maxMissingShare*float64(expected)))
+	for _, i := range omitted {
 		n := &f.nodes[i]
-		if n.missing == 0 {
-			n.missing = max(1, now)
+		if n.missingSince == 0 {
+			n.missingSince = max(1, now)
 		}
 		if !doubted {
-			f.gone(now, n, w.Source)
+			f.markGone(now, n, u.Source)
 		} else {
 			f.counts.Doubted++
 		}
 	}
 }
 
-func (f *Fleet) gone(now int64, n *node, by Source) {
-	n.has, n.saidAt = [sources]bool{}, now
-	n.line.Phase, n.parted, n.partedBy, n.missing = decision.Gone, true, by, 0
+func (f *Fleet) markGone(now int64, n *node, source Source) {
+	n.listedBy, n.updatedAt = [sourceCount]bool{}, now
+	n.entry.Phase, n.stopped, n.stoppedBy, n.missingSince = decision.Gone, true, source, 0
 }
 
-// Confirmed says that a node's stream is open and that the process there calls itself so.
-func (f *Fleet) Confirmed(now int64, name, calls string) {
-	i, ok := f.at[name]
+// Confirmed records that a node's stream is open and which name the process there reported.
+func (f *Fleet) Confirmed(now int64, name, reportedName string) {
+	i, ok := f.indexes[name]
 	if !ok {
 		return
 	}
 	n := &f.nodes[i]
-	if calls != "" && calls != name {
-		if n.name != calls {
+	if reportedName != "" && reportedName != name {
+		if n.otherName != reportedName {
 			f.counts.NameMismatches++
 		}
-		n.name, n.alive = calls, false
+		n.otherName, n.connected = reportedName, false
 		return
 	}
-	n.name, n.alive, n.met = "", true, true
+	n.otherName, n.connected, n.everConnected = "", true, true
 }
 
-// Disconnected says that a node's stream is not open any more.
+// Disconnected records that a node's stream is closed.
 func (f *Fleet) Disconnected(now int64, name string) {
-	if i, ok := f.at[name]; ok {
-		f.nodes[i].alive = false
+	if i, ok := f.indexes[name]; ok {
+		f.nodes[i].connected = false
 	}
 }
 
-// phase is what a node may be given, and why.
-func (f *Fleet) phase(n *node) (decision.Phase, string) {
+// effectivePhase returns the phase in which the core treats a node, and the reason unless the node is simply ready.
+func (f *Fleet) effectivePhase(n *node) (decision.Phase, string) {
 	switch {
-	case n.line.Phase == decision.Gone:
-		return decision.Gone, "gone, by the " + n.partedBy.String()
-	case n.line.Phase == decision.Draining:
-		return decision.Draining, "draining, by the " + n.partedBy.String()
-	case n.name != "":
-		return decision.Draining, fmt.Sprintf("at its address answers %q", n.name)
-	case n.unsure && !n.met:
+	case n.entry.Phase == decision.Gone:
+		return decision.Gone, "gone, by the " + n.stoppedBy.String()
+	case n.entry.Phase == decision.Draining:
+		return decision.Draining, "draining, by the " + n.stoppedBy.String()
+	case n.otherName != "":
+		return decision.Draining, fmt.Sprintf("at its address answers %q", n.otherName)
+	case n.mustConfirm && !n.everConnected:
 		return decision.Draining, "on an old saved list, and has not answered yet"
-	case n.missing > 0 && !n.alive: // to be undone if the list has it again
+	case n.missingSince > 0 && !n.connected: // reverted if a list contains it again
 		return decision.Gone, "left out by the list service, and not in touch"
-	case n.missing > 0:
+	case n.missingSince > 0:
 		return decision.Ready, "left out by the list service with too many others to be believed at once"
 	}
 	return decision.Ready, ""
 }
 
-// Due brings what the core is to be told now: the nodes that changed, in the order in which they were first heard of, those
-// that are given new plays not all at once. wake is when to ask again; 0 if a word or a node must change something first.
-func (f *Fleet) Due(now int64) (lines []Entry, wake int64) {
-	fresh := 0
+// Due returns the entries to pass to the core now: those of the nodes that changed, in the order in which the nodes were
+// first listed. Nodes that become ready are admitted in steps. wake is when to call Due again; 0 if nothing will be due
+// before the next update or the next change of a node's connection.
+func (f *Fleet) Due(now int64) (entries []Entry, wake int64) {
+	waiting := 0
 	for i := range f.nodes {
 		n := &f.nodes[i]
-		if n.missing > 0 && now-n.missing >= vanishFor {
-			f.gone(now, n, List)
+		if n.missingSince > 0 && now-n.missingSince >= missingDelay {
+			f.markGone(now, n, List)
 		}
-		if n.missing > 0 && (wake == 0 || n.missing+vanishFor < wake) {
-			wake = n.missing + vanishFor
+		if n.missingSince > 0 && (wake == 0 || n.missingSince+missingDelay < wake) {
+			wake = n.missingSince + missingDelay
 		}
-		if phase, _ := f.phase(n); phase == decision.Ready && !n.given() {
-			fresh++
+		if phase, _ := f.effectivePhase(n); phase == decision.Ready && !n.admitted() {
+			waiting++
 		}
 	}
-	room := fresh
-	if fresh > 0 && f.used > 0 { // a front that has nothing yet takes what there is
-		if now >= f.admitAt {
-			f.admitAt, f.admits = now+admitEvery, max(admitLeast, int(admitShare*float64(f.used)))
+	room := waiting
+	if waiting > 0 && f.admittedCount > 0 { // a front without any admitted node takes all at once
+		if now >= f.nextAdmitAt {
+			f.nextAdmitAt, f.admitsLeft = now+admitInterval, max(minAdmitted, int(admitShare*float64(f.admittedCount)))
 		}
-		room = min(fresh, f.admits)
-		f.admits -= room
+		room = min(waiting, f.admitsLeft)
+		f.admitsLeft -= room
 	}
-	if fresh > room && (wake == 0 || f.admitAt < wake) {
-		wake = f.admitAt
+	if waiting > room && (wake == 0 || f.nextAdmitAt < wake) {
+		wake = f.nextAdmitAt
 	}
 	for i := range f.nodes {
 		n := &f.nodes[i]
-		l := n.line
-		l.Phase, _ = f.phase(n)
+		e := n.entry
+		e.Phase, _ = f.effectivePhase(n)
 		switch {
-		case n.known && l == n.told || !n.known && l.Phase == decision.Gone:
+		case n.isAnnounced && e == n.announced || !n.isAnnounced && e.Phase == decision.Gone:
 			continue
-		case l.Phase == decision.Ready && !n.given():
+		case e.Phase == decision.Ready && !n.admitted():
 			if room == 0 {
 				continue
 			}
 			room--
-			f.used++
-		case l.Phase != decision.Ready && n.given():
-			f.used--
+			f.admittedCount++
+		case e.Phase != decision.Ready && n.admitted():
+			f.admittedCount--
 		}
-		n.told, n.known = l, true
-		lines = append(lines, l)
+		n.announced, n.isAnnounced = e, true
+		entries = append(entries, e)
 	}
-	f.sweep(now)
-	return lines, wake
+	f.removeGone(now)
+	return entries, wake
 }
 
-// given tells that the core may give a node new plays.
-func (n *node) given() bool { return n.known && n.told.Phase == decision.Ready }
+// admitted reports whether the core may send new plays to the node.
+func (n *node) admitted() bool { return n.isAnnounced && n.announced.Phase == decision.Ready }
 
-// sweep forgets nodes that are gone for everyone, so that a fleet whose names never come again does not grow for ever.
-func (f *Fleet) sweep(now int64) {
-	if now < f.sweptAt+goneFor {
+// removeGone removes nodes that have been gone for longer than goneRetention, so that memory stays bounded when names of
+// nodes are never reused.
+func (f *Fleet) removeGone(now int64) {
+	if now < f.lastRemoval+goneRetention {
 		return
 	}
-	f.sweptAt = now
+	f.lastRemoval = now
 	kept := f.nodes[:0]
 	for _, n := range f.nodes {
-		if n.line.Phase == decision.Gone && (!n.known || n.told.Phase == decision.Gone) && now-n.saidAt > goneFor {
-			delete(f.at, n.line.Name)
+		if n.entry.Phase == decision.Gone && (!n.isAnnounced || n.announced.Phase == decision.Gone) && now-n.updatedAt > goneRetention {
+			delete(f.indexes, n.entry.Name)
 			continue
 		}
-		f.at[n.line.Name] = len(kept)
+		f.indexes[n.entry.Name] = len(kept)
 		kept = append(kept, n)
 	}
 	clear(f.nodes[len(kept):])
 	f.nodes = kept
 }
 
-// NodeState is what is believed of one node, and why.
+// NodeState is the state of one node in the front's view.
 type NodeState struct {
 	Entry
 	Usable bool
-	Reason string // where it is not used, or only just
+	Reason string // why the node is not used, or is used although a list omits it
 	Source Source
-	Age    int64 // of the last word on it
+	Age    int64 // since the last update of its entry
 	Alive  bool
 }
 
-// NodeStates are what is believed of all nodes, by their names.
+// NodeStates returns the states of all nodes, sorted by name.
 func (f *Fleet) NodeStates(now int64) []NodeState {
 	out := make([]NodeState, 0, len(f.nodes))
 	for i := range f.nodes {
 		n := &f.nodes[i]
-		b := NodeState{Entry: n.line, Source: n.by, Age: now - n.saidAt, Alive: n.alive}
-		b.Phase, b.Reason = f.phase(n)
-		b.Usable = b.Phase == decision.Ready && n.given()
-		if b.Phase == decision.Ready && !b.Usable {
-			b.Reason = "waits to be admitted, as many come at once"
+		state := NodeState{Entry: n.entry, Source: n.source, Age: now - n.updatedAt, Alive: n.connected}
+		state.Phase, state.Reason = f.effectivePhase(n)
+		state.Usable = state.Phase == decision.Ready && n.admitted()
+		if state.Phase == decision.Ready && !state.Usable {
+			state.Reason = "waits to be admitted, as many come at once"
 		}
-		out = append(out, b)
+		out = append(out, state)
 	}
 	slices.SortFunc(out, func(a, b NodeState) int { return cmp.Compare(a.Name, b.Name) })
 	return out
 }
 
-// Snapshot is what is worth writing down: the nodes that may be used or drain, as the highest source says.
-func (f *Fleet) Snapshot() (version int64, lines []Entry) {
-	for _, b := range f.NodeStates(0) {
-		if b.Entry.Phase != decision.Gone {
-			lines = append(lines, b.Entry)
+// Snapshot returns the list to save, with the version of the list service's last update: all nodes that are ready or draining.
+func (f *Fleet) Snapshot() (version int64, entries []Entry) {
+	for _, state := range f.NodeStates(0) {
+		if state.Entry.Phase != decision.Gone {
+			entries = append(entries, state.Entry)
 		}
 	}
-	return f.version[List], lines
+	return f.version[List], entries
 }
