--- a/nodes/client.go
+++ b/nodes/client.go
@@ -27,81 +27,81 @@
 )
 
 const (
-	lineMost   = 4 << 20               // bytes of a note: a hello with some ten thousand plays
-	bodyMost   = 64 << 10              // bytes of an answer that are read
-	callsAtOne = 512                   // rungs and ends under way at once; more wait their turn
-	graceShare = 0.8                   // of the grace of a draining node, in which a set-up is on its way or not sent at all
-	graceLeast = 20 * time.Millisecond // a dial gets that long whatever the grace
+	maxLineBytes       = 4 << 20               // size limit of a line in a stream: a hello note with some ten thousand plays
+	maxBodyBytes       = 64 << 10              // how much of a response body is read
+	maxConcurrentCalls = 512                   // concurrent changes of rung and ends of plays; further calls wait
+	sendGraceShare     = 0.8                   // share of a draining node's grace period within which a set-up is written or not sent at all
+	minSendTimeout     = 20 * time.Millisecond // minimum time for dial and write, however short the grace period
 )
 
-// Catalog names what the core numbers: products, and where a title lies.
+// Catalog maps names to the numbers that the core uses: of products, and of the cells that hold a title.
 type Catalog interface {
 	Product(number int) string
 	ProductNumber(name string) (int, bool)
-	Title(name string) (home, copies int, ok bool)
+	Title(name string) (firstCell, cellCount int, ok bool)
 }
 
-// Client carries out the core's orders towards playout nodes: it is the core's session.Transport. All
-// its goroutines end when Close returns.
+// Client sends the core's requests to playout nodes: it implements session.Transport. All its
+// goroutines have ended when Close returns.
 type Client struct {
-	name    string
-	epoch   int64
-	report  bool // load reports come in answers to set-ups too
-	names   Catalog
-	runner  *session.Runner
-	log     zerolog.Logger
-	calls   http.Client // rungs, ends and probes, which may be repeated without harm
-	streams http.Client
-	slots   chan struct{}
-	sendFor time.Duration               // from an order to its bytes, at most
-	secure  func() (*tls.Config, error) // nil speaks plainly
+	name        string
+	epoch       int64
+	readLoad    bool // read load reports from responses to set-ups
+	catalog     Catalog
+	runner      *session.Runner
+	log         zerolog.Logger
+	calls       http.Client // for idempotent calls: changes of rung, ends of plays and probes
+	streams     http.Client
+	callSlots   chan struct{}
+	sendTimeout time.Duration               // limit from the core's request for a set-up to its write
+	tlsConfig   func() (*tls.Config, error) // nil: no TLS
 
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu      sync.Mutex
-	setUps  map[session.Ref]context.CancelCauseFunc
-	dialled map[int]*dial
+	mu          sync.Mutex
+	setUps      map[session.Ref]context.CancelCauseFunc
+	streamDials map[int]*streamDial
 }
 
-// dial is one stream, wanted or open.
-type dial struct{ cancel context.CancelFunc }
+// streamDial is one stream from a node, scheduled or open.
+type streamDial struct{ cancel context.CancelFunc }
 
-var errRecalled = errors.New("recalled")
+var errCanceled = errors.New("set-up canceled by the core")
 
-// NewClient makes a client for one life of a front. A set-up that can't be written within a part of grace, the time
-// in which work may still reach a node that drains, is not sent: the order came before the front heard of a drain,
-// so what goes out goes out in time. Secure, if not nil, is asked before each dial for what
-// TLS towards the nodes goes by.
-func NewClient(name string, epoch int64, report bool, grace time.Duration, names Catalog, r *session.Runner, secure func() (*tls.Config, error),
+// NewClient returns a Client for one run of a front's process, which epoch identifies. grace is how long a draining node
+// still accepts set-ups. A set-up that can't be written within sendGraceShare of it is not sent: the core requests set-ups
+// before the front learns of a drain, so those that are sent reach the node within its grace period. tlsConfig, if not
+// nil, is called before each dial for the TLS configuration.
+func NewClient(name string, epoch int64, readLoad bool, grace time.Duration, catalog Catalog, runner *session.Runner, tlsConfig func() (*tls.Config, error),
 	log zerolog.Logger) *Client {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Client{name: name, epoch: epoch, report: report, names: names, runner: r, secure: secure, log: log,
-		sendFor: min(session.Duration(liveness.ConnectTimeout), max(graceLeast, time.Duration(graceShare*float64(grace)))),
-		slots:   make(chan struct{}, callsAtOne), ctx: ctx, cancel: cancel,
-		setUps: map[session.Ref]context.CancelCauseFunc{}, dialled: map[int]*dial{}}
-	dialFor := func(ctx context.Context, network, address string) (net.Conn, error) {
+	c := &Client{name: name, epoch: epoch, readLoad: readLoad, catalog: catalog, runner: runner, tlsConfig: tlsConfig, log: log,
+		sendTimeout: min(session.Duration(liveness.ConnectTimeout), max(minSendTimeout, time.Duration(sendGraceShare*float64(grace)))),
+		callSlots:   make(chan struct{}, maxConcurrentCalls), ctx: ctx, cancel: cancel,
+		setUps: map[session.Ref]context.CancelCauseFunc{}, streamDials: map[int]*streamDial{}}
+	dialWithTimeout := func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, session.Duration(liveness.ConnectTimeout))
 		defer cancel()
 		return c.dial(ctx, address)
 	}
-	// Scheme http with a dialer that does TLS itself keeps set-ups and all else on one way to the nodes.
+	// The http scheme with a dialer that does TLS itself makes set-ups and all other calls share one dial function.
 	c.calls = http.Client{Timeout: session.Duration(liveness.CallTimeout), Transport: &http.Transport{
-		DialContext: dialFor, MaxIdleConnsPerHost: 4, IdleConnTimeout: 15 * time.Second}}
-	c.streams = http.Client{Transport: &http.Transport{DialContext: dialFor, DisableKeepAlives: true,
+		DialContext: dialWithTimeout, MaxIdleConnsPerHost: 4, IdleConnTimeout: 15 * time.Second}}
+	c.streams = http.Client{Transport: &http.Transport{DialContext: dialWithTimeout, DisableKeepAlives: true,
 		ResponseHeaderTimeout: session.Duration(liveness.CallTimeout)}}
 	return c
 }
 
-// dial opens a connection to a node, with its TLS done where that is asked for. An error proves that no
-// byte of a request was sent.
+// dial opens a connection to a node and completes the TLS handshake if TLS is configured. An error
+// proves that no byte of a request was sent.
 func (c *Client) dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
-	if err != nil || c.secure == nil {
+	if err != nil || c.tlsConfig == nil {
 		return conn, err
 	}
-	config, err := c.secure()
+	config, err := c.tlsConfig()
 	if err != nil {
 		conn.Close()
 		return nil, err
@@ -115,15 +115,15 @@
 		config = config.Clone()
 		config.ServerName = host
 	}
-	secured := tls.Client(conn, config)
-	if err := secured.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Client(conn, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("TLS with %s: %w", address, err)
 	}
-	return secured, nil
+	return tlsConn, nil
 }
 
-// Close ends all that is under way and waits for it.
+// Close cancels all calls and streams and waits for their goroutines.
 func (c *Client) Close() {
 	c.cancel()
 	c.wg.Wait()
@@ -141,58 +141,58 @@
 
 // ---- Set-ups ----
 
-// SetUp sends one set-up and tells the core how it went.
+// SetUp sends one set-up in the background and reports its outcome to the core.
 func (c *Client) SetUp(a session.Allocation) {
 	ctx, cancel := context.WithCancelCause(c.ctx)
-	ordered := time.Now()
+	orderedAt := time.Now()
 	c.mu.Lock()
 	c.setUps[a.Ref] = cancel
 	c.mu.Unlock()
 	c.spawn(func() {
-		until := time.Now().Add(session.Duration(a.Until - c.runner.Clock().Now()))
-		started, how, load := c.exchange(ctx, a, ordered, until)
+		deadline := time.Now().Add(session.Duration(a.Until - c.runner.Clock().Now()))
+		started, outcome, load := c.exchange(ctx, a, orderedAt, deadline)
 		cancel(nil)
 		c.mu.Lock()
 		delete(c.setUps, a.Ref)
 		c.mu.Unlock()
-		if how == decision.Served {
+		if outcome == decision.Served {
 			c.runner.Post(func(now int64, core *session.Core) {
 				core.Started(now, a.Ref, started.Life, started.Mark, started.Rung, load)
 			})
 			return
 		}
-		c.log.Debug().Str("play", a.Play).Int("try", a.Attempt).Str("node", a.Address).Uint8("ending", uint8(how)).Msg("set-up ended")
-		c.runner.Post(func(now int64, core *session.Core) { core.SetUpEnded(now, a.Ref, how, load) })
-		if how.MayHaveRun() {
-			c.End(a.Ref, a.Address, "given up") // it may have run: what still does is to end
+		c.log.Debug().Str("play", a.Play).Int("try", a.Attempt).Str("node", a.Address).Uint8("ending", uint8(outcome)).Msg("set-up failed")
+		c.runner.Post(func(now int64, core *session.Core) { core.SetUpEnded(now, a.Ref, outcome, load) })
+		if outcome.MayHaveRun() {
+			c.End(a.Ref, a.Address, "given up") // the play may have started; end it if so
 		}
 	})
 }
 
-// Cancel stops waiting for a set-up.
+// Cancel cancels a set-up that is in progress.
 func (c *Client) Cancel(r session.Ref) {
 	c.mu.Lock()
 	cancel := c.setUps[r]
 	c.mu.Unlock()
 	if cancel != nil {
-		cancel(errRecalled)
+		cancel(errCanceled)
 	}
 }
 
-// exchange is one request and its answer on a connection of its own, written by one Write. Until a
-// byte of it is out, nothing can have run; from then on only the node's own word says so.
-func (c *Client) exchange(ctx context.Context, a session.Allocation, ordered, until time.Time) (Started, decision.Outcome, decision.Load) {
-	request, err := c.request(a, until)
+// exchange sends one set-up on a connection of its own, with a single Write, and reads the response.
+// Before a byte is written, nothing can have run; afterwards only the node's answer can rule it out.
+func (c *Client) exchange(ctx context.Context, a session.Allocation, orderedAt, deadline time.Time) (Started, decision.Outcome, decision.Load) {
+	request, err := c.request(a, deadline)
 	if err != nil {
-		c.log.Error().Err(err).Str("play", a.Play).Msg("set-up not sent")
+		c.log.Error().Err(err).Str("play", a.Play).Msg("encoding a set-up failed; it is not sent")
 		return Started{}, decision.NotSent, decision.UnknownLoad
 	}
-	last := ordered.Add(c.sendFor)
-	if until.Before(last) {
-		last = until
+	sendDeadline := orderedAt.Add(c.sendTimeout)
+	if deadline.Before(sendDeadline) {
+		sendDeadline = deadline
 	}
-	dialling, cancel := context.WithDeadline(ctx, last)
-	conn, err := c.dial(dialling, a.Address)
+	dialCtx, cancel := context.WithDeadline(ctx, sendDeadline)
+	conn, err := c.dial(dialCtx, a.Address)
 	cancel()
 	if err != nil {
 		if ctx.Err() != nil {
@@ -203,30 +203,30 @@
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
-	conn.SetDeadline(until)
+	conn.SetDeadline(deadline)
 	if ctx.Err() != nil {
 		return Started{}, decision.NotSent, decision.UnknownLoad
 	}
-	if time.Now().After(last) {
+	if time.Now().After(sendDeadline) {
 		return Started{}, decision.NoConnect, decision.UnknownLoad
 	}
 	if n, err := conn.Write(request); err != nil && n == 0 {
 		return Started{}, decision.NoConnect, decision.UnknownLoad
 	} else if err != nil {
-		return Started{}, broken(ctx, err), decision.UnknownLoad
+		return Started{}, outcomeAfterWrite(ctx, err), decision.UnknownLoad
 	}
-	in := bufio.NewReader(io.LimitReader(conn, 2*bodyMost))
+	in := bufio.NewReader(io.LimitReader(conn, 2*maxBodyBytes))
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return Started{}, broken(ctx, err), decision.UnknownLoad
+		return Started{}, outcomeAfterWrite(ctx, err), decision.UnknownLoad
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
-		return Started{}, broken(ctx, err), decision.UnknownLoad
+		return Started{}, outcomeAfterWrite(ctx, err), decision.UnknownLoad
 	}
 	load := decision.UnknownLoad
-	if c.report {
+	if c.readLoad {
 		load = ParseLoad(resp.Header.Get(LoadHeader))
 	}
 	if resp.StatusCode == http.StatusCreated {
@@ -243,8 +243,8 @@
 	return Started{}, decision.Errored, load
 }
 
-// broken is how a set-up ended whose request was, at least in part, written.
-func broken(ctx context.Context, err error) decision.Outcome {
+// outcomeAfterWrite returns the outcome of a set-up that failed after at least part of its request was written.
+func outcomeAfterWrite(ctx context.Context, err error) decision.Outcome {
 	switch {
 	case ctx.Err() != nil:
 		return decision.Canceled
@@ -254,10 +254,10 @@
 	return decision.ConnectionLost
 }
 
-func (c *Client) request(a session.Allocation, until time.Time) ([]byte, error) {
-	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Attempt: a.Attempt, Product: c.names.Product(a.Product),
+func (c *Client) request(a session.Allocation, deadline time.Time) ([]byte, error) {
+	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Attempt: a.Attempt, Product: c.catalog.Product(a.Product),
 		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, MaxRung: a.MaxRung, Seq: a.Seq,
-		UntilMs: time.Until(until).Milliseconds(), LengthMs: a.Length / decision.Millisecond})
+		UntilMs: time.Until(deadline).Milliseconds(), LengthMs: a.Length / decision.Millisecond})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a set-up: %w", err)
 	}
@@ -274,43 +274,44 @@
 	return out.Bytes(), nil
 }
 
-// ---- Calls that may be repeated ----
+// ---- Idempotent calls ----
 
-// SetRung tells a node the rung of a play. What is lost is made good by the next, as numbers tell
-// their order.
+// SetRung sends a node the rung of a play. A lost order is superseded by the next one; the sequence
+// number lets the node ignore older ones.
 func (c *Client) SetRung(r session.Ref, address string, rung, seq int) {
 	body, _ := json.Marshal(SetRung{Front: c.name, Epoch: c.epoch, Attempt: r.Attempt, Rung: rung, Seq: seq})
 	c.repeat(http.MethodPut, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"/rung", body, r)
 }
 
-// End tells a node to end an allocation, whether it started or not.
-func (c *Client) End(r session.Ref, address, why string) {
-	q := url.Values{"front": {c.name}, "epoch": {strconv.FormatInt(c.epoch, 10)}, "try": {strconv.Itoa(r.Attempt)}, "why": {why}}
+// End tells a node to end an allocation, whether or not the play started.
+func (c *Client) End(r session.Ref, address, reason string) {
+	q := url.Values{"front": {c.name}, "epoch": {strconv.FormatInt(c.epoch, 10)}, "try": {strconv.Itoa(r.Attempt)}, "why": {reason}}
 	c.repeat(http.MethodDelete, "http://"+address+"/v1/plays/"+url.PathEscape(r.Play)+"?"+q.Encode(), nil, r)
 }
 
-// repeat makes a call that is safe to repeat, up to liveness.MaxCallAttempts times. A node that hears none of
-// them is asked for its plays when its stream is back, and what it shouldn't run is ended then.
+// repeat makes an idempotent call up to liveness.MaxCallAttempts times. If a node receives none of them, it reports
+// its plays when its stream is reopened, and those that it should not run are ended then. A refused connection stops the
+// attempts, as no process is listening.
 func (c *Client) repeat(method, target string, body []byte, r session.Ref) {
 	c.spawn(func() {
 		select {
-		case c.slots <- struct{}{}:
-			defer func() { <-c.slots }()
+		case c.callSlots <- struct{}{}:
+			defer func() { <-c.callSlots }()
 		case <-c.ctx.Done():
 			return
 		}
 		var err error
-		for try := range liveness.MaxCallAttempts {
+		for attempt := range liveness.MaxCallAttempts {
 			if err = c.call(method, target, body); err == nil || errors.Is(err, syscall.ECONNREFUSED) {
 				return
 			}
 			select {
-			case <-time.After(session.Duration(liveness.CallBackoff(try))):
+			case <-time.After(session.Duration(liveness.CallBackoff(attempt))):
 			case <-c.ctx.Done():
 				return
 			}
 		}
-		c.log.Warn().Err(err).Str("play", r.Play).Int("try", r.Attempt).Str("method", method).Msg("node did not take a call")
+		c.log.Warn().Err(err).Str("play", r.Play).Int("try", r.Attempt).Str("method", method).Msg("call to a node failed; giving up")
 	})
 }
 
@@ -324,11 +325,11 @@
 		return err
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, bodyMost))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes))
 	if resp.StatusCode >= 500 {
 		return fmt.Errorf("%s", resp.Status)
 	}
-	return nil // also where the node knows no such play: there is nothing left to do
+	return nil // also if the node does not know the play: there is nothing left to do
 }
 
 // Probe asks a node for its load.
@@ -336,8 +337,8 @@
 	c.spawn(func() {
 		ctx, cancel := context.WithTimeout(c.ctx, session.Duration(liveness.ProbeTimeout))
 		defer cancel()
-		how, load := c.probe(ctx, address)
-		c.runner.Post(func(now int64, core *session.Core) { core.ProbeEnded(now, node, how, load) })
+		outcome, load := c.probe(ctx, address)
+		c.runner.Post(func(now int64, core *session.Core) { core.ProbeEnded(now, node, outcome, load) })
 	})
 }
 
@@ -354,7 +355,7 @@
 		return decision.NoConnect, decision.UnknownLoad
 	}
 	defer resp.Body.Close()
-	io.Copy(io.Discard, io.LimitReader(resp.Body, bodyMost))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxBodyBytes))
 	if resp.StatusCode != http.StatusOK {
 		return decision.Errored, decision.UnknownLoad
 	}
@@ -363,15 +364,15 @@
 
 // ---- Streams ----
 
-// OpenStream opens the stream from a node at a time of the front's clock, in place of any before it.
+// OpenStream opens the stream from a node at the given time of the front's clock and replaces any earlier stream.
 func (c *Client) OpenStream(node int, address string, at int64) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	d := &dial{cancel}
+	d := &streamDial{cancel}
 	c.mu.Lock()
-	if old := c.dialled[node]; old != nil {
+	if old := c.streamDials[node]; old != nil {
 		old.cancel()
 	}
-	c.dialled[node] = d
+	c.streamDials[node] = d
 	c.mu.Unlock()
 	c.spawn(func() {
 		defer cancel()
@@ -386,38 +387,38 @@
 			err = c.stream(ctx, node, address)
 		}
 		c.mu.Lock()
-		current := c.dialled[node] == d
+		current := c.streamDials[node] == d
 		if current {
-			delete(c.dialled, node)
+			delete(c.streamDials, node)
 		}
 		c.mu.Unlock()
 		if current && c.ctx.Err() == nil {
-			gone := errors.Is(err, syscall.ECONNREFUSED)
-			c.log.Debug().Err(err).Str("node", address).Bool("gone", gone).Msg("stream ended")
-			c.runner.Post(func(now int64, core *session.Core) { core.StreamBroke(now, node, gone) })
+			refused := errors.Is(err, syscall.ECONNREFUSED)
+			c.log.Debug().Err(err).Str("node", address).Bool("gone", refused).Msg("stream ended")
+			c.runner.Post(func(now int64, core *session.Core) { core.StreamBroke(now, node, refused) })
 		}
 	})
 }
 
-// PlayFinished is for who keeps records of plays; the client keeps none.
+// PlayFinished does nothing: the client keeps no records of plays.
 func (c *Client) PlayFinished(string, int, playlog.EndReason) {}
 
-// PlayStarted does nothing, nor does Settled: the client keeps no records.
+// PlayStarted does nothing: the client keeps no records of plays.
 func (c *Client) PlayStarted(session.Ref, int, string) {}
 
-// RecoveryDone does nothing.
+// RecoveryDone does nothing: the client keeps no records of plays.
 func (c *Client) RecoveryDone() {}
 
 // CloseStream closes the stream from a node.
 func (c *Client) CloseStream(node int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if d := c.dialled[node]; d != nil {
+	if d := c.streamDials[node]; d != nil {
 		d.cancel()
 	}
 }
 
-// stream reads a node's notes until the stream ends.
+// stream opens the stream from a node and handles its notes until it ends.
 func (c *Client) stream(ctx context.Context, node int, address string) error {
 	q := url.Values{"front": {c.name}, "epoch": {strconv.FormatInt(c.epoch, 10)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/stream?"+q.Encode(), nil)
@@ -433,46 +434,46 @@
 		return fmt.Errorf("stream from %s: %s", address, resp.Status)
 	}
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, lineMost)
-	met := false
+	lines.Buffer(nil, maxLineBytes)
+	sawHello := false
 	for lines.Scan() {
 		n, err := ParseNote(lines.Bytes())
 		if err != nil {
 			return fmt.Errorf("stream from %s: %w", address, err)
 		}
-		if met == (n.Kind == NoteHello) {
-			return fmt.Errorf("stream from %s: hello comes first and once", address)
+		if sawHello == (n.Kind == NoteHello) {
+			return fmt.Errorf("stream from %s: the first note, and no other, must be a hello", address)
 		}
-		met = true
-		c.note(node, n)
+		sawHello = true
+		c.handleNote(node, n)
 	}
 	return lines.Err()
 }
 
-// note tells the core what a note says.
-func (c *Client) note(node int, n Note) {
+// handleNote passes the content of a note to the core.
+func (c *Client) handleNote(node int, n Note) {
 	ref := session.Ref{Play: n.Play, Attempt: n.Attempt, Node: node}
 	switch n.Kind {
 	case NoteHello:
-		runs := make([]session.Running, len(n.Plays))
+		running := make([]session.Running, len(n.Plays))
 		for i, p := range n.Plays {
-			product, ok := c.names.ProductNumber(p.Product)
-			home, copies, known := c.names.Title(p.Title)
-			if !ok || !known {
+			product, knownProduct := c.catalog.ProductNumber(p.Product)
+			firstCell, cellCount, knownTitle := c.catalog.Title(p.Title)
+			if !knownProduct || !knownTitle {
 				product = -1
 			}
-			runs[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Attempt, Product: product, Title: p.Title,
-				FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, TimeLeft: p.LeftMs * decision.Millisecond}
+			running[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Attempt, Product: product, Title: p.Title,
+				FirstCell: firstCell, CellCount: cellCount, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, TimeLeft: p.LeftMs * decision.Millisecond}
 		}
-		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, runs) })
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, running) })
 	case NoteHeartbeat:
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node) })
 	case NoteEnded:
-		how := decision.Served
+		outcome := decision.Served
 		if n.EndReason == EndLost {
-			how = decision.ConnectionLost
+			outcome = decision.ConnectionLost
 		}
-		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.PlayEnded(now, ref, how) })
+		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.PlayEnded(now, ref, outcome) })
 	case NoteShare:
 		c.runner.Post(func(now int64, core *session.Core) {
 			core.StreamActive(now, node)
--- a/nodes/client_test.go
+++ b/nodes/client_test.go
@@ -17,35 +17,36 @@
 	"gullrail/session"
 )
 
-func TestSetUpThatComesTooLateForADrainIsNotSent(t *testing.T) {
-	var got atomic.Int32
+// A set-up delayed beyond sendGraceShare of the grace period could reach the node after it stopped accepting work.
+func TestSetUpPastSendTimeoutIsNotSent(t *testing.T) {
+	var requests atomic.Int32
 	node := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got.Add(1)
+		requests.Add(1)
 		w.WriteHeader(http.StatusCreated)
 		w.Write([]byte(`{"life": 1}`))
 	}))
 	defer node.Close()
 	for _, c := range []struct {
-		grace, wait time.Duration
-		how         decision.Outcome
-		sent        int32
+		grace, delay time.Duration
+		outcome      decision.Outcome
+		requests     int32
 	}{
 		{250 * time.Millisecond, 0, decision.Served, 1},
-		{250 * time.Millisecond, 230 * time.Millisecond, decision.NoConnect, 0}, // within a dial's time, past the part of the grace
+		{250 * time.Millisecond, 230 * time.Millisecond, decision.NoConnect, 0}, // within the connect timeout, but after sendGraceShare of the grace period
 	} {
-		got.Store(0)
-		secure := func() (*tls.Config, error) {
-			time.Sleep(c.wait) // a machine that is busy between order and bytes
+		requests.Store(0)
+		tlsConfig := func() (*tls.Config, error) {
+			time.Sleep(c.delay) // simulates a delay between the request for the set-up and its write
 			return node.Client().Transport.(*http.Transport).TLSClientConfig.Clone(), nil
 		}
-		names := service()
-		names.Products = []config.Product{{Name: "p"}}
-		client := NewClient("f", 1, false, c.grace, names, session.NewRunner(session.NewClock(), admission.New(1, 1)), secure, zerolog.Nop())
+		catalog := testService()
+		catalog.Products = []config.Product{{Name: "p"}}
+		client := NewClient("f", 1, false, c.grace, catalog, session.NewRunner(session.NewClock(), admission.New(1, 1)), tlsConfig, zerolog.Nop())
 		a := session.Allocation{Ref: session.Ref{Play: "p"}, Address: node.Listener.Addr().String()}
-		_, how, _ := client.exchange(context.Background(), a, time.Now(), time.Now().Add(5*time.Second))
+		_, outcome, _ := client.exchange(context.Background(), a, time.Now(), time.Now().Add(5*time.Second))
 		client.Close()
-		if how != c.how || got.Load() != c.sent {
-			t.Errorf("grace %v, wait %v: ending %d, %d requests", c.grace, c.wait, how, got.Load())
+		if outcome != c.outcome || requests.Load() != c.requests {
+			t.Errorf("grace %v, delay %v: outcome %d, %d requests received", c.grace, c.delay, outcome, requests.Load())
 		}
 	}
 }
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -22,7 +22,7 @@
 	"gullrail/session"
 )
 
-// Line is one playout node in the list service's stream.
+// Line is one playout node in a message of the list service.
 type Line struct {
 	Name      string  `json:"name"`
 	Address   string  `json:"address"`
@@ -30,12 +30,12 @@
 	Kind      string  `json:"kind"`
 	Zone      string  `json:"zone"`
 	Cell      int     `json:"cell"`
-	StartedMs int64   `json:"started_ms"` // Unix time; 0 is long past
+	StartedMs int64   `json:"started_ms"` // Unix time; 0 means long ago
 	Weight    float64 `json:"weight"`
 }
 
-// Change is one message of the list service: the whole list, what changed since the version before,
-// or neither, to show that it lives.
+// Change is one message of the list service: the full list, the nodes that changed since the previous
+// version, or a heartbeat.
 type Change struct {
 	Version int64  `json:"version"`
 	Full    bool   `json:"whole,omitempty"`
@@ -45,75 +45,76 @@
 
 var phases = map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
-// ParseChange reads a message of the list service into lines as the core knows them.
-func ParseChange(text []byte, set *config.Service, clock *session.Clock) (Change, []session.NodeEntry, error) {
+// ParseChange parses a message of the list service and converts its nodes with ParseLines.
+func ParseChange(text []byte, service *config.Service, clock *session.Clock) (Change, []session.NodeEntry, error) {
 	var c Change
 	if err := json.Unmarshal(text, &c); err != nil {
 		return Change{}, nil, fmt.Errorf("list: %w", err)
 	}
 	if c.Version < 0 {
-		return Change{}, nil, fmt.Errorf("list: version %d", c.Version)
+		return Change{}, nil, fmt.Errorf("list: version %d is negative", c.Version)
 	}
-	lines, err := ParseLines(c.Nodes, set, clock)
-	return c, lines, err
+	entries, err := ParseLines(c.Nodes, service, clock)
+	return c, entries, err
 }
 
-// ParseLines checks lines and turns them into the core's, with the numbers of kinds and zones.
-func ParseLines(given []Line, set *config.Service, clock *session.Clock) ([]session.NodeEntry, error) {
-	lines := make([]session.NodeEntry, 0, len(given))
-	for i, n := range given {
-		wrong := func(field string, v any) ([]session.NodeEntry, error) {
-			return nil, fmt.Errorf("list: nodes[%d].%s: %.60v", i, field, v)
+// ParseLines validates lines and converts them to entries for the core, with kinds and zones as indexes into the
+// configuration.
+func ParseLines(lines []Line, service *config.Service, clock *session.Clock) ([]session.NodeEntry, error) {
+	entries := make([]session.NodeEntry, 0, len(lines))
+	for i, n := range lines {
+		invalid := func(field string, v any) ([]session.NodeEntry, error) {
+			return nil, fmt.Errorf("list: invalid nodes[%d].%s: %.60v", i, field, v)
 		}
-		l := session.NodeEntry{Name: n.Name, Address: n.Address, Kind: -1, Zone: -1, Cell: n.Cell, Weight: n.Weight}
+		e := session.NodeEntry{Name: n.Name, Address: n.Address, Kind: -1, Zone: -1, Cell: n.Cell, Weight: n.Weight}
 		var ok bool
 		if n.Name == "" {
-			return wrong("name", "missing")
+			return invalid("name", "missing")
 		}
-		if l.Phase, ok = phases[n.Phase]; !ok {
-			return wrong("phase", n.Phase)
+		if e.Phase, ok = phases[n.Phase]; !ok {
+			return invalid("phase", n.Phase)
 		}
-		for k, kind := range set.Kinds {
+		for k, kind := range service.Kinds {
 			if kind.Name == n.Kind {
-				l.Kind = k
+				e.Kind = k
 			}
 		}
-		for k, zone := range set.Zones {
+		for k, zone := range service.Zones {
 			if zone == n.Zone {
-				l.Zone = k
+				e.Zone = k
 			}
 		}
 		_, _, err := net.SplitHostPort(n.Address)
 		switch {
 		case err != nil:
-			return wrong("address", n.Address)
-		case l.Kind < 0:
-			return wrong("kind", n.Kind)
-		case l.Zone < 0:
-			return wrong("zone", n.Zone)
-		case n.Cell < 0 || n.Cell >= set.Cells:
-			return wrong("cell", n.Cell)
+			return invalid("address", n.Address)
+		case e.Kind < 0:
+			return invalid("kind", n.Kind)
+		case e.Zone < 0:
+			return invalid("zone", n.Zone)
+		case n.Cell < 0 || n.Cell >= service.Cells:
+			return invalid("cell", n.Cell)
 		case math.IsNaN(n.Weight) || n.Weight <= 0 || n.Weight > 1e9:
-			return wrong("weight", n.Weight)
+			return invalid("weight", n.Weight)
 		case n.StartedMs < 0:
-			return wrong("started_ms", n.StartedMs)
+			return invalid("started_ms", n.StartedMs)
 		}
 		if n.StartedMs > 0 {
-			l.StartedAt = clock.At(time.UnixMilli(n.StartedMs))
+			e.StartedAt = clock.At(time.UnixMilli(n.StartedMs))
 		}
-		lines = append(lines, l)
+		entries = append(entries, e)
 	}
-	return lines, nil
+	return entries, nil
 }
 
-// FormatLine is a line as the list service would tell it; its start is not told.
-func FormatLine(l session.NodeEntry, set *config.Service) Line {
-	return Line{Name: l.Name, Address: l.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[l.Phase],
-		Kind: set.Kinds[l.Kind].Name, Zone: set.Zones[l.Zone], Cell: l.Cell, Weight: l.Weight}
+// FormatLine converts an entry to the list service's format, without its start time.
+func FormatLine(e session.NodeEntry, service *config.Service) Line {
+	return Line{Name: e.Name, Address: e.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[e.Phase],
+		Kind: service.Kinds[e.Kind].Name, Zone: service.Zones[e.Zone], Cell: e.Cell, Weight: e.Weight}
 }
 
-// ListClient follows the list service: one stream, resumed by its version, the whole list after a gap. While
-// it is out of reach the last list holds.
+// ListClient keeps the fleet up to date from the list service. It reads one stream, reconnects from the last version,
+// and requests the full list after a gap in the versions. While the service is unreachable, the last list stays in use.
 type ListClient struct {
 	Front  string
 	URL    string
@@ -123,21 +124,21 @@
 	Seed   uint64
 }
 
-// Run follows until the context ends.
+// Run reads the list service's stream, reconnecting with backoff, until the context ends.
 func (l *ListClient) Run(ctx context.Context) error {
-	rnd := pcg.New(l.Seed)
+	random := pcg.New(l.Seed)
 	version, failures := int64(0), 0
 	for {
-		was := version
+		previous := version
 		err := l.follow(ctx, &version)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if version != was {
+		if version != previous {
 			failures = 0
 		}
-		l.Log.Warn().Err(err).Int64("version", version).Msg("list service out of reach; the last list holds")
-		pause := session.Duration(liveness.Backoff(failures, rnd.Float()))
+		l.Log.Warn().Err(err).Int64("version", version).Msg("list service stream ended; keeping the last list and reconnecting")
+		pause := session.Duration(liveness.Backoff(failures, random.Float()))
 		failures++
 		select {
 		case <-time.After(pause):
@@ -147,6 +148,7 @@
 	}
 }
 
+// follow reads one stream of the list service and applies its updates until the stream fails. It keeps version up to date.
 func (l *ListClient) follow(ctx context.Context, version *int64) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -165,30 +167,30 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("list service: %s", resp.Status)
 	}
-	quiet := time.AfterFunc(session.Duration(liveness.SilenceTimeout), cancel) // a dead peer says nothing, not even that
-	defer quiet.Stop()
+	silenceTimer := time.AfterFunc(session.Duration(liveness.SilenceTimeout), cancel) // a failed server may leave the connection open
+	defer silenceTimer.Stop()
 	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(nil, lineMost)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		quiet.Reset(session.Duration(liveness.SilenceTimeout))
-		c, listed, err := ParseChange(lines.Bytes(), l.Set, l.Runner.Clock())
+		silenceTimer.Reset(session.Duration(liveness.SilenceTimeout))
+		change, entries, err := ParseChange(lines.Bytes(), l.Set, l.Runner.Clock())
 		if err != nil {
 			return err
 		}
-		if c.Beat {
+		if change.Beat {
 			continue
 		}
-		if !c.Full && c.Version != *version+1 {
+		if !change.Full && change.Version != *version+1 {
 			have := *version
 			*version = 0
-			return fmt.Errorf("list service: version %d came after %d", c.Version, have)
+			return fmt.Errorf("list service: version %d received after version %d", change.Version, have)
 		}
-		*version = c.Version
-		word := membership.Update{Source: membership.List, Version: c.Version, Full: c.Full, Entries: listed}
-		l.Runner.Post(func(now int64, core *session.Core) { core.UpdateMembership(now, word) })
+		*version = change.Version
+		update := membership.Update{Source: membership.List, Version: change.Version, Full: change.Full, Entries: entries}
+		l.Runner.Post(func(now int64, core *session.Core) { core.UpdateMembership(now, update) })
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("list service: %w", err)
 	}
-	return fmt.Errorf("list service: closed the stream")
+	return fmt.Errorf("list service: the stream was closed by the peer")
 }
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -1,9 +1,10 @@
-// Package nodes is a front end's side of the wire to playout nodes, as docs/wire-nodes.md states it:
-// set-ups, rungs, ends, probes and one stream of notes from each node.
+// Package nodes is the front end's client for the protocol of playout nodes, which docs/wire-nodes.md
+// specifies: set-ups, changes of rung, ends of plays, load probes and one stream of notes from each
+// node. It also contains the client of the list service.
 //
-// What it says of a set-up's end is strict: only a dial that failed, or a node that says so itself,
-// proves that nothing ran. Set-ups go out on a connection of their own and are written once, so
-// that no layer below can repeat them.
+// The outcome of a set-up is strict: only a failed dial, or an answer in which the node says so,
+// proves that no play was started. Each set-up uses a connection of its own and is written once, so
+// that no lower layer can retransmit the request.
 package nodes
 
 import (
@@ -16,14 +17,14 @@
 	"gullrail/decision"
 )
 
-// LoadHeader carries a node's load report in an answer, in the text or JSON form of the Open Request
-// Cost Aggregation's endpoint load metrics.
+// LoadHeader is the response header with a node's load report, in the text or JSON format of the
+// endpoint load metrics of Open Request Cost Aggregation (ORCA).
 const LoadHeader = "endpoint-load-metrics"
 
 // SetUp asks a node to set up a play: the body of POST /v1/plays/{play}.
 type SetUp struct {
 	Front    string `json:"front"`
-	Epoch    int64  `json:"epoch"` // of the front's life; a node refuses one older than it has met
+	Epoch    int64  `json:"epoch"` // increases with each start of the front; a node refuses one older than the latest it knows
 	Attempt  int    `json:"try"`
 	Product  string `json:"product"`
 	Title    string `json:"title"`
@@ -31,20 +32,20 @@
 	Rung     int    `json:"rung"`
 	MaxRung  int    `json:"top"`
 	Seq      int    `json:"seq"`
-	UntilMs  int64  `json:"until_ms"`  // the front waits so long from now
-	LengthMs int64  `json:"length_ms"` // guessed; 0 is not told
+	UntilMs  int64  `json:"until_ms"`  // how long the front waits for the answer
+	LengthMs int64  `json:"length_ms"` // estimated length of the play; 0 if unknown
 }
 
-// Started is the body of the answer 201 to a SetUp.
+// Started is the body of a 201 response to a SetUp.
 type Started struct {
-	Life int64 `json:"life"` // of the node's process
-	Mark int64 `json:"mark"` // the node's count of plays started in that life, this one included
-	Rung int   `json:"rung"` // in force
+	Life int64 `json:"life"` // identifies the run of the node's process
+	Mark int64 `json:"mark"` // number of plays started in that run, including this one
+	Rung int   `json:"rung"` // the current rung
 }
 
-// Refusal is the body of any other answer.
+// Refusal is the body of any other response to a SetUp.
 type Refusal struct {
-	NeverRan bool   `json:"never_ran"` // the node's word that nothing of the play ran
+	NeverRan bool   `json:"never_ran"` // the node guarantees that it never started the play
 	Reason   string `json:"why"`
 }
 
@@ -54,10 +55,10 @@
 	Epoch   int64  `json:"epoch"`
 	Attempt int    `json:"try"`
 	Rung    int    `json:"rung"`
-	Seq     int    `json:"seq"` // one not above the last heard is old and does nothing
+	Seq     int    `json:"seq"` // an order with a number not above the last received one is ignored
 }
 
-// Play is one play in a Note's Plays.
+// Play is one running play in the hello note.
 type Play struct {
 	Play    string `json:"play"`
 	Epoch   int64  `json:"epoch"`
@@ -68,25 +69,25 @@
 	Rung    int    `json:"rung"`
 	Seq     int    `json:"seq"`
 	MaxRung int    `json:"top"`
-	LeftMs  int64  `json:"left_ms"` // 0 is not told
+	LeftMs  int64  `json:"left_ms"` // estimated time left; 0 if unknown
 }
 
-// The kinds of Note.
+// Kinds of notes, with the fields that each uses.
 const (
-	NoteHello     = "hello" // first on a stream: Node, Life, Mark, Plays
-	NoteHeartbeat = "beat"  // nothing new
+	NoteHello     = "hello" // first note of a stream: Node, Life, Mark, Plays
+	NoteHeartbeat = "beat"  // no fields; shows that the node is alive
 	NoteEnded     = "ended" // Play, Attempt, EndReason
 	NoteShare     = "share" // Play, Attempt, Share
-	NoteLoad      = "load"  // Play, Attempt, Link and Uplink, below 0 where not told
+	NoteLoad      = "load"  // Play, Attempt, Link and Uplink; negative if unknown
 )
 
-// How a play ended, in a Note.
+// Values of Note.EndReason.
 const (
-	EndOver = "over" // its time was over or its viewer stopped
-	EndLost = "lost" // the node could not go on with it
+	EndOver = "over" // the play reached its end or its viewer stopped
+	EndLost = "lost" // the node could not continue the play
 )
 
-// Note is one line of a node's stream to a front.
+// Note is one message, on a line of its own, in a node's stream to a front.
 type Note struct {
 	Kind      string  `json:"kind"`
 	Node      string  `json:"node,omitempty"`
@@ -101,7 +102,7 @@
 	Uplink    float64 `json:"uplink,omitempty"`
 }
 
-// ParseNote reads a line of a stream.
+// ParseNote parses and validates one line of a node's stream.
 func ParseNote(line []byte) (Note, error) {
 	var n Note
 	if err := json.Unmarshal(line, &n); err != nil {
@@ -110,7 +111,7 @@
 	switch n.Kind {
 	case NoteHello:
 		if n.Node == "" || n.Life <= 0 {
-			return Note{}, fmt.Errorf("note hello: without node or life")
+			return Note{}, fmt.Errorf("note hello: node or life is missing")
 		}
 		for _, p := range n.Plays {
 			if p.Play == "" || p.Title == "" || p.Viewer == "" || p.Rung < 0 || p.MaxRung < 0 || p.Attempt < 0 || p.LeftMs < 0 {
@@ -120,24 +121,23 @@
 	case NoteHeartbeat:
 	case NoteEnded, NoteShare, NoteLoad:
 		if n.Play == "" || n.Attempt < 0 {
-			return Note{}, fmt.Errorf("note %s: without play", n.Kind)
+			return Note{}, fmt.Errorf("note %s: play is missing or try is negative", n.Kind)
 		}
 		if n.Kind == NoteEnded && n.EndReason != EndOver && n.EndReason != EndLost {
-			return Note{}, fmt.Errorf("note ended: how %.20q is unknown", n.EndReason)
+			return Note{}, fmt.Errorf("note ended: unknown value %.20q of how", n.EndReason)
 		}
 		for _, x := range []float64{n.Share, n.Link, n.Uplink} {
 			if math.IsNaN(x) || math.IsInf(x, 0) || x > 1e6 || x < -1 {
-				return Note{}, fmt.Errorf("note %s: figure %v is out of range", n.Kind, x)
+				return Note{}, fmt.Errorf("note %s: share, link or uplink %v is out of range", n.Kind, x)
 			}
 		}
 	default:
-		return Note{}, fmt.Errorf("note: kind %.20q is unknown", n.Kind)
+		return Note{}, fmt.Errorf("note: unknown kind %.20q", n.Kind)
 	}
 	return n, nil
 }
 
-// FormatLoad writes a load report; ParseLoad reads one. What is not told is left out. A report that
-// cannot be read says nothing: it is advice, and a set-up does not fail by it.
+// FormatLoad formats a load report as the value of LoadHeader. Unknown figures are omitted.
 func FormatLoad(l decision.Load) string {
 	var parts []string
 	add := func(name string, v float64) {
@@ -151,7 +151,8 @@
 	return "TEXT " + strings.Join(parts, ", ")
 }
 
-// ParseLoad reads the value of LoadHeader.
+// ParseLoad parses the value of LoadHeader. Invalid parts are ignored and leave their figures unknown: the report is
+// advisory, and a set-up must not fail because of it.
 func ParseLoad(s string) decision.Load {
 	l := decision.UnknownLoad
 	set := func(name string, v float64) {
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -8,51 +8,51 @@
 	"gullrail/session"
 )
 
-func TestLoadReportsRoundAndInBothForms(t *testing.T) {
+func TestLoadReportTextAndJSON(t *testing.T) {
 	for _, l := range []decision.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, decision.UnknownLoad} {
 		if got := ParseLoad(FormatLoad(l)); got != l {
-			t.Errorf("%+v came back as %+v", l, got)
+			t.Errorf("load report %+v parsed as %+v", l, got)
 		}
 	}
 	if got := ParseLoad(`JSON {"application_utilization": 0.4, "named_metrics": {"uplink": 1.25, "other": 3}}`); got != (decision.Load{Streams: -1, Link: 0.4, Uplink: 1.25}) {
-		t.Errorf("JSON: %+v", got)
+		t.Errorf("JSON report parsed as %+v", got)
 	}
 	for _, s := range []string{"", "TEXT", "TEXT application_utilization=NaN", "TEXT application_utilization=-3", "JSON {", "BIN abc"} {
 		if got := ParseLoad(s); got != decision.UnknownLoad {
-			t.Errorf("%q says %+v", s, got)
+			t.Errorf("invalid report %q parsed as %+v", s, got)
 		}
 	}
 }
 
-func TestNotesThatAreNotTaken(t *testing.T) {
+func TestParseNoteRejectsInvalidNotes(t *testing.T) {
 	for _, s := range []string{`{`, `{"kind":"x"}`, `{"kind":"hello"}`, `{"kind":"ended","play":"p"}`, `{"kind":"share"}`,
 		`{"kind":"load","play":"p","link":1e99}`, `{"kind":"hello","node":"n","life":1,"plays":[{"play":"p"}]}`} {
 		if _, err := ParseNote([]byte(s)); err == nil {
-			t.Errorf("taken: %s", s)
+			t.Errorf("invalid note accepted: %s", s)
 		}
 	}
 }
 
-func service() *config.Service {
+func testService() *config.Service {
 	return &config.Service{Cells: 4, Kinds: []config.Kind{{Name: "std", MaxStreams: 1}}, Zones: []string{"z"}}
 }
 
-func TestListLinesThatAreNotTaken(t *testing.T) {
-	const line = `{"version":1,"whole":true,"nodes":[{"name":"n","address":"127.0.0.1:1","phase":"ready","kind":"std","zone":"z","cell":3,"weight":1}]}`
+func TestParseChangeRejectsInvalidNodes(t *testing.T) {
+	const valid = `{"version":1,"whole":true,"nodes":[{"name":"n","address":"127.0.0.1:1","phase":"ready","kind":"std","zone":"z","cell":3,"weight":1}]}`
 	clock := session.NewClock()
-	if _, lines, err := ParseChange([]byte(line), service(), clock); err != nil || len(lines) != 1 || lines[0].Cell != 3 {
-		t.Fatalf("%v %v", lines, err)
+	if _, entries, err := ParseChange([]byte(valid), testService(), clock); err != nil || len(entries) != 1 || entries[0].Cell != 3 {
+		t.Fatalf("valid message: got %v, error %v", entries, err)
 	}
 	for _, c := range [][2]string{{`"ready"`, `"busy"`}, {`"std"`, `"big"`}, {`"zone":"z"`, `"zone":"y"`}, {`"cell":3`, `"cell":4`},
 		{`"weight":1`, `"weight":0`}, {`"127.0.0.1:1"`, `"x"`}, {`"name":"n"`, `"name":""`}, {`"version":1`, `"version":-1`}} {
-		bad := replace(line, c[0], c[1])
-		if _, _, err := ParseChange([]byte(bad), service(), clock); err == nil {
-			t.Errorf("taken: %s", bad)
+		bad := replaceOnce(valid, c[0], c[1])
+		if _, _, err := ParseChange([]byte(bad), testService(), clock); err == nil {
+			t.Errorf("invalid message accepted: %s", bad)
 		}
 	}
 }
 
-func replace(s, old, new string) string {
+func replaceOnce(s, old, new string) string {
 	for i := 0; i+len(old) <= len(s); i++ {
 		if s[i:i+len(old)] == old {
 			return s[:i] + new + s[i+len(old):]
@@ -67,7 +67,7 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		n, err := ParseNote([]byte(s))
 		if err == nil && (n.Kind == "" || n.Link > 1e6 || n.Attempt < 0) {
-			t.Fatalf("taken: %+v", n)
+			t.Fatalf("invalid note accepted: %+v", n)
 		}
 	})
 }
@@ -78,19 +78,19 @@
 	f.Fuzz(func(t *testing.T, s string) {
 		l := ParseLoad(s)
 		if got := ParseLoad(FormatLoad(l)); l != l || got.Link < 0 != (l.Link < 0) {
-			t.Fatalf("%+v came back as %+v", l, got)
+			t.Fatalf("load report %+v parsed as %+v", l, got)
 		}
 	})
 }
 
 func FuzzParseChange(f *testing.F) {
 	f.Add(`{"version":1,"nodes":[{"name":"n","address":"h:1","phase":"gone","kind":"std","zone":"z","weight":1}]}`)
-	set, clock := service(), session.NewClock()
+	service, clock := testService(), session.NewClock()
 	f.Fuzz(func(t *testing.T, s string) {
-		_, lines, err := ParseChange([]byte(s), set, clock)
-		for _, l := range lines {
-			if err == nil && (l.Cell < 0 || l.Cell >= set.Cells || l.Kind != 0 || l.Zone != 0 || l.StartedAt < 0) {
-				t.Fatalf("taken: %+v", l)
+		_, entries, err := ParseChange([]byte(s), service, clock)
+		for _, e := range entries {
+			if err == nil && (e.Cell < 0 || e.Cell >= service.Cells || e.Kind != 0 || e.Zone != 0 || e.StartedAt < 0) {
+				t.Fatalf("invalid entry accepted: %+v", e)
 			}
 		}
 	})
