--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -176,12 +176,12 @@
 	Keep     Disposition = iota // keep it until the returned time
 	Withdraw                    // withdraw the request: nobody waits for its answer
 	Abandon                     // end the play and free its stream: its viewer never acknowledged it
-	Forget                      // drop what is kept: the viewer has its play and may return with its token, or did not fetch a refusal in time
+	Forget                      // drop what is kept: the viewer has its play and may return with its token, or did not fetch a refusal or an end in time
 )
 
 // AfterDisconnect decides what to do with a request or play whose socket disconnected at disconnectedAt. answered says
-// whether the request has an answer, playing whether that answer started a play, and acked whether the viewer
-// acknowledged it. deadline is the request's time limit. For Keep it also returns when to decide again.
+// whether the request has an answer, playing whether that answer started a play that still runs, and acked whether the
+// viewer acknowledged it. deadline is the request's time limit. For Keep it also returns when to decide again.
 //
 // An answer that is reached after the disconnect is kept for its viewer only until the deadline, so that no stream is
 // reserved for a viewer who was never told.
