--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,29 +1,31 @@
-// Package decision defines the interface between a front end and the policy that decides for it:
-// the calls, their arguments and their results. It depends on no wire format and decides nothing.
+// Package decision defines the interface between a front end and its placement policy: the calls, their arguments
+// and their results. It depends on no wire format and contains no policy.
 package decision
 
 import "hash/fnv"
 
-// Times are counted in tenths of a millisecond.
+// Times and durations are counted in tenths of a millisecond.
 const (
 	Millisecond int64 = 10
 	Second            = 1000 * Millisecond
 )
 
-// HashName is a name's number that all fronts work out alike, for Node.Key and Request.Key. Two names may share one.
+// HashName returns a hash of a name for Node.Key and Request.Key. It is the same at all fronts; two names may
+// share a hash.
 func HashName(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
 	return h.Sum32()
 }
 
-// Handle names a play in hand: a place and its generation. The zero Handle names nobody.
+// Handle identifies an unfinished play by a table index and its generation, which changes when the index is
+// reused. The zero Handle refers to no play.
 type Handle struct {
 	Index      int32
 	Generation uint32
 }
 
-// Phase is what the list says of a node.
+// Phase is the state of a node in the node list.
 type Phase uint8
 
 const (
@@ -32,31 +34,31 @@
 	Gone
 )
 
-// Node is one line of the list of playout nodes.
+// Node is an entry of the node list.
 type Node struct {
-	Index     int // small number, the same for the same address
+	Index     int // small number, constant for an address
 	Phase     Phase
 	Kind      int
 	Zone      int
-	Cell      int
-	StartedAt int64 // latest start; 0 is long past
+	Cell      int   // group of nodes that hold the same titles
+	StartedAt int64 // time of the last start; 0 if long ago
 	Weight    float64
-	Key       uint32 // the same at every front for the same node; used where fronts tell each other
+	Key       uint32 // HashName of the node; used in messages between fronts
 }
 
-// Request is what a viewer asks for.
+// Request is a request of a viewer for a title.
 type Request struct {
 	Product   int
 	Title     int
 	Viewer    int
 	Deadline  int64  // when the client gives up
-	Length    int64  // guessed length from now; 0 is not told
+	Length    int64  // estimated length from now; 0 if unknown
 	FirstCell int    // first cell that holds the title
-	CellCount int    // cells in a row that hold it
-	MaxRung   int    // best rung the viewer can use
-	Key       uint32 // of the title, the same at every front
-	Moved     bool   // back from a move
-	Retry     bool   // not the viewer's first try
+	CellCount int    // number of consecutive cells that hold it
+	MaxRung   int    // highest rung that the viewer can use
+	Key       uint32 // HashName of the title
+	Moved     bool   // the viewer was moved off another node
+	Retry     bool   // not the first request of the viewer for this play
 }
 
 // Outcome is how an allocation ended.
@@ -66,35 +68,35 @@
 	Served         Outcome = iota
 	Errored                // may have run
 	Rejected               // never ran
-	NoAnswer               // may have run, or still runs
+	NoAnswer               // may have run, or may still run
 	NoConnect              // never ran
-	ConnectionLost         // the connection broke; may have run
+	ConnectionLost         // may have run
 	Canceled               // may have run
 	NotSent                // never ran
 )
 
-// MayHaveRun tells that an allocation that ended so may have run: nothing proves that it did not.
+// MayHaveRun returns whether the allocation may have run, that is, unless the outcome proves that it did not.
 func (o Outcome) MayHaveRun() bool { return o != Rejected && o != NoConnect && o != NotSent }
 
-// Load is a node's report. A figure below 0 was not told.
+// Load is a load report of a node. Negative values are unknown. Link and Uplink are demand divided by capacity.
 type Load struct{ Streams, Link, Uplink float64 }
 
-// UnknownLoad is a report that says nothing.
+// UnknownLoad is a report without values.
 var UnknownLoad = Load{-1, -1, -1}
 
-// Action is what to do with a play.
+// Action is the type of an Order.
 type Action uint8
 
 const (
-	Place   Action = iota // allocate it to Node at Rung, given up at Until
-	Decline               // turn it away; the viewer may come back after RetryAfter, if above 0
-	Fail                  // it failed
-	SetRung               // change its rung to Rung
-	Move                  // end it here, to be placed anew
-	Cancel                // stop waiting for allocation Attempt
+	Place   Action = iota // allocate the play on Node at Rung; give up at Until
+	Decline               // decline the play; the viewer may retry after RetryAfter, if positive
+	Fail                  // report the play as failed
+	SetRung               // change the rung to Rung
+	Move                  // end the play on its node so that it is placed again
+	Cancel                // stop waiting for attempt Attempt
 )
 
-// Order is one decision about one play.
+// Order is a decision about one play. The fields used depend on Action.
 type Order struct {
 	Play       Handle
 	Action     Action
@@ -105,50 +107,50 @@
 	RetryAfter int64
 }
 
-// Message is a message to another front end, known by its number. It may be lost.
+// Message is a message to the front end with number To. It may be lost.
 type Message struct {
 	To    int
 	Bytes []byte
 }
 
-// Result is what a call decided. It is valid until the next call.
+// Result is the outcome of a call. It is valid until the next call.
 type Result struct {
 	Orders   []Order   // to be carried out in this order
 	Probes   []int     // nodes to probe
 	Messages []Message // messages to other front ends
-	WakeAt   int64     // when Wake wants to be called at the latest
+	WakeAt   int64     // latest time for the next call of Wake
 }
 
-// Policy decides for one front end. Calls come one at a time with a clock that never goes
-// back. A stale handle is ignored. Settings that New of an implementation reads are a plain
-// map from names to lists of numbers, named in docs/design.md.
+// Policy makes the decisions of one front end. Calls must not be concurrent, and their times must not decrease.
+// Stale handles are ignored. Implementations take their settings as a map from names to lists of numbers;
+// docs/design.md lists the names.
 type Policy interface {
-	// UpdateNodes brings the whole list, or only what changed.
+	// UpdateNodes passes the whole node list, or only its changes.
 	UpdateNodes(now int64, list []Node, whole bool) *Result
-	// AddPlay accepts a play: exactly one answer is owed from here on.
+	// AddPlay accepts a play. The policy must answer it exactly once.
 	AddPlay(now int64, w Request) (Handle, *Result)
-	// AdoptPlay hands over a play that already plays on a node.
+	// AdoptPlay passes a play that already runs on a node.
 	AdoptPlay(now int64, w Request, node int) (Handle, *Result)
-	// AttemptStarted says that the play's allocation plays.
+	// AttemptStarted reports that an attempt of the play has started to play.
 	AttemptStarted(now int64, h Handle, attempt int) *Result
-	// AttemptEnded says how an allocation ended; over, that the play is finished with it.
+	// AttemptEnded reports the outcome of an attempt. If over is set, the play is finished.
 	AttemptEnded(now int64, h Handle, attempt int, outcome Outcome, over bool, load Load) *Result
-	// DeliveryReported tells the share of its rate that the play's node delivers.
+	// DeliveryReported reports the share of the play's rate that its node delivers.
 	DeliveryReported(now int64, h Handle, share float64) *Result
-	// RungReported tells the rung in force of an adopted play.
+	// RungReported reports the current rung of an adopted play.
 	RungReported(now int64, h Handle, rung int) *Result
-	// LoadReported tells what is asked of the link, or of the rack's uplink, over what it gives.
+	// LoadReported reports the utilization of the link of the play's node, or of its rack's uplink.
 	LoadReported(now int64, h Handle, load Load) *Result
-	// ViewerLeft says that the viewer went away.
+	// ViewerLeft reports that the viewer left.
 	ViewerLeft(now int64, h Handle) *Result
-	// ProbeEnded brings the end of a probe.
+	// ProbeEnded reports the outcome of a probe.
 	ProbeEnded(now int64, node int, outcome Outcome, load Load) *Result
-	// MessageReceived brings a message of another front end, whatever it holds.
+	// MessageReceived passes a message of another front end. Its content is not validated.
 	MessageReceived(now int64, from int, bytes []byte) *Result
-	// Wake lets the module do what is due.
+	// Wake performs timed work.
 	Wake(now int64) *Result
-	// ForgetViewer and ForgetNode ask to use a number again: true says that nothing of it is
-	// remembered any more. No play in hand may have the viewer, nor an order still out the node.
+	// ForgetViewer and ForgetNode release a number for reuse. They return true if nothing is remembered of it any
+	// more. No unfinished play may have the viewer, and no outstanding order the node.
 	ForgetViewer(now int64, viewer int) bool
 	ForgetNode(now int64, node int) bool
 }
--- a/placement/book.go
+++ b/placement/book.go
@@ -7,44 +7,44 @@
 	"gullrail/decision"
 )
 
-// Bookkeeping: looking up settings, entering plays at nodes, walking lists, writing messages. Nothing here decides.
+// Bookkeeping: settings, records of plays and nodes, list traversal and message encoding. Nothing here makes decisions.
 
-// val is a setting's single value, 0 if it is not given.
-func (f *Policy) val(name string) float64 { return f.of(name, 0, 0) }
+// setting returns the single value of a setting, or 0 if it is not set.
+func (f *Policy) setting(name string) float64 { return f.settingAt(name, 0, 0) }
 
-// of is a setting's value for one product, kind or rung, or else what stands in for it.
-func (f *Policy) of(name string, i int, or float64) float64 {
-	if v := f.set[name]; i >= 0 && i < len(v) {
+// settingAt returns the value of a setting for one product, kind or rung, or the fallback if it is not set.
+func (f *Policy) settingAt(name string, i int, fallback float64) float64 {
+	if v := f.settings[name]; i >= 0 && i < len(v) {
 		return v[i]
 	}
-	return or
+	return fallback
 }
 
-func (f *Policy) begin() {
-	f.changes++
-	f.res.Orders, f.res.Probes = f.res.Orders[:0], f.res.Probes[:0]
-	f.res.Messages, f.words = f.res.Messages[:0], f.words[:0]
+func (f *Policy) beginCall() {
+	f.loadVersion++
+	f.result.Orders, f.result.Probes = f.result.Orders[:0], f.result.Probes[:0]
+	f.result.Messages, f.messageBuf = f.result.Messages[:0], f.messageBuf[:0]
 }
 
-func (f *Policy) order(o decision.Order) { f.res.Orders = append(f.res.Orders, o) }
+func (f *Policy) addOrder(o decision.Order) { f.result.Orders = append(f.result.Orders, o) }
 
-// unmet and unheard are the records of a viewer and a node of whom nothing is known.
+// unknownViewer and unknownNode are the initial records of a viewer and a node.
 var (
-	unmet   = viewer{movedAt: never}
-	unheard = node{share: 1, slot: -1, shareAt: never, cutAt: never, raisedAt: never, shedAt: never,
+	unknownViewer = viewer{movedAt: never}
+	unknownNode   = node{deliveredShare: 1, lastTurn: -1, deliveredShareAt: never, steppedDownAt: never, steppedUpAt: never, shedAt: never,
 		probedAt: never, unlistedAt: never}
 )
 
-// known makes sure that a node has a record.
-func (f *Policy) known(at int) *node {
-	for at >= len(f.nodes) {
-		f.nodes = append(f.nodes, unheard)
+// ensureNode returns the record of a node and creates it if needed.
+func (f *Policy) ensureNode(idx int) *node {
+	for idx >= len(f.nodes) {
+		f.nodes = append(f.nodes, unknownNode)
 	}
-	return &f.nodes[at]
+	return &f.nodes[idx]
 }
 
-// relist enters the listed nodes by rack and by cell, so that no play walks them all.
-func (f *Policy) relist() {
+// rebuildLists groups the listed nodes by rack and by cell, so that placing a play need not visit all nodes.
+func (f *Policy) rebuildLists() {
 	f.listed = 0
 	for i := range f.racks {
 		f.racks[i].nodes = f.racks[i].nodes[:0]
@@ -61,100 +61,101 @@
 	}
 }
 
-// holders are the listed nodes that hold a play's title.
-func (f *Policy) holders(p *ply) []int {
-	f.held = f.held[:0]
+// holders returns the listed nodes that hold a play's title. The slice is valid until the next call.
+func (f *Policy) holders(p *play) []int {
+	f.holderBuf = f.holderBuf[:0]
 	cells := len(f.cells)
-	home := (p.want.FirstCell%cells + cells) % cells
-	for off := range min(p.want.CellCount, cells) {
-		f.held = append(f.held, f.cells[(home+off)%cells]...)
+	first := (p.request.FirstCell%cells + cells) % cells
+	for offset := range min(p.request.CellCount, cells) {
+		f.holderBuf = append(f.holderBuf, f.cells[(first+offset)%cells]...)
 	}
-	return f.held
+	return f.holderBuf
 }
 
-// viewersOf counts own plays of a play's title and product, itself included.
-func (f *Policy) viewersOf(p *ply) int {
+// viewersOf counts own plays of a play's title and product, including the play itself.
+func (f *Policy) viewersOf(p *play) int {
 	n := 1
 	for i := range f.plays.Len() {
 		_, o := f.plays.At(i)
-		if o != nil && o != p && o.want.Title == p.want.Title && o.want.Product == p.want.Product {
+		if o != nil && o != p && o.request.Title == p.request.Title && o.request.Product == p.request.Product {
 			n++
 		}
 	}
 	return n
 }
 
-// playsElsewhere tells that another own play of a play's title plays.
-func (f *Policy) playsElsewhere(p *ply) bool {
+// playsElsewhere returns whether another own play of the same title is playing.
+func (f *Policy) playsElsewhere(p *play) bool {
 	for i := range f.plays.Len() {
-		if _, o := f.plays.At(i); o != nil && o != p && o.stage == playing && o.want.Title == p.want.Title {
+		if _, o := f.plays.At(i); o != nil && o != p && o.stage == playing && o.request.Title == p.request.Title {
 			return true
 		}
 	}
 	return false
 }
 
-// prefer keeps the candidates that pass, or all if none does.
-func (f *Policy) prefer(pass func(c *cand) bool) {
+// prefer keeps the candidates that match, or all if none does.
+func (f *Policy) prefer(matches func(c *candidate) bool) {
 	k := 0
-	for i := range f.cands {
-		if pass(&f.cands[i]) {
-			f.cands[i], f.cands[k] = f.cands[k], f.cands[i]
+	for i := range f.candidates {
+		if matches(&f.candidates[i]) {
+			f.candidates[i], f.candidates[k] = f.candidates[k], f.candidates[i]
 			k++
 		}
 	}
 	if k > 0 {
-		f.cands = f.cands[:k]
+		f.candidates = f.candidates[:k]
 	}
 }
 
-func (f *Policy) rerate(p *ply, rung int) {
-	f.carry(p.node, f.rate(p, rung)-f.rate(p, p.rung))
+func (f *Policy) updateRung(p *play, rung int) {
+	f.addRate(p.node, f.rate(p, rung)-f.rate(p, p.rung))
 	p.rung = rung
 }
 
-// carry adds to the rates of own plays at a node and in its rack.
-func (f *Policy) carry(at int, more float64) {
-	f.changes++
-	n := &f.nodes[at]
-	n.own += more
-	f.racks[n.rack].own += more
+// addRate changes the total rate of own plays on a node and in its rack.
+func (f *Policy) addRate(idx int, delta float64) {
+	f.loadVersion++
+	n := &f.nodes[idx]
+	n.ownRate += delta
+	f.racks[n.rack].ownRate += delta
 }
 
-// best is the play of a node that plays and has most merit above 0.
-func (f *Policy) best(at int, merit func(p *ply) float64) (pick decision.Handle, best *ply) {
-	most := 0.0
-	for _, h := range f.nodes[at].plays {
+// bestPlay returns the play in stage playing with the highest positive merit on a node, or nil.
+func (f *Policy) bestPlay(idx int, merit func(p *play) float64) (bestHandle decision.Handle, bestPlay *play) {
+	highest := 0.0
+	for _, h := range f.nodes[idx].plays {
 		p := f.plays.Get(h)
 		if p.stage != playing {
 			continue
 		}
-		if m := merit(p); m > most {
-			most, pick, best = m, h, p
+		if m := merit(p); m > highest {
+			highest, bestHandle, bestPlay = m, h, p
 		}
 	}
-	return pick, best
+	return bestHandle, bestPlay
 }
 
-// seat is the count of plays held of a play's title and product.
-func (f *Policy) seat(p *ply) *int32 {
-	i := p.want.Title*len(f.set["product.paid"]) + p.want.Product
+// seatCount returns the counter of the plays on nodes with a play's title and product, which are limited by
+// product.seats.
+func (f *Policy) seatCount(p *play) *int32 {
+	i := p.request.Title*len(f.settings["product.paid"]) + p.request.Product
 	for i >= len(f.seats) {
 		f.seats = append(f.seats, 0)
 	}
 	return &f.seats[i]
 }
 
-// bind and unbind enter a play at a node and take it out: its seat, its rate, its place in the list.
-func (f *Policy) bind(h decision.Handle, p *ply, at int) {
-	p.node = at
-	n := &f.nodes[at]
+// bind assigns a play to a node and counts its rate and seat; unbind reverses it.
+func (f *Policy) bind(h decision.Handle, p *play, idx int) {
+	p.node = idx
+	n := &f.nodes[idx]
 	n.plays = append(n.plays, h)
-	f.carry(at, f.rate(p, p.rung))
-	*f.seat(p)++
+	f.addRate(idx, f.rate(p, p.rung))
+	*f.seatCount(p)++
 }
 
-func (f *Policy) unbind(h decision.Handle, p *ply) {
+func (f *Policy) unbind(h decision.Handle, p *play) {
 	n := &f.nodes[p.node]
 	for i, o := range n.plays {
 		if o == h {
@@ -162,12 +163,12 @@
 			break
 		}
 	}
-	f.carry(p.node, -f.rate(p, p.rung))
-	*f.seat(p)--
+	f.addRate(p.node, -f.rate(p, p.rung))
+	*f.seatCount(p)--
 }
 
-// since drops times before a moment, in place.
-func since(times []int64, from int64) []int64 {
+// dropBefore removes the times before a moment from a sorted slice, in place.
+func dropBefore(times []int64, from int64) []int64 {
 	k := 0
 	for k < len(times) && times[k] < from {
 		k++
@@ -175,19 +176,21 @@
 	return times[:copy(times, times[k:])]
 }
 
-// send enters a message to another front.
-func (f *Policy) send(to int, kind byte, key uint32, more ...byte) {
-	from := len(f.words)
-	f.words = append(binary.BigEndian.AppendUint32(append(f.words, kind), key), more...)
-	f.res.Messages = append(f.res.Messages, decision.Message{To: to, Bytes: f.words[from:len(f.words):len(f.words)]})
+// addMessage queues a message to another front.
+func (f *Policy) addMessage(to int, kind byte, key uint32, payload ...byte) {
+	start := len(f.messageBuf)
+	f.messageBuf = append(binary.BigEndian.AppendUint32(append(f.messageBuf, kind), key), payload...)
+	f.result.Messages = append(f.result.Messages, decision.Message{To: to, Bytes: f.messageBuf[start:len(f.messageBuf):len(f.messageBuf)]})
 }
 
-// pack and unpack put a figure of what is asked into a byte.
-func pack(asked float64) byte { return byte(max(0, min(untold-1, math.Round(asked*askedUnit)))) }
+// encodeUtilization and decodeUtilization convert a utilization to and from a byte of a message.
+func encodeUtilization(asked float64) byte {
+	return byte(max(0, min(unknownByte-1, math.Round(asked*utilizationSteps))))
+}
 
-func unpack(b byte) float64 {
-	if b == untold {
+func decodeUtilization(b byte) float64 {
+	if b == unknownByte {
 		return -1
 	}
-	return float64(b) / askedUnit
+	return float64(b) / utilizationSteps
 }
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -8,8 +8,8 @@
 
 const now = 1_000_000
 
-// settings of a small fleet: two kinds, three rungs, product 0 safe, product 1 paid with a floor
-// of rung 1 and two seats.
+// settings describes a small fleet with two kinds of node and three rungs. Product 0 is unpaid; product 1 is paid,
+// with rung 1 as its floor and two seats.
 func settings() map[string][]float64 {
 	return map[string][]float64{
 		"fronts": {2}, "front": {0}, "cells": {4}, "racks": {2}, "kind.streams": {20, 20},
@@ -24,8 +24,9 @@
 	}
 }
 
-// fleet makes a front with n warm nodes, one to a cell, that knows its plays' level as the top.
-func fleet(n int, change ...func(map[string][]float64)) *Policy {
+// newTestPolicy returns the policy of a front with n warm nodes, one per cell, and a mean rung at the top of the
+// ladder.
+func newTestPolicy(n int, change ...func(map[string][]float64)) *Policy {
 	set := settings()
 	for _, c := range change {
 		c(set)
@@ -36,29 +37,29 @@
 		list = append(list, decision.Node{Index: i, Cell: i, Kind: i % 2, Weight: 1})
 	}
 	f.UpdateNodes(0, list, true)
-	f.level = 2
+	f.meanRung = 2
 	f.viewers = []viewer{{movedAt: never}}
 	return f
 }
 
-func alone(set map[string][]float64) { set["fronts"] = []float64{1} }
+func singleFront(set map[string][]float64) { set["fronts"] = []float64{1} }
 
-func want(product int) decision.Request {
+func newRequest(product int) decision.Request {
 	return decision.Request{Product: product, Deadline: now + 4*sec, FirstCell: 0, CellCount: 4, MaxRung: 2}
 }
 
-// playingAt adds a play that has played on a node since a time.
-func playingAt(f *Policy, at, product, rung int, since int64) (decision.Handle, *ply) {
-	w := want(product)
-	w.Viewer = len(f.viewers)
-	h, p := f.accept(since, w)
-	p.try, p.stage, p.started, p.rung, p.raised = 0, playing, since, rung, never
-	f.bind(h, p, at)
+// addPlaying adds a play that has been playing on a node since a time.
+func addPlaying(f *Policy, idx, product, rung int, since int64) (decision.Handle, *play) {
+	req := newRequest(product)
+	req.Viewer = len(f.viewers)
+	h, p := f.accept(since, req)
+	p.attempt, p.stage, p.startedAt, p.rung, p.steppedUpAt = 0, playing, since, rung, never
+	f.bind(h, p, idx)
 	return h, f.plays.Get(h)
 }
 
-// sole returns the only order of a result.
-func sole(t *testing.T, r *decision.Result) decision.Order {
+// onlyOrder returns the only order of a result.
+func onlyOrder(t *testing.T, r *decision.Result) decision.Order {
 	t.Helper()
 	if len(r.Orders) != 1 {
 		t.Fatalf("want one order, got %+v", r.Orders)
@@ -66,9 +67,9 @@
 	return r.Orders[0]
 }
 
-func count(r *decision.Result, do decision.Action) (n int) {
+func countActions(r *decision.Result, action decision.Action) (n int) {
 	for _, o := range r.Orders {
-		if o.Action == do {
+		if o.Action == action {
 			n++
 		}
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,12 +1,13 @@
-// Package placement is the policy of a front end: it decides on which node and at which rung plays are placed, and
-// when they are moved or ended.
+// Package placement implements the policy of a front end: it decides on which node and at which rung plays are
+// placed, and when they are moved or ended.
 //
-// The front end makes one Policy with New and tells it all it learns through the calls of decision.Policy:
-// package decision holds that interface and its words. Each call returns the orders to carry out, the nodes to
-// probe, messages to other fronts and when to call Wake at the latest. Nothing else is read: no clock, no
-// wire. Messages may all be lost: no rule rests on one. state.go holds the records, book.go enters plays
-// and walks lists; neither decides. docs/design.md has the reasons, docs/oncall.md the symptoms. In this
-// order: constants, calls, placing, account and messages, rungs in play, health, the six rules.
+// A front end creates one Policy with New and reports every event through the methods of decision.Policy; package
+// decision defines that interface and its types. Each call returns the orders to carry out, the nodes to probe,
+// the messages for other fronts and the latest time at which Wake must be called. The policy reads nothing else,
+// neither a clock nor the network. Any message may be lost, so no rule depends on one. state.go declares the state
+// and book.go maintains it; neither makes decisions. docs/design.md explains the reasons and docs/oncall.md the
+// symptoms. The order of this file: constants, calls, placement, load estimates and messages, rung changes, node
+// health, and the six rules.
 package placement
 
 import (
@@ -20,402 +21,406 @@
 const (
 	ms    = decision.Millisecond
 	sec   = decision.Second
-	never = -1 << 50 // a time long past
-
-	// The mechanism, as the design page has it.
-	epsFloor  = 0.05      // of set-ups: the paper's best limit of exploration
-	tieWidth  = 0.1       // payoff: kinds this near the best mean are as good
-	roomMark  = 0.85      // asked over given: set-ups and steps up stay under it
-	payoffAt  = 10 * sec  // after its start a play's payoff is taken
-	skipFor   = 10 * sec  // a node left or failed is passed over so long
-	checkGap  = 2 * sec   // two checks so far apart make a link short
-	shedEvery = 10 * sec  // one play leaves a short link in this time
-	moveEvery = 300 * sec // a viewer is moved no more often
-	upEvery   = 10 * sec  // a play steps up no more often
-
-	// Ours, where the design is silent.
-	overMark    = 0.95      // asked over given: steps down begin, as on the design page
-	cutTo       = 0.92      // asked over given that they aim at: clear of stalls, no see-saw with roomMark
-	fullMark    = 1.0       // asked over given: past it a play more costs all there more than it earns
-	fullFor     = 4 * sec   // an older figure turns nobody away
-	rungSpacing = 1.0       // rungs a play may start or rise to over the mean of those that could rise
-	blindRungs  = 0.5       // the same on a node of which nothing is known: the mean, rounded
-	closeRungs  = 0.7       // in place of both, where the mean is that of many fronts
-	behind      = 0.7       // of the average asked of links: one under it after a step may exceed the reach
-	swapGain    = 3.0       // a step up must earn this many times its price
-	leastLeft   = 20 * sec  // an untold length: as much is left as has played, this at least
-	shortUnder  = 0.98      // share of rate: below it a play loses worth
-	shortHolds  = 1500 * ms // a note of shortage, due each second, counts this long
-	alike       = 0.1       // shares this near tell of one cause
-	regain      = 25 * sec  // a link seen short counts as giving twice as much again after this
-	fades       = 20 * sec  // an older figure says no more of a link than what links are asked on average
-	usualOver   = 10.0      // figures that this average goes over
-	crowd       = 0.75      // of own changes since a report: what the others, if many, are taken to add
-	atBottom    = 0.2       // rungs over the lowest level that there can be: all who can have stepped down
-	joinFrom    = 2.0       // viewers expected on a stream from which one more counts as joining it
-	gatherPart  = 0.5       // of a link that the viewers of one live title, gathered, are to ask
-	nearRoom    = 0.1       // of the most room: holders this near are equals, drawn at random
-	wakeEvery   = 200 * ms  // pace of checks: well under a second, and cheap
-	settle      = 1500 * ms // beyond the notes' lag: smoothed, they take as long to show a change
-	freshFor    = 1500 * ms // an older report is asked again before a step up
-	recheck     = 32 * sec  // an older figure that keeps one own play down is asked again; of two, twice as soon
-	reportLag   = 600 * ms  // a report may lack what was set up this short before it, a note its lag more
-	looks       = 4         // holders looked at before a set-up where fronts tell each other
-	probeLooks  = 2         // the same by probes, which have a price
-	heardFor    = 15 * sec  // without a message, then none is waited for; twice it, told levels go
-	lookFor     = 100 * ms  // a play waits no longer for an answer to its look
-	perPlay     = 0.7       // probes earned by each play taken, which keeps their price near its unit
-	probeStore  = 20.0      // probes saved up at most: one look at a fleet
-	firstShare  = 0.5       // of the time to the first-frame target one allocation may take: leaves one more
-	holdShare   = 0.4       // of the first-frame target a play may wait for a cold or full node's turn
-	refusedFor  = 1 * sec   // a node that refused as full is left alone, doubled for each in a row
-	doublings   = 2         // of refusedFor at most: 4 s, as long as late reports call it empty
-	giveEvery   = 4         // turns of a cold node to one leave of its keeper
-	coldMargin  = 1.3       // how far under the cold allowance all fronts together stay
-	budgetEdge  = 20 * ms   // kept clear at either end of the budget's window
-
-	// What fronts tell each other: a kind, a node's key, and but for questions what is asked of its link and
-	// its uplink, how old that is, and the level of the plays of who tells.
-	asksFor   = 'a'
-	figures   = 'f'
-	leave     = 'l'      // figures, and the leave to set up one play on a cold node
-	untold    = 255      // a figure that the teller does not have
-	askedUnit = 64.0     // steps of a figure to 1, up to about 4
-	ageUnit   = 100 * ms // of a figure's age, up to 25 s
-	levelUnit = 16.0     // steps of a level to a rung
-	levelBase = 4.0      // rungs: the lowest level that can be told is so far below 0
-	levelOf   = 20.0     // levels told that their mean goes over, beside own plays
-	trustOf   = 4.0      // levels told from which the mean is held to be the fleet's
+	never = -1 << 50 // timestamp of an event that has not happened: far in the past
+
+	// Values from the design page. Utilization is demand divided by capacity.
+	minExploration    = 0.05      // share of set-ups that explore: the feature-greedy paper's best lower limit
+	payoffTolerance   = 0.1       // kinds whose mean payoff is this close to the best are equal
+	targetUtilization = 0.85      // set-ups and steps up keep the utilization below this
+	payoffDelay       = 10 * sec  // time from a play's start until its payoff is sampled
+	skipDuration      = 10 * sec  // a node that failed, or that the viewer left, is skipped this long
+	shortConfirmDelay = 2 * sec   // a link must be short this long before a play is moved off it
+	shedInterval      = 10 * sec  // at most one play is moved off a short link in this time
+	moveInterval      = 300 * sec // minimum time between two moves of a viewer
+	stepUpInterval    = 10 * sec  // minimum time between two steps up of a play
+
+	// Values that the design page leaves open, except stepDownThreshold.
+	stepDownThreshold     = 0.95      // utilization above which plays step down, from the design page
+	stepDownTarget        = 0.92      // utilization that steps down aim at: avoids stalls, and oscillation against targetUtilization
+	fullUtilization       = 1.0       // above it, one more play costs all plays of the link more than it gains
+	fullReportMaxAge      = 4 * sec   // an older report is no reason to decline a play
+	rungMargin            = 1.0       // rungs above meanRung at which a play may start or to which it may step up
+	unknownNodeRungMargin = 0.5       // rungMargin for a node without reports: the mean, rounded
+	fleetRungMargin       = 0.7       // replaces both margins if meanRung covers many fronts
+	underusedRatio        = 0.7       // of the mean utilization: a link still below it after a step may exceed rungLimit
+	minStepUpGain         = 3.0       // a step up must gain this multiple of its cost
+	minRemaining          = 20 * sec  // a play of unknown length is assumed to last as long again as it has played, at least this
+	shortShareThreshold   = 0.98      // delivered share of the rate below which a play loses value
+	shortShareTTL         = 1500 * ms // validity of a shortage note, which repeats every second
+	shareTolerance        = 0.1       // delivered shares this close indicate a common cause
+	capacityRecoveryTime  = 25 * sec  // after this time the assumed capacity of a link seen short has doubled
+	reportDecayTime       = 20 * sec  // a report this old counts no more than the mean utilization of all links
+	averageWindow         = 10.0      // reports in the moving average of the utilization
+	othersGrowthRatio     = 0.75      // of own growth since a report: assumed growth by the other fronts, if there are many
+	bottomMargin          = 0.2       // rungs above the lowest possible meanRung at which all plays count as stepped down
+	minStreamViewers      = 2.0       // expected viewers of a stream from which a play counts as sharing it
+	gatherUtilization     = 0.5       // share of a link that the gathered viewers of one live title may use
+	headroomTolerance     = 0.1       // holders within this share of the largest headroom are equal and drawn at random
+	wakeInterval          = 200 * ms  // well below a second, and cheap
+	settleTime            = 1500 * ms // time beyond note.lag until the smoothed load notes show a change
+	freshReportMaxAge     = 1500 * ms // an older report is refreshed before a step up
+	reportRecheckInterval = 32 * sec  // age at which the report of a node with one own play is refreshed; with n plays, 1/n of it
+	reportLag             = 600 * ms  // a report may miss set-ups made this shortly before it; for a note, add note.lag
+	maxQueriedHolders     = 4         // holders queried before a set-up if fronts exchange messages
+	maxProbedHolders      = 2         // holders queried by probes, which have a cost
+	peerSilenceTimeout    = 15 * sec  // without any message for this long, answers are not awaited; for twice as long, the peers' mean rung is dropped
+	queryTimeout          = 100 * ms  // longest wait for the answer to a query before a set-up
+	probesPerPlay         = 0.7       // probe credit earned per accepted play: keeps the cost of probes near its unit
+	maxProbeCredit        = 20.0      // limit of saved probe credit: enough to look at a fleet once
+	attemptTimeShare      = 0.5       // share of the time to the first-frame target that one attempt may use: leaves time for another
+	waitTimeShare         = 0.4       // share of the first-frame target that a play may wait for a cold or full node
+	rejectionBackoff      = 1 * sec   // a node that rejected a play as full is skipped this long, doubled per consecutive failure
+	maxBackoffDoublings   = 2         // limits the backoff to 4 s, as long as late reports show the node as empty
+	turnsPerGrant         = 4         // a cold node's owner grants one set-up per this many turns
+	coldPaceMargin        = 1.3       // factor by which all fronts together stay below the limit of a cold node
+	budgetWindowMargin    = 20 * ms   // safety margin at both ends of the budget window
+
+	// Messages between fronts: a type and the key of a node. Reports and grants add the utilization of the node's
+	// link and uplink, the age of these figures, and the mean rung of the sender's plays.
+	messageQuery     = 'a'
+	messageReport    = 'f'
+	messageGrant     = 'l'      // a report with permission to set up one play on a cold node
+	unknownByte      = 255      // the sender does not know this value
+	utilizationSteps = 64.0     // steps per unit of utilization, up to about 4
+	ageUnit          = 100 * ms // resolution of the age, up to 25 s
+	meanRungSteps    = 16.0     // steps per rung of a mean rung
+	meanRungOffset   = 4.0      // rungs added to a mean rung, which may be negative
+	maxPeerWeight    = 20.0     // weight limit of the peers' mean rung, counted in messages
+	fullPeerWeight   = 4.0      // weight of the peers' mean rung from which meanRung is taken to hold for the whole fleet
 )
 
-// New makes a front from its settings, a map of names to numbers, and a seed.
-func New(set map[string][]float64, seed uint64) *Policy {
-	f := &Policy{set: set, rnd: pcg.New(seed), probes: probeStore, born: math.MaxInt64, keys: map[uint32]int{}}
-	f.racks = make([]rack, max(1, int(f.val("racks"))))
-	f.cells = make([][]int, max(1, int(f.val("cells"))))
-	f.kinds = make([]kind, len(set["kind.streams"]))
-	f.lifts = f.earnings()
+// New returns the policy of one front end. settings maps names to numbers; docs/design.md lists the names.
+func New(settings map[string][]float64, seed uint64) *Policy {
+	f := &Policy{settings: settings, rng: pcg.New(seed), probeCredit: maxProbeCredit, startedAt: math.MaxInt64, nodesByKey: map[uint32]int{}}
+	f.racks = make([]rack, max(1, int(f.setting("racks"))))
+	f.cells = make([][]int, max(1, int(f.setting("cells"))))
+	f.kinds = make([]kindStats, len(settings["kind.streams"]))
+	f.productOffsets = f.computeOffsets()
 	return f
 }
 
 // ---- Calls ----
 
-func (f *Policy) end(now int64) *decision.Result {
-	f.res.WakeAt = now + wakeEvery
-	if len(f.waiting) > 0 { // for looks, mostly: not longer than they take
-		f.res.WakeAt = now + lookFor
+func (f *Policy) endCall(now int64) *decision.Result {
+	f.result.WakeAt = now + wakeInterval
+	if len(f.waiting) > 0 { // mostly for answers to queries, which time out after queryTimeout
+		f.result.WakeAt = now + queryTimeout
 	}
-	return &f.res
+	return &f.result
 }
 
-// UpdateNodes follows the list. What a full list lacks is gone.
-func (f *Policy) UpdateNodes(now int64, list []decision.Node, whole bool) *decision.Result {
-	f.begin()
-	f.born = min(f.born, now)
+// UpdateNodes applies the node list. Nodes missing from a complete list are gone.
+func (f *Policy) UpdateNodes(now int64, list []decision.Node, complete bool) *decision.Result {
+	f.beginCall()
+	f.startedAt = min(f.startedAt, now)
 	for i := range f.nodes {
-		if whole && f.nodes[i].listed {
+		if complete && f.nodes[i].listed {
 			f.nodes[i].listed, f.nodes[i].unlistedAt = false, now
 		}
 	}
-	for _, l := range list {
-		n := f.known(l.Index)
-		if l.StartedAt > n.started { // a fresh process: cold, healthy, its load unknown
-			n.slot, n.link, n.seen, n.strikes, n.skipUntil = -1, account{}, memory{}, 0, 0
+	for _, entry := range list {
+		n := f.ensureNode(entry.Index)
+		if entry.StartedAt > n.startedAt { // restarted: cold, healthy, load unknown
+			n.lastTurn, n.linkLoad, n.observed, n.consecutiveFailures, n.skipUntil = -1, loadEstimate{}, capacityObservation{}, 0, 0
 		}
-		n.listed = l.Phase != decision.Gone
+		n.listed = entry.Phase != decision.Gone
 		if !n.listed {
 			n.unlistedAt = now
 		}
-		n.phase, n.kind, n.zone, n.cell = l.Phase, l.Kind, l.Zone, l.Cell
-		n.rack, n.started, n.weight, n.key = l.Cell%len(f.racks), l.StartedAt, l.Weight, l.Key
-		f.keys[l.Key] = l.Index
+		n.phase, n.kind, n.zone, n.cell = entry.Phase, entry.Kind, entry.Zone, entry.Cell
+		n.rack, n.startedAt, n.weight, n.key = entry.Cell%len(f.racks), entry.StartedAt, entry.Weight, entry.Key
+		f.nodesByKey[entry.Key] = entry.Index
 	}
-	f.relist()
-	return f.end(now)
+	f.rebuildLists()
+	return f.endCall(now)
 }
 
-// AddPlay accepts a play and places it, lets it wait or answers it.
-func (f *Policy) AddPlay(now int64, w decision.Request) (decision.Handle, *decision.Result) {
-	f.begin()
-	h, p := f.accept(now, w)
-	f.taken = append(since(f.taken, now-int64(f.val("budget.over"))+budgetEdge), now)
-	f.probes = min(probeStore, f.probes+perPlay)
+// AddPlay accepts a play and places it, queues it or answers it.
+func (f *Policy) AddPlay(now int64, req decision.Request) (decision.Handle, *decision.Result) {
+	f.beginCall()
+	h, p := f.accept(now, req)
+	f.acceptedTimes = append(dropBefore(f.acceptedTimes, now-int64(f.setting("budget.over"))+budgetWindowMargin), now)
+	f.probeCredit = min(maxProbeCredit, f.probeCredit+probesPerPlay)
 	f.place(now, h, p)
-	return h, f.end(now)
+	return h, f.endCall(now)
 }
 
-func (f *Policy) accept(now int64, w decision.Request) (decision.Handle, *ply) {
-	for w.Viewer >= len(f.viewers) {
-		f.viewers = append(f.viewers, unmet)
+func (f *Policy) accept(now int64, req decision.Request) (decision.Handle, *play) {
+	for req.Viewer >= len(f.viewers) {
+		f.viewers = append(f.viewers, unknownViewer)
 	}
 	h, p := f.plays.Add()
-	*p = ply{want: w, try: -1, taken: now, sent: never, raised: now - upEvery}
-	p.rung = f.floor(p)
+	*p = play{request: req, attempt: -1, acceptedAt: now, sentAt: never, steppedUpAt: now - stepUpInterval}
+	p.rung = f.floorRung(p)
 	return h, p
 }
 
-// AdoptPlay takes over a play that plays already.
-func (f *Policy) AdoptPlay(now int64, w decision.Request, at int) (decision.Handle, *decision.Result) {
-	f.begin()
-	h, p := f.accept(now, w)
-	f.known(at)
-	p.try, p.stage, p.started = 0, playing, now
-	f.bind(h, p, at)
-	return h, f.end(now)
+// AdoptPlay takes over a play that already runs on a node.
+func (f *Policy) AdoptPlay(now int64, req decision.Request, idx int) (decision.Handle, *decision.Result) {
+	f.beginCall()
+	h, p := f.accept(now, req)
+	f.ensureNode(idx)
+	p.attempt, p.stage, p.startedAt = 0, playing, now
+	f.bind(h, p, idx)
+	return h, f.endCall(now)
 }
 
-// AttemptStarted moves a play from set-up to playing; the node has proved itself.
-func (f *Policy) AttemptStarted(now int64, h decision.Handle, try int) *decision.Result {
-	f.begin()
-	if p := f.plays.Get(h); p != nil && p.stage == settingUp && p.try == try {
-		p.stage, p.started = playing, now
+// AttemptStarted moves a play from set-up to playing and clears the failure count of its node.
+func (f *Policy) AttemptStarted(now int64, h decision.Handle, attempt int) *decision.Result {
+	f.beginCall()
+	if p := f.plays.Get(h); p != nil && p.stage == settingUp && p.attempt == attempt {
+		p.stage, p.startedAt = playing, now
 		n := &f.nodes[p.node]
-		n.strikes = 0
-		if n.lostAt > f.warmsFrom(p.node) { // back, and cold again before the list says so
-			n.backAt, n.slot = now, -1
+		n.consecutiveFailures = 0
+		if n.disconnectedAt > f.warmupStart(p.node) { // it returned, cold again, before the list shows its restart
+			n.returnedAt, n.lastTurn = now, -1
 		}
 	}
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// AttemptEnded takes in how an allocation ended, and places the play again where that is owed and safe.
-func (f *Policy) AttemptEnded(now int64, h decision.Handle, try int, how decision.Outcome, over bool,
+// AttemptEnded records how an allocation ended, and reallocates the play if that is due and safe.
+func (f *Policy) AttemptEnded(now int64, h decision.Handle, attempt int, outcome decision.Outcome, finished bool,
 	load decision.Load) *decision.Result {
-	f.begin()
+	f.beginCall()
 	p := f.plays.Get(h)
-	if p == nil || p.stage == held || p.try != try {
-		return f.end(now)
+	if p == nil || p.stage == pending || p.attempt != attempt {
+		return f.endCall(now)
 	}
-	at, was := p.node, p.stage
+	idx, previousStage := p.node, p.stage
 	f.unbind(h, p)
-	if f.report(now, at, load, reportLag, 0) {
-		f.tell(now, f.keeper(at), at, figures)
+	if f.applyReport(now, idx, load, reportLag, 0) {
+		f.sendReport(now, f.ownerOf(idx), idx, messageReport)
 	}
-	if how != decision.Served && how != decision.NotSent && was != deserted {
-		f.viewers[p.want.Viewer].left, f.viewers[p.want.Viewer].leftAt = at+1, now
+	if outcome != decision.Served && outcome != decision.NotSent && previousStage != abandoned {
+		f.viewers[p.request.Viewer].lastNode, f.viewers[p.request.Viewer].leftAt = idx+1, now
 	}
-	// An error in a title that plays nowhere may be the title's: guards against nodes blamed for what viewers
-	// ask wrongly. It could harm where a node is sick for rare titles only.
-	if (was != playing || how == decision.ConnectionLost) && (how != decision.Errored || f.playsElsewhere(p)) {
-		f.judge(now, at, how)
+	// An error for a title that plays nowhere else may be caused by the title. This keeps nodes from being skipped
+	// for faulty titles or requests. Drawback: a node that fails only for rare titles goes unnoticed.
+	if (previousStage != playing || outcome == decision.ConnectionLost) && (outcome != decision.Errored || f.playsElsewhere(p)) {
+		f.recordFailure(now, idx, outcome)
 	}
-	if was == settingUp && how != decision.Served && how != decision.NotSent {
-		f.sample(f.nodes[at].kind, -1)
+	if previousStage == settingUp && outcome != decision.Served && outcome != decision.NotSent {
+		f.addPayoff(f.nodes[idx].kind, -1)
 	}
-	if over || was != settingUp {
+	if finished || previousStage != settingUp {
 		f.plays.Drop(h)
-		return f.end(now)
+		return f.endCall(now)
 	}
-	p.stage = held
-	p.mayHave = p.mayHave || how.MayHaveRun()
+	p.stage = pending
+	p.mayHaveRun = p.mayHaveRun || outcome.MayHaveRun()
 	f.place(now, h, p)
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// ViewerLeft drops a play whose viewer went away, once its allocation is in.
+// ViewerLeft drops a play whose viewer left, once its allocation has ended.
 func (f *Policy) ViewerLeft(now int64, h decision.Handle) *decision.Result {
-	f.begin()
-	if p := f.plays.Get(h); p != nil && p.stage == held {
+	f.beginCall()
+	if p := f.plays.Get(h); p != nil && p.stage == pending {
 		f.plays.Drop(h)
 	} else if p != nil && p.stage == settingUp {
-		p.stage = deserted
-		if f.val("recall") > 0 {
-			f.order(decision.Order{Play: h, Action: decision.Cancel, Attempt: p.try})
+		p.stage = abandoned
+		if f.setting("recall") > 0 {
+			f.addOrder(decision.Order{Play: h, Action: decision.Cancel, Attempt: p.attempt})
 		}
 	}
-	return f.end(now)
+	return f.endCall(now)
 }
 
 // RungReported sets the rung of an adopted play.
 func (f *Policy) RungReported(now int64, h decision.Handle, rung int) *decision.Result {
-	f.begin()
+	f.beginCall()
 	if p := f.plays.Get(h); p != nil && p.stage == playing {
-		f.rerate(p, rung)
-		f.setRung(now, h, p, max(rung, f.floor(p)))
-		if f.shares(p) && len(f.holders(p)) > 0 { // it plays on any of them, not gathered
+		f.updateRung(p, rung)
+		f.setRung(now, h, p, max(rung, f.floorRung(p)))
+		// An adopted play runs on any holder, not only on those that gather viewers.
+		if f.mayShareStream(p) && len(f.holders(p)) > 0 {
 			before := f.rate(p, p.rung)
-			f.joining(p, float64(f.viewersOf(p))*f.val("fronts")/float64(len(f.held)))
-			f.carry(p.node, f.rate(p, p.rung)-before)
+			f.joinStream(p, float64(f.viewersOf(p))*f.setting("fronts")/float64(len(f.holderBuf)))
+			f.addRate(p.node, f.rate(p, p.rung)-before)
 		}
 	}
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// DeliveryReported takes a share note: below shortUnder the link or its uplink is short.
+// DeliveryReported handles a note of the delivered share: below shortShareThreshold the link or its uplink is
+// short.
 func (f *Policy) DeliveryReported(now int64, h decision.Handle, share float64) *decision.Result {
-	f.begin()
+	f.beginCall()
 	if p := f.plays.Get(h); p != nil && p.stage == playing {
-		f.short(now, p.node, share)
+		f.applyShare(now, p.node, share)
 	}
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// LoadReported takes a note of what is asked of a link or an uplink.
+// LoadReported handles a note of the utilization of a link or an uplink.
 func (f *Policy) LoadReported(now int64, h decision.Handle, load decision.Load) *decision.Result {
-	f.begin()
+	f.beginCall()
 	if p := f.plays.Get(h); p != nil && (p.stage == playing || p.stage == settingUp) {
 		lag := reportLag
-		if p.stage == playing && now-p.started > reportLag { // not the note that comes at set-up
-			lag += int64(f.val("note.lag"))
+		if p.stage == playing && now-p.startedAt > reportLag { // all but the note sent at set-up
+			lag += int64(f.setting("note.lag"))
 		}
-		blind := !f.tells() && lag == reportLag && now-f.nodes[p.node].link.at > freshFor
-		news := f.report(now, p.node, load, lag, 0)
-		// The first figure sets a start right that knew none as fresh. Guards against starts on links that many
-		// fill at once, unknown to each. Harm: one figure far too high holds a play down.
-		if news && blind && max(load.Link, load.Uplink) > overMark {
-			f.setRung(now, h, p, min(p.rung, f.fit(now, p.node, p, f.room(now, p.node)+f.rate(p, p.rung))))
+		noFreshReport := !f.peersEnabled() && lag == reportLag && now-f.nodes[p.node].linkLoad.reportedAt > freshReportMaxAge
+		accepted := f.applyReport(now, p.node, load, lag, 0)
+		// The first report corrects the rung of a play that started without a fresh report. This covers links that
+		// many fronts fill at once, unknown to each other. Drawback: one report far too high keeps a play at a low
+		// rung.
+		if accepted && noFreshReport && max(load.Link, load.Uplink) > stepDownThreshold {
+			f.setRung(now, h, p, min(p.rung, f.fitRung(now, p.node, p, f.headroom(now, p.node)+f.rate(p, p.rung))))
 		}
-		all := load.Uplink >= 0 || f.val("reports.uplink") == 0 // the uplink's figure follows the link's
-		if news && all && (lag == reportLag || f.rnd.Float() < f.part(now, p.node)) {
-			f.tell(now, f.keeper(p.node), p.node, figures) // all here hear the later ones: each by its part
+		complete := load.Uplink >= 0 || f.setting("reports.uplink") == 0 // the uplink's note follows the link's
+		if accepted && complete && (lag == reportLag || f.rng.Float() < f.ownDemandShare(now, p.node)) {
+			// Later notes reach all fronts with plays there, so each forwards its share of them.
+			f.sendReport(now, f.ownerOf(p.node), p.node, messageReport)
 		}
 	}
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// MessageReceived takes in a message of another front: a node's figures, or a question for them. A message says
-// nothing of a node that this front's own list lacks, and its figures count by their age.
+// MessageReceived handles a message of another front: a query, a report or a grant. Messages on nodes that are not
+// on this front's own list are ignored, and reports count by their age.
 func (f *Policy) MessageReceived(now int64, from int, b []byte) *decision.Result {
-	f.begin()
-	if !f.tells() || from < 0 || from >= int(f.val("fronts")) || len(b) < 5 {
-		return f.end(now)
+	f.beginCall()
+	if !f.peersEnabled() || from < 0 || from >= int(f.setting("fronts")) || len(b) < 5 {
+		return f.endCall(now)
 	}
-	f.heardAt = now
-	at, known := f.keys[binary.BigEndian.Uint32(b[1:])]
-	if !known || !f.nodes[at].listed {
-		return f.end(now)
+	f.lastMessageAt = now
+	idx, known := f.nodesByKey[binary.BigEndian.Uint32(b[1:])]
+	if !known || !f.nodes[idx].listed {
+		return f.endCall(now)
 	}
-	n := &f.nodes[at]
+	n := &f.nodes[idx]
 	switch {
-	case b[0] == asksFor && len(b) == 5:
-		kind := byte(figures)
-		if f.mayGive(now, at) {
-			n.slot, _ = f.turnOf(now, at)
-			kind = leave
+	case b[0] == messageQuery && len(b) == 5:
+		kind := byte(messageReport)
+		if f.mayGrant(now, idx) {
+			n.lastTurn, _ = f.coldTurn(now, idx)
+			kind = messageGrant
 		}
-		f.tell(now, from, at, kind)
-	case (b[0] == figures || b[0] == leave) && len(b) == 9:
+		f.sendReport(now, from, idx, kind)
+	case (b[0] == messageReport || b[0] == messageGrant) && len(b) == 9:
 		n.probing = false
-		if b[0] == leave && from == f.keeper(at) {
-			n.leave = n.probedAt + lookFor
+		if b[0] == messageGrant && from == f.ownerOf(idx) {
+			n.grantedUntil = n.probedAt + queryTimeout
 		}
-		if b[8] != untold {
-			f.levels = min(f.levels+1, levelOf)
-			f.theirs += (float64(b[8])/levelUnit - levelBase - f.theirs) / f.levels
+		if b[8] != unknownByte {
+			f.peerWeight = min(f.peerWeight+1, maxPeerWeight)
+			f.peerMeanRung += (float64(b[8])/meanRungSteps - meanRungOffset - f.peerMeanRung) / f.peerWeight
 		}
-		age, load := int64(b[7])*ageUnit, decision.Load{Streams: -1, Link: unpack(b[5]), Uplink: unpack(b[6])}
-		if f.report(now, at, load, reportLag+age, age) {
-			f.resetSetUps(now, at)
+		age, load := int64(b[7])*ageUnit, decision.Load{Streams: -1, Link: decodeUtilization(b[5]), Uplink: decodeUtilization(b[6])}
+		if f.applyReport(now, idx, load, reportLag+age, age) {
+			f.adjustSetUps(now, idx)
 		}
 		f.placeWaiting(now, false)
 	}
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// ProbeEnded takes a probe's report, and sets the rungs that are still free to set by it.
-func (f *Policy) ProbeEnded(now int64, at int, how decision.Outcome, load decision.Load) *decision.Result {
-	f.begin()
-	n := f.known(at)
+// ProbeEnded records the report of a probe, and adjusts the rungs of plays that are still being set up.
+func (f *Policy) ProbeEnded(now int64, idx int, outcome decision.Outcome, load decision.Load) *decision.Result {
+	f.beginCall()
+	n := f.ensureNode(idx)
 	n.probing = false
-	if how == decision.Served {
-		f.report(now, at, load, reportLag, 0)
-		f.resetSetUps(now, at)
+	if outcome == decision.Served {
+		f.applyReport(now, idx, load, reportLag, 0)
+		f.adjustSetUps(now, idx)
 	}
 	f.placeWaiting(now, false)
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// Wake does what is due: plays that wait, payoffs, steps up, plays to move off short links.
+// Wake performs timed work: waiting plays, payoffs, steps up, and moving plays off short links.
 func (f *Policy) Wake(now int64) *decision.Result {
-	f.begin()
+	f.beginCall()
 	f.placeWaiting(now, true)
-	below, sum, all := 0, 0.0, 0
+	belowTop, rungSum, playingCount := 0, 0.0, 0
 	for i := range f.plays.Len() {
 		_, p := f.plays.At(i)
 		if p == nil || p.stage != playing {
 			continue
 		}
-		if !p.sampled && now-p.started >= payoffAt {
+		if !p.sampled && now-p.startedAt >= payoffDelay {
 			p.sampled = true
-			f.sample(f.nodes[p.node].kind, 2*f.shareNow(now, p.node)-1)
+			f.addPayoff(f.nodes[p.node].kind, 2*f.currentShare(now, p.node)-1)
 		}
-		if all++; p.rung < f.top(p) {
-			below, sum = below+1, sum+float64(p.rung)-f.lift(p)
+		if playingCount++; p.rung < f.topRung(p) {
+			belowTop, rungSum = belowTop+1, rungSum+float64(p.rung)-f.rungOffset(p)
 		}
 	}
-	if now-f.heardAt > 2*heardFor { // what others told is too old to go by
-		f.levels = 0
+	if now-f.lastMessageAt > 2*peerSilenceTimeout { // the mean rungs of the peers are out of date
+		f.peerWeight = 0
 	}
-	f.mine = sum / float64(max(1, below))
-	f.rising = below > 0
-	f.level = (sum + f.theirs*f.levels) / max(1, float64(below)+f.levels)
-	if below == 0 && all > 0 {
-		f.level = math.Inf(1)
+	f.ownMeanRung = rungSum / float64(max(1, belowTop))
+	f.anyBelowTop = belowTop > 0
+	f.meanRung = (rungSum + f.peerMeanRung*f.peerWeight) / max(1, float64(belowTop)+f.peerWeight)
+	if belowTop == 0 && playingCount > 0 {
+		f.meanRung = math.Inf(1)
 	}
-	f.crammed = false
-	for i, l := range f.lifts { // of all products, the one whose floor is highest
-		f.crammed = f.crammed || below > 0 && f.level <= f.of("product.floor", i, 0)-f.trust()*l+atBottom
+	f.allAtFloor = false
+	for i, offset := range f.productOffsets { // true once it holds for one product, the one with the highest floor
+		f.allAtFloor = f.allAtFloor || belowTop > 0 && f.meanRung <= f.settingAt("product.floor", i, 0)-f.fleetConfidence()*offset+bottomMargin
 	}
-	if !f.told { // nothing is known but own plays: the other fronts are taken to hold as many
-		own, given := 0.0, 1.0
-		for at := range f.nodes {
-			if f.nodes[at].listed {
-				own, given = own+f.nodes[at].own, given+f.capacity(now, at)
+	if !f.anyReport { // no report yet: assume that every other front carries as much as this one
+		ownRate, capacity := 0.0, 1.0
+		for idx := range f.nodes {
+			if f.nodes[idx].listed {
+				ownRate, capacity = ownRate+f.nodes[idx].ownRate, capacity+f.capacity(now, idx)
 			}
 		}
-		f.usual = own * max(1, f.val("fronts")) / given
-		f.usualUp = own * max(1, f.val("fronts")) / (1 + f.val("uplink.rate")*float64(len(f.racks)))
+		f.meanUtilization = ownRate * max(1, f.setting("fronts")) / capacity
+		f.meanUplinkUtilization = ownRate * max(1, f.setting("fronts")) / (1 + f.setting("uplink.rate")*float64(len(f.racks)))
 	}
-	for at := range f.nodes {
-		if len(f.nodes[at].plays) > 0 {
-			f.shed(now, at)
-			f.raise(now, at)
+	for idx := range f.nodes {
+		if len(f.nodes[idx].plays) > 0 {
+			f.shed(now, idx)
+			f.stepUp(now, idx)
 		}
 	}
-	return f.end(now)
+	return f.endCall(now)
 }
 
-// ForgetViewer and ForgetNode give a small number back: they blank its record and tell that the number may
-// name another, or refuse while it can still decide something. Guards against records that grow for ever
-// in a front that runs for months; refusing too long would cost memory only.
+// ForgetViewer clears the record of a viewer so that its number can be reused, or returns false while the record
+// may still affect a decision. This bounds the memory of a front that runs for months.
 func (f *Policy) ForgetViewer(now int64, viewer int) bool {
 	if viewer >= len(f.viewers) {
 		return true
 	}
 	v := &f.viewers[viewer]
-	if v.left > 0 && now-v.leftAt < skipFor || now-v.movedAt < moveEvery {
+	if v.lastNode > 0 && now-v.leftAt < skipDuration || now-v.movedAt < moveInterval {
 		return false
 	}
-	*v = unmet
+	*v = unknownViewer
 	return true
 }
 
-func (f *Policy) ForgetNode(now int64, at int) bool {
-	if at >= len(f.nodes) {
+// ForgetNode does for a node what ForgetViewer does for a viewer.
+func (f *Policy) ForgetNode(now int64, idx int) bool {
+	if idx >= len(f.nodes) {
 		return true
 	}
-	n := &f.nodes[at] // viewers who left it may pass over its number for skipFor
-	if n.listed || n.probing && !f.tells() || len(n.plays) > 0 || now-n.unlistedAt < skipFor {
+	n := &f.nodes[idx] // viewers that left this node skip its number for skipDuration
+	if n.listed || n.probing && !f.peersEnabled() || len(n.plays) > 0 || now-n.unlistedAt < skipDuration {
 		return false
 	}
-	if f.keys[n.key] == at {
-		delete(f.keys, n.key)
+	if f.nodesByKey[n.key] == idx {
+		delete(f.nodesByKey, n.key)
 	}
-	*n = unheard
+	*n = unknownNode
 	return true
 }
 
-// ---- Placing: the feature-greedy choice ----
+// ---- Placement: feature-greedy selection ----
 
-// sample adds a payoff to W.
-func (f *Policy) sample(kind int, payoff float64) {
+// addPayoff adds a payoff sample of a kind.
+func (f *Policy) addPayoff(kind int, payoff float64) {
 	f.samples++
 	f.kinds[kind].count++
 	f.kinds[kind].sum += payoff
 }
 
-// mean is a kind's payoff; a kind without samples counts as the mean of all.
-func (f *Policy) mean(kind int) float64 {
+// meanPayoff returns the mean payoff of a kind, or that of all kinds if it has no samples.
+func (f *Policy) meanPayoff(kind int) float64 {
 	if k := f.kinds[kind]; k.count > 0 {
 		return k.sum / float64(k.count)
 	}
@@ -426,83 +431,86 @@
 	return sum / float64(max(1, f.samples))
 }
 
-// place allocates a play in hand, lets it wait for a node's turn, or gives it up at once.
-func (f *Policy) place(now int64, h decision.Handle, p *ply) {
-	at, wait := -1, false
-	if p.try+1 < int(f.val("tries")) && now < p.want.Deadline && f.seatFree(p) && f.mayAgain(now, p) {
-		at, wait = f.choose(now, p)
-		if !p.looked && (at >= 0 || f.cold >= 0 && f.tells()) {
-			p.looked = true
-			if f.look(now, p, at) {
+// place allocates a pending play, queues it until a node can take it, or answers it at once.
+func (f *Policy) place(now int64, h decision.Handle, p *play) {
+	idx, wait := -1, false
+	if p.attempt+1 < int(f.setting("tries")) && now < p.request.Deadline && f.seatAvailable(p) && f.mayReallocate(now, p) {
+		idx, wait = f.chooseNode(now, p)
+		if !p.queried && (idx >= 0 || f.coldHolder >= 0 && f.peersEnabled()) {
+			p.queried = true
+			if f.queryHolders(now, p, idx) {
 				f.waiting = append(f.waiting, h)
 				return
 			}
 		}
 	}
-	if at < 0 {
-		if wait && p.want.Deadline-now > 2*wakeEvery { // as in look
+	if idx < 0 {
+		if wait && p.request.Deadline-now > 2*wakeInterval { // as in queryHolders
 			f.waiting = append(f.waiting, h)
 		} else {
-			f.giveUp(h, p)
+			f.answerUnplaced(h, p)
 		}
 		return
 	}
-	n := &f.nodes[at]
-	p.rung, p.stage, p.sent = f.fit(now, at, p, f.room(now, at)), settingUp, now
-	if p.try++; p.try > 0 {
-		f.again = append(since(f.again, now-int64(f.val("budget.over"))-budgetEdge), now)
+	n := &f.nodes[idx]
+	p.rung, p.stage, p.sentAt = f.fitRung(now, idx, p, f.headroom(now, idx)), settingUp, now
+	if p.attempt++; p.attempt > 0 {
+		f.reallocationTimes = append(dropBefore(f.reallocationTimes, now-int64(f.setting("budget.over"))-budgetWindowMargin), now)
 	}
-	n.slot, _ = f.turnOf(now, at)
-	n.leave = 0
-	f.bind(h, p, at)
-	f.order(decision.Order{Play: h, Action: decision.Place, Node: at, Rung: p.rung, Until: f.until(now, p)})
-	if now-n.link.at > freshFor {
-		f.probe(now, at, 1)
+	n.lastTurn, _ = f.coldTurn(now, idx)
+	n.grantedUntil = 0
+	f.bind(h, p, idx)
+	f.addOrder(decision.Order{Play: h, Action: decision.Place, Node: idx, Rung: p.rung, Until: f.attemptDeadline(now, p)})
+	if now-n.linkLoad.reportedAt > freshReportMaxAge {
+		f.requestLoad(now, idx, 1)
 	}
 }
 
-// look asks for the holder chosen and for equals drawn at random where their figures are old: one by a
-// probe, or several of their keepers and one of these for the leave to use a cold holder. It tells that
-// an answer is to come: the play is placed by it. Guards against blind set-ups and against nodes that died
-// unlisted; it costs a probe or messages, and harms where reports are very late.
-func (f *Policy) look(now int64, p *ply, at int) bool {
-	if !f.asks() && !f.tells() || p.want.Deadline-now <= 2*wakeEvery { // the next check may be too late
+// queryHolders requests the load of the chosen holder and of equal holders drawn at random, if their reports are
+// old: of one by a probe, or of several from their owners, one of these for permission to use a cold holder. It
+// returns whether to wait for an answer before placing the play. This avoids placing plays without load data, and
+// on nodes that died while still listed. It costs a probe or messages. Drawback: it delays plays to no use if
+// reports are very late.
+func (f *Policy) queryHolders(now int64, p *play, idx int) bool {
+	// The next Wake may be too late.
+	if !f.probingEnabled() && !f.peersEnabled() || p.request.Deadline-now <= 2*wakeInterval {
 		return false
 	}
-	for i := range p.look {
-		p.look[i] = at
+	for i := range p.queriedNodes {
+		p.queriedNodes[i] = idx
 		switch {
-		case at < 0 || i == looks-1 && f.cold >= 0 && f.tells():
-			p.look[i] = f.cold
-		case i > 0 && (i < probeLooks || f.tells()):
-			p.look[i] = f.cands[f.rnd.Below(len(f.cands))].at
+		case idx < 0 || i == maxQueriedHolders-1 && f.coldHolder >= 0 && f.peersEnabled():
+			p.queriedNodes[i] = f.coldHolder
+		case i > 0 && (i < maxProbedHolders || f.peersEnabled()):
+			p.queriedNodes[i] = f.candidates[f.rng.Below(len(f.candidates))].node
 		}
-		if p.look[i] == f.cold || now-f.nodes[p.look[i]].link.at > freshFor {
-			f.probe(now, p.look[i], 1)
+		if p.queriedNodes[i] == f.coldHolder || now-f.nodes[p.queriedNodes[i]].linkLoad.reportedAt > freshReportMaxAge {
+			f.requestLoad(now, p.queriedNodes[i], 1)
 		}
 	}
-	return f.looking(now, p) && (!f.tells() || now-f.heardAt < heardFor)
+	return f.awaitingAnswers(now, p) && (!f.peersEnabled() || now-f.lastMessageAt < peerSilenceTimeout)
 }
 
-// looking tells that a play still waits for what it looked at.
-func (f *Policy) looking(now int64, p *ply) bool {
-	for _, at := range p.look {
-		if n := &f.nodes[at]; n.probing && now-n.probedAt < lookFor {
-			return p.looked
+// awaitingAnswers returns whether a play still waits for the answer to a query.
+func (f *Policy) awaitingAnswers(now int64, p *play) bool {
+	for _, idx := range p.queriedNodes {
+		if n := &f.nodes[idx]; n.probing && now-n.probedAt < queryTimeout {
+			return p.queried
 		}
 	}
 	return false
 }
 
-// placeWaiting places the plays that wait for nothing more, or for long enough.
-func (f *Policy) placeWaiting(now int64, due bool) {
+// placeWaiting places waiting plays whose queries are answered or timed out. Plays that wait for a node are
+// retried only if retryAll is set.
+func (f *Policy) placeWaiting(now int64, retryAll bool) {
 	waiting := f.waiting
 	f.waiting = f.waiting[:0]
 	for _, h := range waiting {
 		p := f.plays.Get(h)
 		switch {
-		case p == nil || p.stage != held:
-		case f.looking(now, p) || !due && !p.looked:
+		case p == nil || p.stage != pending:
+		case f.awaitingAnswers(now, p) || !retryAll && !p.queried:
 			f.waiting = append(f.waiting, h)
 		default:
 			f.place(now, h, p)
@@ -510,702 +518,736 @@
 	}
 }
 
-// until is when an allocation is given up: a paid play waits to its limit, another leaves time
-// for one more to meet the first-frame target while one may still be made.
-func (f *Policy) until(now int64, p *ply) int64 {
-	target := p.taken + int64(f.of("product.target", p.want.Product, 0))
-	if f.paid(p) || p.try+2 >= int(f.val("tries")) || now >= target {
-		return p.want.Deadline
+// attemptDeadline returns when an allocation is given up. A paid play waits until its deadline; others leave time
+// for one more attempt within the first-frame target, if one is allowed.
+func (f *Policy) attemptDeadline(now int64, p *play) int64 {
+	target := p.acceptedAt + int64(f.settingAt("product.target", p.request.Product, 0))
+	if f.paid(p) || p.attempt+2 >= int(f.setting("tries")) || now >= target {
+		return p.request.Deadline
 	}
-	return min(p.want.Deadline, now+int64(firstShare*float64(target-now)))
+	return min(p.request.Deadline, now+int64(attemptTimeShare*float64(target-now)))
 }
 
-// choose is the feature-greedy choice among the holders. It returns -1 if none can take the play now, and
-// whether to wait as one soon may. Where all are skipped, one that told its load since it failed is tried:
-// guards against plays declined for connections that broke. Harm: one that errs is tried too.
-func (f *Policy) choose(now int64, p *ply) (at int, wait bool) {
-	holdUntil := p.taken + int64(holdShare*f.of("product.target", p.want.Product, 0))
-	held := f.holders(p)
-	gathers := f.gathers(p, len(held))
-	need := f.rate(p, f.floor(p))
-	f.cands, f.cold = f.cands[:0], -1
-	cold := 0
-	for _, i := range held {
+// chooseNode selects a node among the holders by the feature-greedy rule. It returns -1 if none can take the play
+// now, and whether to wait because one soon may. If all are skipped, one that reported its load since its failure
+// is tried, so that plays are not declined after mere connection failures. Drawback: this also tries nodes that
+// return errors.
+func (f *Policy) chooseNode(now int64, p *play) (idx int, wait bool) {
+	waitUntil := p.acceptedAt + int64(waitTimeShare*f.settingAt("product.target", p.request.Product, 0))
+	holders := f.holders(p)
+	gatherShare := f.gatherShare(p, len(holders))
+	minRate := f.rate(p, f.floorRung(p))
+	f.candidates, f.coldHolder = f.candidates[:0], -1
+	coldCount := 0
+	for _, i := range holders {
 		if f.nodes[i].phase != decision.Ready {
 			continue
 		}
-		c, full := cand{at: i, room: f.room(now, i)}, false
-		if c.room < need { // only then does it matter how much is used
-			c.used = f.used(now, i)
-			if full = f.full(now, i, c.used, need); full && f.asks() {
-				f.probe(now, i, 1)
+		c, full := candidate{node: i, headroom: f.headroom(now, i)}, false
+		if c.headroom < minRate { // the utilization matters only in this case
+			c.utilization = f.highestUtilization(now, i)
+			if full = f.isFull(now, i, c.utilization, minRate); full && f.probingEnabled() {
+				f.requestLoad(now, i, 1)
 			}
 		}
-		paced := f.pace(now, i)
-		if !paced && now >= f.nodes[i].skipUntil {
-			if cold++; f.rnd.Below(cold) == 0 {
-				f.cold = i
+		allowed := f.maySetUp(now, i)
+		if !allowed && now >= f.nodes[i].skipUntil {
+			if coldCount++; f.rng.Below(coldCount) == 0 {
+				f.coldHolder = i
 			}
 		}
-		if n := &f.nodes[i]; full || !paced || now < n.skipUntil && n.link.at <= n.failedAt {
-			wait = wait || now < holdUntil && f.nodes[i].skipUntil < holdUntil
+		if n := &f.nodes[i]; full || !allowed || now < n.skipUntil && n.linkLoad.reportedAt <= n.failedAt {
+			wait = wait || now < waitUntil && f.nodes[i].skipUntil < waitUntil
 			continue
 		}
-		c.rung = f.fit(now, i, p, c.room)
-		f.cands = append(f.cands, c)
+		c.rung = f.fitRung(now, i, p, c.headroom)
+		f.candidates = append(f.candidates, c)
 	}
-	if len(f.cands) == 0 {
+	if len(f.candidates) == 0 {
 		return -1, wait
 	}
-	f.prefer(func(c *cand) bool { return now >= f.nodes[c.at].skipUntil })
-	if v := &f.viewers[p.want.Viewer]; now-v.leftAt < skipFor {
-		f.prefer(func(c *cand) bool { return c.at != v.left-1 })
+	f.prefer(func(c *candidate) bool { return now >= f.nodes[c.node].skipUntil })
+	if v := &f.viewers[p.request.Viewer]; now-v.leftAt < skipDuration {
+		f.prefer(func(c *candidate) bool { return c.node != v.lastNode-1 })
 	}
-	f.prefer(func(c *cand) bool { return c.room >= need })
-	if gathers < 1 {
-		f.prefer(func(c *cand) bool { return f.scattered(c.at, p) < gathers })
+	f.prefer(func(c *candidate) bool { return c.headroom >= minRate })
+	if gatherShare < 1 {
+		f.prefer(func(c *candidate) bool { return f.hashFraction(c.node, p) < gatherShare })
 	}
-	if f.tells() { // what was looked at, not what is only supposed
-		f.prefer(func(c *cand) bool { return c.room >= need && now-f.nodes[c.at].link.at <= fullFor })
+	if f.peersEnabled() { // prefer nodes with recent reports to estimates
+		f.prefer(func(c *candidate) bool {
+			return c.headroom >= minRate && now-f.nodes[c.node].linkLoad.reportedAt <= fullReportMaxAge
+		})
 	}
-	if f.cands[0].room < need { // no room: the least used
-		least := f.cands[0]
-		for _, c := range f.cands {
-			if c.used < least.used {
+	if f.candidates[0].headroom < minRate { // no headroom: use the least utilized
+		least := f.candidates[0]
+		for _, c := range f.candidates {
+			if c.utilization < least.utilization {
 				least = c
 			}
 		}
-		return least.at, false
+		return least.node, false
 	}
 	eps := 1.0
 	if f.samples > 0 {
-		eps = max(epsFloor, 1/math.Sqrt(float64(f.samples)))
+		eps = max(minExploration, 1/math.Sqrt(float64(f.samples)))
 	}
-	explore := f.rnd.Float() < eps
-	mean, rung, room := math.Inf(-1), 0, 0.0
-	for _, c := range f.cands {
-		mean = max(mean, f.mean(f.nodes[c.at].kind))
+	explore := f.rng.Float() < eps
+	bestMean, bestRung, bestHeadroom := math.Inf(-1), 0, 0.0
+	for _, c := range f.candidates {
+		bestMean = max(bestMean, f.meanPayoff(f.nodes[c.node].kind))
 	}
 	if !explore {
-		f.prefer(func(c *cand) bool { return f.mean(f.nodes[c.at].kind) >= mean-tieWidth })
+		f.prefer(func(c *candidate) bool { return f.meanPayoff(f.nodes[c.node].kind) >= bestMean-payoffTolerance })
 	}
-	for _, c := range f.cands {
-		rung = max(rung, c.rung)
+	for _, c := range f.candidates {
+		bestRung = max(bestRung, c.rung)
 	}
-	// Holders that give the same rung are equals: there the own zone comes first, as crossing has
-	// its price and a cut between zones breaks plays.
-	f.prefer(func(c *cand) bool { return c.rung >= rung && f.ownZone(c.at) })
-	for _, c := range f.cands {
-		room = max(room, c.room)
+	// Holders that allow the same rung are equal. Among these the own zone comes first: traffic between zones has
+	// a cost, and a partition between zones breaks plays.
+	f.prefer(func(c *candidate) bool { return c.rung >= bestRung && f.ownZone(c.node) })
+	for _, c := range f.candidates {
+		bestHeadroom = max(bestHeadroom, c.headroom)
 	}
 	if !explore {
-		f.prefer(func(c *cand) bool { return c.room >= room*(1-nearRoom) })
+		f.prefer(func(c *candidate) bool { return c.headroom >= bestHeadroom*(1-headroomTolerance) })
 	}
-	return f.cands[f.rnd.Below(len(f.cands))].at, false
+	return f.candidates[f.rng.Below(len(f.candidates))].node, false
 }
 
-// gathers is the part of its holders on which the viewers of a live title are gathered, and enters what one
-// more adds. Viewers are taken to be as many at each front; so many nodes are used that they ask gatherPart
-// of each. Guards against streams of one viewer each. It could harm where few fronts want a title.
-func (f *Policy) gathers(p *ply, held int) float64 {
-	if !f.shares(p) || held == 0 {
+// gatherShare returns the share of its holders on which the viewers of a live title are gathered, and sets what
+// one more viewer adds. Every front is assumed to have as many viewers; the number of nodes is chosen so that
+// these viewers use gatherUtilization of each link. This avoids streams with a single viewer. Drawback: the
+// assumption is wrong if only a few fronts have viewers of a title.
+func (f *Policy) gatherShare(p *play, holderCount int) float64 {
+	if !f.mayShareStream(p) || holderCount == 0 {
 		return 1
 	}
-	nodes := float64(held)
-	p.saves, p.joins = 0, false
-	all, each := float64(f.viewersOf(p))*max(1, f.val("fronts")), f.val("join")*f.rate(p, f.top(p))
-	link := f.val("weight.rate")
-	if up := f.val("uplink.rate") * float64(len(f.racks)) / max(1, float64(f.listed)); up > 0 {
-		link = min(link, up)
+	nodes := float64(holderCount)
+	p.savedShare, p.sharesStream = 0, false
+	viewers, ratePerViewer := float64(f.viewersOf(p))*max(1, f.setting("fronts")), f.setting("join")*f.rate(p, f.topRung(p))
+	capacity := f.setting("weight.rate")
+	if uplinkPerNode := f.setting("uplink.rate") * float64(len(f.racks)) / max(1, float64(f.listed)); uplinkPerNode > 0 {
+		capacity = min(capacity, uplinkPerNode)
 	}
-	part := min(1, max(1, all*each/(gatherPart*link))/nodes)
-	f.joining(p, all/(part*nodes))
-	return part
+	share := min(1, max(1, viewers*ratePerViewer/(gatherUtilization*capacity))/nodes)
+	f.joinStream(p, viewers/(share*nodes))
+	return share
 }
 
-// shares tells that viewers of a play's title may share a stream.
-func (f *Policy) shares(p *ply) bool {
-	return f.of("join", 0, 1) < 1 && f.of("product.live", p.want.Product, 0) > 0
+// mayShareStream returns whether viewers of a play's title may share a stream.
+func (f *Policy) mayShareStream(p *play) bool {
+	return f.settingAt("join", 0, 1) < 1 && f.settingAt("product.live", p.request.Product, 0) > 0
 }
 
-// joining enters that a play is one of so many on a stream, as far as can be expected. It then adds less to
-// the link, and keeps its best rung: one alone on another rung would ask more than its step down frees.
-func (f *Policy) joining(p *ply, on float64) {
-	if on >= joinFrom {
-		p.saves, p.joins = (1-f.val("join"))*(1-1/on), true
+// joinStream marks a play as sharing a stream, given the expected number of viewers per stream. It then adds less
+// to the link and keeps its best rung: alone on another rung it would use more than its step down frees.
+func (f *Policy) joinStream(p *play, viewers float64) {
+	if viewers >= minStreamViewers {
+		p.savedShare, p.sharesStream = (1-f.setting("join"))*(1-1/viewers), true
 	}
 }
 
-// scattered is a number from 0 to 1 for a node and a title, the same at every front.
-func (f *Policy) scattered(at int, p *ply) float64 {
-	x := uint64(f.nodes[at].key)<<32 | uint64(p.want.Key)
+// hashFraction maps a node and a title to a number from 0 to 1 that is the same at every front.
+func (f *Policy) hashFraction(idx int, p *play) float64 {
+	x := uint64(f.nodes[idx].key)<<32 | uint64(p.request.Key)
 	x = (x ^ x>>31) * 0x9e3779b97f4a7c15
 	x = (x ^ x>>29) * 0xbf58476d1ce4e5b9
 	return float64((x^x>>32)>>11) / (1 << 53)
 }
 
-func (f *Policy) ownZone(at int) bool { return f.nodes[at].zone == int(f.of("zone", 0, -1)) }
+func (f *Policy) ownZone(idx int) bool { return f.nodes[idx].zone == int(f.settingAt("zone", 0, -1)) }
 
-// full tells that one play more would cost all plays there more than it earns: the link is lately
-// known to be all asked for, and own plays there cannot step down to make the room. Guards against
-// a crowd piling onto links where all stand on their floors; an old figure turns nobody away.
-func (f *Policy) full(now int64, at int, used, need float64) bool {
-	n := &f.nodes[at]
-	if now-max(n.link.at, f.racks[n.rack].link.at, n.shareAt) > fullFor ||
-		used+need/f.capacity(now, at) <= fullMark {
+// isFull returns whether one more play would cost all plays of a node more than it gains: a recent report shows
+// the link as fully used, and own plays there cannot step down to make room. This stops a burst of viewers from
+// overloading links whose plays are all at their floor. An old report is no reason to decline a play.
+func (f *Policy) isFull(now int64, idx int, utilization, need float64) bool {
+	n := &f.nodes[idx]
+	if now-max(n.linkLoad.reportedAt, f.racks[n.rack].uplinkLoad.reportedAt, n.deliveredShareAt) > fullReportMaxAge ||
+		utilization+need/f.capacity(now, idx) <= fullUtilization {
 		return false
 	}
 	for _, h := range n.plays {
 		if p := f.plays.Get(h); p.stage == playing {
-			need -= f.rate(p, p.rung) - f.rate(p, f.floor(p))
+			need -= f.rate(p, p.rung) - f.rate(p, f.floorRung(p))
 		}
 	}
 	return need > 0
 }
 
-// ---- The account ----
+// ---- Load estimates and messages between fronts ----
 
-func (f *Policy) rate(p *ply, rung int) float64 {
-	if p.joins {
-		rung = f.top(p)
+func (f *Policy) rate(p *play, rung int) float64 {
+	if p.sharesStream {
+		rung = f.topRung(p)
 	}
-	return f.of("rung.rate", rung, 0) * f.of("product.rate", p.want.Product, 1) * (1 - p.saves)
+	return f.settingAt("rung.rate", rung, 0) * f.settingAt("product.rate", p.request.Product, 1) * (1 - p.savedShare)
 }
 
-func (f *Policy) capacity(now int64, at int) float64 {
-	return f.val("weight.rate") * f.nodes[at].weight * f.warmth(now, at)
+func (f *Policy) capacity(now int64, idx int) float64 {
+	return f.setting("weight.rate") * f.nodes[idx].weight * f.warmShare(now, idx)
 }
 
-// uplink is what a rack's uplink gives: the mean told, or less once the rack was seen short.
-func (f *Policy) uplink(now int64, rk int) float64 {
-	told := f.val("uplink.rate")
-	if told <= 0 {
-		told = math.Inf(1)
+// uplinkCapacity returns the capacity of a rack's uplink: the configured mean, or less after the rack was seen
+// short.
+func (f *Policy) uplinkCapacity(now int64, rackIdx int) float64 {
+	nominal := f.setting("uplink.rate")
+	if nominal <= 0 {
+		nominal = math.Inf(1)
 	}
-	return regained(now, f.racks[rk].seen, told)
+	return recoveredCapacity(now, f.racks[rackIdx].observed, nominal)
 }
 
-// regained is what a link or uplink counts as giving after it was seen short: that, and with time
-// more again up to what is told, slowly at first. Guards against trouble that comes and goes and
-// against weak links nobody reports; costs some seconds of low rungs after one that is over.
-func regained(now int64, seen memory, told float64) float64 {
-	if seen.at == 0 {
-		return told
+// recoveredCapacity returns the assumed capacity of a link or uplink after it was seen short: the observed
+// capacity at first, growing back to the nominal one, slowly at the start. This covers intermittent faults, and
+// weak links that nobody reports. It costs some seconds at low rungs after a fault is over.
+func recoveredCapacity(now int64, obs capacityObservation, nominal float64) float64 {
+	if obs.observedAt == 0 {
+		return nominal
 	}
-	age := float64(now-seen.at) / float64(regain)
-	return min(told, seen.given*(1+age*age))
+	age := float64(now-obs.observedAt) / float64(capacityRecoveryTime)
+	return min(nominal, obs.capacity*(1+age*age))
 }
 
-// asked is an account: own plays, or the last figure told and what was changed since, of which the
-// others are taken to have added a part. A figure fades with its age into what is asked on average.
-// Guards against herds on stale figures, and against steps up on links of which nothing was told.
-// It could harm where links differ lastingly and are seldom told.
-func (f *Policy) asked(now int64, a account, own, capacity, usual float64) float64 {
-	others := 1 - 1/max(1, f.val("fronts"))
-	since, old := own-a.own, float64(now-a.at)/float64(fades)
-	told := max(own/capacity, a.asked+(since+max(0, since)*others*crowd)/capacity)
-	return max(own/capacity, told+(usual-told)*min(1, old*old))
+// estimateUtilization returns the larger of own demand and the last report plus what changed since: own changes,
+// and an assumed growth by the other fronts. With its age a report decays to the mean utilization. This keeps
+// fronts from crowding onto a node because of an old report, and from stepping up on links without reports.
+// Drawback: the estimate is poor if links differ permanently and are seldom reported.
+func (f *Policy) estimateUtilization(now int64, est loadEstimate, ownRate, capacity, mean float64) float64 {
+	othersShare := 1 - 1/max(1, f.setting("fronts"))
+	ownChange, age := ownRate-est.ownRate, float64(now-est.reportedAt)/float64(reportDecayTime)
+	reported := max(ownRate/capacity, est.utilization+(ownChange+max(0, ownChange)*othersShare*othersGrowthRatio)/capacity)
+	return max(ownRate/capacity, reported+(mean-reported)*min(1, age*age))
 }
 
-func (f *Policy) linkAsked(now int64, at int) float64 {
-	n := &f.nodes[at]
-	return f.asked(now, n.link, n.own, f.capacity(now, at), f.usual)
+func (f *Policy) linkUtilization(now int64, idx int) float64 {
+	n := &f.nodes[idx]
+	return f.estimateUtilization(now, n.linkLoad, n.ownRate, f.capacity(now, idx), f.meanUtilization)
 }
 
-// uplinkAsked is a rack's account: told, or else added up over its links.
-func (f *Policy) uplinkAsked(now int64, rk int) float64 {
-	r := &f.racks[rk]
-	if f.val("reports.uplink") > 0 {
-		return f.asked(now, r.link, r.own, f.uplink(now, rk), f.usualUp)
+// uplinkUtilization returns the utilization of a rack's uplink: estimated from its reports, or else the sum over
+// the links of the rack.
+func (f *Policy) uplinkUtilization(now int64, rackIdx int) float64 {
+	r := &f.racks[rackIdx]
+	if f.setting("reports.uplink") > 0 {
+		return f.estimateUtilization(now, r.uplinkLoad, r.ownRate, f.uplinkCapacity(now, rackIdx), f.meanUplinkUtilization)
 	}
-	return f.rackSum(now, rk) / f.uplink(now, rk)
+	return f.rackDemand(now, rackIdx) / f.uplinkCapacity(now, rackIdx)
 }
 
-// rackSum adds up what is asked of a rack's links, kB a second.
-func (f *Policy) rackSum(now int64, rk int) float64 {
-	r := &f.racks[rk]
-	if r.sumAt != now || r.sumOf != f.changes { // else nothing it rests on has changed
-		r.sum, r.sumAt, r.sumOf = 0, now, f.changes
+// rackDemand returns the total demand on a rack's links, in kB/s.
+func (f *Policy) rackDemand(now int64, rackIdx int) float64 {
+	r := &f.racks[rackIdx]
+	if r.demandAt != now || r.demandVersion != f.loadVersion { // otherwise the stored sum is still valid
+		r.demand, r.demandAt, r.demandVersion = 0, now, f.loadVersion
 		for _, i := range r.nodes {
-			r.sum += f.linkAsked(now, i) * f.capacity(now, i)
+			r.demand += f.linkUtilization(now, i) * f.capacity(now, i)
 		}
 	}
-	return r.sum
+	return r.demand
 }
 
-// used is how much is asked of a node's link or uplink, or was told short, whichever is most.
-func (f *Policy) used(now int64, at int) float64 {
-	return max(f.linkAsked(now, at), f.uplinkAsked(now, f.nodes[at].rack), 1/f.shareNow(now, at))
+// highestUtilization returns the highest utilization of a node: of its link, of its uplink, or implied by its
+// delivered share.
+func (f *Policy) highestUtilization(now int64, idx int) float64 {
+	return max(f.linkUtilization(now, idx), f.uplinkUtilization(now, f.nodes[idx].rack), 1/f.currentShare(now, idx))
 }
 
-// room is what a set-up may still ask at a node, kB a second.
-func (f *Policy) room(now int64, at int) float64 {
-	n, full := &f.nodes[at], f.capacity(now, at)
-	link := roomMark*regained(now, n.seen, full) - f.linkAsked(now, at)*full
-	return min(link, (roomMark-f.uplinkAsked(now, n.rack))*f.uplink(now, n.rack))
+// headroom returns the rate that set-ups may still add to a node, in kB/s.
+func (f *Policy) headroom(now int64, idx int) float64 {
+	n, capacity := &f.nodes[idx], f.capacity(now, idx)
+	link := targetUtilization*recoveredCapacity(now, n.observed, capacity) - f.linkUtilization(now, idx)*capacity
+	return min(link, (targetUtilization-f.uplinkUtilization(now, n.rack))*f.uplinkCapacity(now, n.rack))
 }
 
-// fit is the highest rung that a room takes, within reach.
-func (f *Policy) fit(now int64, at int, p *ply, room float64) int {
-	r := f.top(p)
-	if p.joins {
-		if f.crammed && f.used(now, at) > fullMark {
-			return f.floor(p)
+// fitRung returns the highest rung that the headroom and rungAllowed permit.
+func (f *Policy) fitRung(now int64, idx int, p *play, headroom float64) int {
+	rung := f.topRung(p)
+	if p.sharesStream {
+		if f.allAtFloor && f.highestUtilization(now, idx) > fullUtilization {
+			return f.floorRung(p)
 		}
-		return r
+		return rung
 	}
-	for r > f.floor(p) && (f.rate(p, r) > room || !f.inReach(now, at, p, r, f.rate(p, r))) {
-		r--
+	for rung > f.floorRung(p) && (f.rate(p, rung) > headroom || !f.rungAllowed(now, idx, p, rung, f.rate(p, rung))) {
+		rung--
 	}
-	return r
+	return rung
 }
 
-// inReach tells that a play may take a rung that asks so much more of a link: one within reach, or
-// any on a link that stays far behind the average. Guards against nodes of little wanted titles that
-// stand empty while full ones keep the reach low; it could harm where a crowd comes to just these.
-func (f *Policy) inReach(now int64, at int, p *ply, rung int, more float64) bool {
-	return float64(rung) <= f.reach(now, at)+f.lift(p) ||
-		f.linkAsked(now, at)+more/f.capacity(now, at) <= behind*f.usual
+// rungAllowed returns whether a play may take a rung that adds addedRate to a link: one up to rungLimit, or any if
+// the link stays far below the mean utilization. This keeps nodes with unpopular titles from staying empty while
+// full nodes keep rungLimit low. Drawback: it does harm if a burst of viewers arrives at just these nodes.
+func (f *Policy) rungAllowed(now int64, idx int, p *play, rung int, addedRate float64) bool {
+	return float64(rung) <= f.rungLimit(now, idx)+f.rungOffset(p) ||
+		f.linkUtilization(now, idx)+addedRate/f.capacity(now, idx) <= underusedRatio*f.meanUtilization
 }
 
-// reach is the highest rung that a play may start at or step up to. A rung more earns several
-// times as much low on the ladder as high on it for the same rate, so the first to come must not
-// fill the links. On a node of which this front knows nothing the reach is the mean itself, rounded:
-// a start too high costs all there and a change of rung, one too low a step up. It could harm where
-// nodes are hardly used and seldom heard of.
-func (f *Policy) reach(now int64, at int) float64 {
-	if n := &f.nodes[at]; now-n.link.at > fades && len(n.plays) == 0 {
-		return f.level + blindRungs + (closeRungs-blindRungs)*f.trust()
+// rungLimit returns the highest rung at which a play may start or to which it may step up. For the same rate a
+// step gains several times as much at the bottom of the ladder as at the top, so the first plays must not fill the
+// links. On a node without reports or own plays the limit is the mean rung, rounded: a start that is too high
+// costs all plays there and a rung change, one that is too low a step up. Drawback: this limits starts needlessly
+// on nodes that are hardly used and seldom reported.
+func (f *Policy) rungLimit(now int64, idx int) float64 {
+	if n := &f.nodes[idx]; now-n.linkLoad.reportedAt > reportDecayTime && len(n.plays) == 0 {
+		return f.meanRung + unknownNodeRungMargin + (fleetRungMargin-unknownNodeRungMargin)*f.fleetConfidence()
 	}
-	return f.level + rungSpacing + (closeRungs-rungSpacing)*f.trust()
+	return f.meanRung + rungMargin + (fleetRungMargin-rungMargin)*f.fleetConfidence()
 }
 
-// trust is how far the level is known to be the fleet's, from 0, where it is that of own plays alone, to 1.
-func (f *Policy) trust() float64 { return min(1, f.levels/trustOf) }
+// fleetConfidence returns how far meanRung holds for the fleet, from 0 (own plays only) to 1.
+func (f *Policy) fleetConfidence() float64 { return min(1, f.peerWeight/fullPeerWeight) }
 
-// lift is how many rungs a play may stand over others for what a step of it earns for its rate. It counts
-// as far as the level is the fleet's: over the mean of a few own plays it would only add to the chance.
-func (f *Policy) lift(p *ply) float64 { return f.trust() * f.lifts[p.want.Product] }
+// rungOffset returns how many rungs a play may be above others because its steps gain more per rate. It is scaled
+// by levelConfidence: applied to the mean of a few own plays it would only add noise.
+func (f *Policy) rungOffset(p *play) float64 {
+	return f.fleetConfidence() * f.productOffsets[p.request.Product]
+}
 
-// earnings are the lifts of the products around their mean, in rungs: each rung of the ladder divides what
-// a step earns for its rate by about the same, and an importance multiplies it.
-func (f *Policy) earnings() []float64 {
-	out, mean, top := make([]float64, len(f.set["product.rate"])), 0.0, len(f.set["rung.rate"])-1
-	step := func(name string, r int) float64 { return f.of(name, r, 0) - f.of(name, r-1, 0) }
-	earns := func(r int) float64 { return step("rung.worth", r) / step("rung.rate", r) }
-	if top < 2 || !(earns(1) > earns(top) && earns(top) > 0) {
-		return out // no such ladder: all alike
+// computeOffsets returns the rung offsets of the products, relative to their mean. Each rung of the ladder divides
+// the gain per rate of a step by about the same factor, and the importance multiplies it; hence the logarithms.
+func (f *Policy) computeOffsets() []float64 {
+	offsets, mean, top := make([]float64, len(f.settings["product.rate"])), 0.0, len(f.settings["rung.rate"])-1
+	step := func(name string, r int) float64 { return f.settingAt(name, r, 0) - f.settingAt(name, r-1, 0) }
+	gainPerRate := func(r int) float64 { return step("rung.worth", r) / step("rung.rate", r) }
+	if top < 2 || !(gainPerRate(1) > gainPerRate(top) && gainPerRate(top) > 0) {
+		return offsets // the ladder does not decrease in that way: no offsets
 	}
-	rung := math.Log(earns(1)/earns(top)) / float64(top-1)
-	for i := range out {
-		out[i] = math.Log(f.of("product.importance", i, 1)/f.of("product.rate", i, 1)) / rung
-		mean += out[i] / float64(len(out))
+	logRatioPerRung := math.Log(gainPerRate(1)/gainPerRate(top)) / float64(top-1)
+	for i := range offsets {
+		offsets[i] = math.Log(f.settingAt("product.importance", i, 1)/f.settingAt("product.rate", i, 1)) / logRatioPerRung
+		mean += offsets[i] / float64(len(offsets))
 	}
-	for i := range out {
-		out[i] -= mean
+	for i := range offsets {
+		offsets[i] -= mean
 	}
-	return out
+	return offsets
 }
 
-// report takes in what a node told of its link and uplink so long ago, and tells whether it is news.
-func (f *Policy) report(now int64, at int, l decision.Load, lag, age int64) bool {
-	n := &f.nodes[at]
-	if l.Link < 0 && l.Uplink < 0 || age > 0 && now-age <= n.link.at {
+// applyReport stores a node's report of its link and uplink. lag is how long before the report a change may be
+// missing from it, and age how old the report is. It returns false if the report is empty or older than the stored
+// one.
+func (f *Policy) applyReport(now int64, idx int, load decision.Load, lag, age int64) bool {
+	n := &f.nodes[idx]
+	if load.Link < 0 && load.Uplink < 0 || age > 0 && now-age <= n.linkLoad.reportedAt {
 		return false
 	}
-	f.changes++
-	late := 0.0
+	f.loadVersion++
+	unreported := 0.0
 	for _, h := range n.plays {
-		if p := f.plays.Get(h); now-p.sent < lag {
-			late += f.rate(p, p.rung)
-		} else if now-p.raised < lag && p.rung > 0 {
-			late += f.more(p, p.rung)
+		if p := f.plays.Get(h); now-p.sentAt < lag {
+			unreported += f.rate(p, p.rung)
+		} else if now-p.steppedUpAt < lag && p.rung > 0 {
+			unreported += f.stepRate(p, p.rung)
 		}
 	}
-	if l.Link >= 0 {
-		f.usual, f.told = f.usual+(l.Link-f.usual)/usualOver, true
-		n.link = account{now - age, l.Link, n.own - late}
+	if load.Link >= 0 {
+		f.meanUtilization, f.anyReport = f.meanUtilization+(load.Link-f.meanUtilization)/averageWindow, true
+		n.linkLoad = loadEstimate{now - age, load.Link, n.ownRate - unreported}
 	}
-	if r := &f.racks[n.rack]; l.Uplink >= 0 {
-		f.usualUp += (l.Uplink - f.usualUp) / usualOver
-		r.link = account{now - age, l.Uplink, r.own - late}
+	if r := &f.racks[n.rack]; load.Uplink >= 0 {
+		f.meanUplinkUtilization += (load.Uplink - f.meanUplinkUtilization) / averageWindow
+		r.uplinkLoad = loadEstimate{now - age, load.Uplink, r.ownRate - unreported}
 	}
-	f.cut(now, at, max(l.Link, l.Uplink), overMark)
+	f.stepDown(now, idx, max(load.Link, load.Uplink), stepDownThreshold)
 	return true
 }
 
-// resetSetUps sets the rungs that are still free to set by a fresh figure.
-func (f *Policy) resetSetUps(now int64, at int) {
-	for _, h := range f.nodes[at].plays {
+// adjustSetUps adapts the rungs of plays that are still being set up to a new report.
+func (f *Policy) adjustSetUps(now int64, idx int) {
+	for _, h := range f.nodes[idx].plays {
 		if p := f.plays.Get(h); p.stage == settingUp {
-			f.setRung(now, h, p, f.fit(now, at, p, f.room(now, at)+f.rate(p, p.rung)))
+			f.setRung(now, h, p, f.fitRung(now, idx, p, f.headroom(now, idx)+f.rate(p, p.rung)))
 		}
 	}
 }
 
-// tells tells that fronts may send each other messages.
-func (f *Policy) tells() bool { return f.val("peers") > 0 }
+// peersEnabled returns whether fronts may send each other messages.
+func (f *Policy) peersEnabled() bool { return f.setting("peers") > 0 }
 
-// keeper is the front that keeps a node's figures for all, the same for every front.
-func (f *Policy) keeper(at int) int { return int(f.nodes[at].key) % max(1, int(f.val("fronts"))) }
+// ownerOf returns the front that collects a node's reports for all fronts and grants set-ups while the node is
+// cold. All fronts compute the same owner.
+func (f *Policy) ownerOf(idx int) int {
+	return int(f.nodes[idx].key) % max(1, int(f.setting("fronts")))
+}
 
-// tell sends what is known of a node to a front.
-func (f *Policy) tell(now int64, to, at int, kind byte) {
-	n := &f.nodes[at]
-	if !f.tells() || to == int(f.val("front")) {
+// sendReport sends the load of a node to another front.
+func (f *Policy) sendReport(now int64, to, idx int, kind byte) {
+	n := &f.nodes[idx]
+	if !f.peersEnabled() || to == int(f.setting("front")) {
 		return
 	}
-	link, uplink, age := byte(untold), byte(untold), now-n.link.at
-	if n.link.at > 0 && age < 255*ageUnit {
-		link = pack(n.link.asked)
-		if r := &f.racks[n.rack]; r.link.at > 0 && now-r.link.at < fades {
-			uplink = pack(r.link.asked)
+	link, uplink, age := byte(unknownByte), byte(unknownByte), now-n.linkLoad.reportedAt
+	if n.linkLoad.reportedAt > 0 && age < 255*ageUnit {
+		link = encodeUtilization(n.linkLoad.utilization)
+		if r := &f.racks[n.rack]; r.uplinkLoad.reportedAt > 0 && now-r.uplinkLoad.reportedAt < reportDecayTime {
+			uplink = encodeUtilization(r.uplinkLoad.utilization)
 		}
 	}
-	level := byte(untold)
-	if f.rising {
-		level = byte(max(0, min(untold-1, math.Round((f.mine+levelBase)*levelUnit))))
+	meanRung := byte(unknownByte)
+	if f.anyBelowTop {
+		meanRung = byte(max(0, min(unknownByte-1, math.Round((f.ownMeanRung+meanRungOffset)*meanRungSteps))))
 	}
-	f.send(to, kind, n.key, link, uplink, byte(min(255, age/ageUnit)), level)
+	f.addMessage(to, kind, n.key, link, uplink, byte(min(255, age/ageUnit)), meanRung)
 }
 
-// asks tells that probes are worth their price: allowed, and load comes in no other way. Where answers
-// and notes tell it, each front hears of the nodes that it uses by itself.
-func (f *Policy) asks() bool { return f.val("probing") > 0 && f.val("reports.answers") == 0 }
+// probingEnabled returns whether probes are allowed and worth their cost, which they are not if answers and notes
+// carry the load: then each front learns the load of the nodes that it uses anyway.
+func (f *Policy) probingEnabled() bool {
+	return f.setting("probing") > 0 && f.setting("reports.answers") == 0
+}
 
-// probe asks for a node's load: its keeper, where fronts may tell each other, or else the node itself
-// as far as probes are earned. An answer of the keeper may be lost.
-func (f *Policy) probe(now int64, at int, cost float64) {
-	n, to := &f.nodes[at], f.keeper(at)
-	if now-n.probedAt < settle {
+// requestLoad requests a node's load: from its owner if fronts may message each other, otherwise by a probe as far
+// as probe credit allows. The owner's answer may be lost.
+func (f *Policy) requestLoad(now int64, idx int, cost float64) {
+	n, to := &f.nodes[idx], f.ownerOf(idx)
+	if now-n.probedAt < settleTime {
 		return
 	}
 	switch {
-	case f.tells() && to != int(f.val("front")):
-		f.send(to, asksFor, n.key)
-	case !f.tells() && f.asks() && f.probes >= cost && !n.probing:
-		f.probes -= cost
-		f.res.Probes = append(f.res.Probes, at)
+	case f.peersEnabled() && to != int(f.setting("front")):
+		f.addMessage(to, messageQuery, n.key)
+	case !f.peersEnabled() && f.probingEnabled() && f.probeCredit >= cost && !n.probing:
+		f.probeCredit -= cost
+		f.result.Probes = append(f.result.Probes, idx)
 	default:
 		return
 	}
 	n.probing, n.probedAt = true, now
 }
 
-// ---- Rungs in play ----
+// ---- Rung changes ----
 
-func (f *Policy) floor(p *ply) int { return int(f.of("product.floor", p.want.Product, 0)) }
+func (f *Policy) floorRung(p *play) int {
+	return int(f.settingAt("product.floor", p.request.Product, 0))
+}
 
-func (f *Policy) top(p *ply) int {
-	rungs := len(f.set["rung.rate"]) - 1
-	return max(f.floor(p), min(p.want.MaxRung, rungs, int(f.of("product.top", p.want.Product, float64(rungs)))))
+func (f *Policy) topRung(p *play) int {
+	rungs := len(f.settings["rung.rate"]) - 1
+	return max(f.floorRung(p), min(p.request.MaxRung, rungs, int(f.settingAt("product.top", p.request.Product, float64(rungs)))))
 }
 
-func (f *Policy) importance(p *ply) float64 { return f.of("product.importance", p.want.Product, 1) }
+func (f *Policy) importance(p *play) float64 {
+	return f.settingAt("product.importance", p.request.Product, 1)
+}
 
-// gain is what a rung earns a second over the one below it, and more what it asks.
-func (f *Policy) gain(p *ply, rung int) float64 {
-	return f.importance(p) * (f.of("rung.worth", rung, 0) - f.of("rung.worth", rung-1, 0))
+// stepGain returns the value per second that a rung adds to the one below it.
+func (f *Policy) stepGain(p *play, rung int) float64 {
+	return f.importance(p) * (f.settingAt("rung.worth", rung, 0) - f.settingAt("rung.worth", rung-1, 0))
 }
 
-func (f *Policy) more(p *ply, rung int) float64 { return f.rate(p, rung) - f.rate(p, rung-1) }
+// stepRate returns the rate that a rung adds to the one below it, in kB/s.
+func (f *Policy) stepRate(p *play, rung int) float64 { return f.rate(p, rung) - f.rate(p, rung-1) }
 
-// setRung changes a play's rung and orders it.
-func (f *Policy) setRung(now int64, h decision.Handle, p *ply, rung int) {
+// setRung changes a play's rung and adds the order.
+func (f *Policy) setRung(now int64, h decision.Handle, p *play, rung int) {
 	if rung == p.rung {
 		return
 	}
 	if rung > p.rung {
-		p.raised = now
+		p.steppedUpAt = now
 	}
-	f.rerate(p, rung)
-	f.order(decision.Order{Play: h, Action: decision.SetRung, Rung: rung})
+	f.updateRung(p, rung)
+	f.addOrder(decision.Order{Play: h, Action: decision.SetRung, Rung: rung})
 }
 
-// shareNow is the share delivered at a node as far as it is told; silence is a full share.
-func (f *Policy) shareNow(now int64, at int) float64 {
-	if n := &f.nodes[at]; n.share < shortUnder && now-n.shareAt < shortHolds {
-		return n.share
+// currentShare returns the delivered share that a node last reported, or 1 without a valid report of a shortage.
+func (f *Policy) currentShare(now int64, idx int) float64 {
+	if n := &f.nodes[idx]; n.deliveredShare < shortShareThreshold && now-n.deliveredShareAt < shortShareTTL {
+		return n.deliveredShare
 	}
 	return 1
 }
 
-// settled tells that what was done at a time has had the time to show in the notes.
-func (f *Policy) settled(now, at int64) bool { return now-at >= int64(f.val("note.lag"))+settle }
+// settled returns whether a change has had time to show in the notes.
+func (f *Policy) settled(now, changedAt int64) bool {
+	return now-changedAt >= int64(f.setting("note.lag"))+settleTime
+}
 
-// short takes in a share: the link, or its uplink, is asked 1/share of what it gives.
-func (f *Policy) short(now int64, at int, share float64) {
-	n := &f.nodes[at]
-	n.share, n.shareAt = share, now
-	if share >= shortUnder {
-		n.shortFrom = 0
+// applyShare records a delivered share: the utilization of the link or its uplink is taken to be 1/share.
+func (f *Policy) applyShare(now int64, idx int, share float64) {
+	n := &f.nodes[idx]
+	n.deliveredShare, n.deliveredShareAt = share, now
+	if share >= shortShareThreshold {
+		n.shortSince = 0
 		return
 	}
-	if n.shortFrom == 0 {
-		n.shortFrom = now
+	if n.shortSince == 0 {
+		n.shortSince = now
 	}
-	// What a cold link gave, or one warmed while the note was on its way, says nothing of what it gives warm.
-	if f.rackShort(now, at, share) || f.warmth(now-settle-int64(f.val("note.lag")), at) < 1 {
-		n.seen = memory{}
+	// The capacity of a link that is cold, or was when the note was sent, says nothing about its capacity when
+	// warm.
+	if f.uplinkIsShort(now, idx, share) || f.warmShare(now-settleTime-int64(f.setting("note.lag")), idx) < 1 {
+		n.observed = capacityObservation{}
 	} else {
-		f.remember(now, &n.seen, share*f.linkAsked(now, at)*f.capacity(now, at))
+		f.recordCapacity(now, &n.observed, share*f.linkUtilization(now, idx)*f.capacity(now, idx))
 	}
-	f.cut(now, at, 1/share, 1)
+	f.stepDown(now, idx, 1/share, 1)
 }
 
-// rackShort tells that the uplink is what is short: as told, or inferred where nobody reports it
-// from most links of the rack delivering short alike. Guards against weak or sagging uplinks.
-// It could harm where sick links of one rack are short alike: the rack then takes less for a while.
-func (f *Policy) rackShort(now int64, at int, share float64) bool {
-	rk := f.nodes[at].rack
-	r := &f.racks[rk]
-	if f.val("reports.uplink") > 0 {
-		return r.link.at > 0 && r.link.asked >= roomMark
+// uplinkIsShort returns whether the uplink is the bottleneck: as reported, or, if uplinks are not reported,
+// inferred when most links of the rack deliver a similarly short share. This detects weak or degrading uplinks.
+// Drawback: if several links of a rack fail alike, the rack takes fewer plays for a while.
+func (f *Policy) uplinkIsShort(now int64, idx int, share float64) bool {
+	rackIdx := f.nodes[idx].rack
+	r := &f.racks[rackIdx]
+	if f.setting("reports.uplink") > 0 {
+		return r.uplinkLoad.reportedAt > 0 && r.uplinkLoad.utilization >= targetUtilization
 	}
-	with, short := 0, 0
+	inUse, short := 0, 0
 	for _, i := range r.nodes {
 		if len(f.nodes[i].plays) > 0 {
-			with++
-			if s := f.shareNow(now, i); s < 1 && math.Abs(s-share) < alike {
+			inUse++
+			if s := f.currentShare(now, i); s < 1 && math.Abs(s-share) < shareTolerance {
 				short++
 			}
 		}
 	}
-	if short < 2 || 2*short <= with {
+	if short < 2 || 2*short <= inUse {
 		return false
 	}
-	f.remember(now, &r.seen, share*f.rackSum(now, rk))
+	f.recordCapacity(now, &r.observed, share*f.rackDemand(now, rackIdx))
 	return true
 }
 
-// remember notes what a link or uplink gave when short, once for what notes tell over and over.
-func (f *Policy) remember(now int64, seen *memory, given float64) {
-	if seen.at == 0 || f.settled(now, seen.at) {
-		*seen = memory{given, now}
+// recordCapacity stores the observed capacity of a short link or uplink, once per settling time as notes repeat.
+func (f *Policy) recordCapacity(now int64, obs *capacityObservation, capacity float64) {
+	if obs.observedAt == 0 || f.settled(now, obs.observedAt) {
+		*obs = capacityObservation{capacity, now}
 	}
 }
 
-// cut steps own plays down where a link is asked more than a mark, each front by its part of the
-// excess, those first that lose least for the rate they free. Before a cut shows, only what is asked beyond
-// what it was for counts: guards against links that sink on while the first, mild figures of it are acted
-// on. Harm: of figures that jump about the worst is cut for.
-func (f *Policy) cut(now int64, at int, asks, mark float64) {
-	n, goal := &f.nodes[at], cutTo/asks
-	if !f.settled(now, n.cutAt) {
-		goal = n.cutFor / asks
+// stepDown lowers the rungs of own plays on a link whose utilization exceeds a threshold. Each front takes its
+// share of the excess, from the plays that lose least for the rate they free. Until a previous step down shows in
+// the notes, only utilization beyond the one it acted on counts: a link may degrade further while its first, mild
+// reports are acted on. Drawback: if reports fluctuate, the worst one counts.
+func (f *Policy) stepDown(now int64, idx int, utilization, threshold float64) {
+	n, goal := &f.nodes[idx], stepDownTarget/utilization
+	if !f.settled(now, n.steppedDownAt) {
+		goal = n.stepDownUtilization / utilization
 	}
-	if asks <= mark || goal >= 1 {
+	if utilization <= threshold || goal >= 1 {
 		return
 	}
-	n.cutFor = asks
-	for _, h := range n.plays { // streams step down last, all who joined together
+	n.stepDownUtilization = utilization
+	for _, h := range n.plays { // shared streams step down last, with all their plays at once
 		p := f.plays.Get(h)
-		if f.crammed && asks > fullMark && p.joins && p.stage == playing && p.rung > f.floor(p) {
-			n.cutAt = now
+		if f.allAtFloor && utilization > fullUtilization && p.sharesStream && p.stage == playing && p.rung > f.floorRung(p) {
+			n.steppedDownAt = now
 			f.setRung(now, h, p, p.rung-1)
 		}
 	}
-	for goal *= n.own; n.own > goal; {
-		h, p := f.best(at, func(p *ply) float64 {
-			if p.rung <= f.floor(p) {
+	for goal *= n.ownRate; n.ownRate > goal; {
+		h, p := f.bestPlay(idx, func(p *play) float64 {
+			if p.rung <= f.floorRung(p) {
 				return 0
 			}
-			return f.more(p, p.rung) / f.gain(p, p.rung)
+			return f.stepRate(p, p.rung) / f.stepGain(p, p.rung)
 		})
 		if p == nil {
 			return
 		}
-		n.cutAt = now
-		if f.rnd.Float()*f.more(p, p.rung) > n.own-goal { // the last step by chance, by its part: all cut at once
+		n.steppedDownAt = now
+		// All fronts step down at once, so the last step is taken with the probability of its needed part.
+		if f.rng.Float()*f.stepRate(p, p.rung) > n.ownRate-goal {
 			return
 		}
 		f.setRung(now, h, p, p.rung-1)
 	}
 }
 
-// part is the part of what is asked of a link that own plays ask.
-func (f *Policy) part(now int64, at int) float64 {
-	return f.nodes[at].own / max(1, f.nodes[at].own, f.linkAsked(now, at)*f.capacity(now, at))
+// ownDemandShare returns the share of own plays in a link's demand.
+func (f *Policy) ownDemandShare(now int64, idx int) float64 {
+	return f.nodes[idx].ownRate / max(1, f.nodes[idx].ownRate, f.linkUtilization(now, idx)*f.capacity(now, idx))
 }
 
-// raise steps plays of a node up while the next rate fits, each front by its part of the room as
-// all see the same, those first that gain most for the rate.
-func (f *Policy) raise(now int64, at int) {
-	n := &f.nodes[at]
-	if f.shareNow(now, at) < 1 || !f.settled(now, n.cutAt) ||
-		!f.settled(now, n.raisedAt) && n.link.at <= n.raisedAt {
+// stepUp raises the rungs of a node's plays while the next rate fits. All fronts see the same headroom, so each
+// uses its share of it, for the plays that gain most for the rate.
+func (f *Policy) stepUp(now int64, idx int) {
+	n := &f.nodes[idx]
+	if f.currentShare(now, idx) < 1 || !f.settled(now, n.steppedDownAt) ||
+		!f.settled(now, n.steppedUpAt) && n.linkLoad.reportedAt <= n.steppedUpAt {
 		return
 	}
-	room := f.room(now, at)
-	if f.asks() && now-n.link.at > recheck/int64(len(n.plays)) { // too old to go by: ask
-		room = math.Inf(1)
+	headroom := f.headroom(now, idx)
+	// The report is out of date: it is refreshed below.
+	if f.probingEnabled() && now-n.linkLoad.reportedAt > reportRecheckInterval/int64(len(n.plays)) {
+		headroom = math.Inf(1)
 	}
-	part := room * f.part(now, at)
-	for part > 0 {
-		h, p := f.best(at, func(p *ply) float64 {
-			if p.rung >= f.top(p) || now-p.raised < upEvery || f.more(p, p.rung+1) > room {
+	ownHeadroom := headroom * f.ownDemandShare(now, idx)
+	for ownHeadroom > 0 {
+		h, p := f.bestPlay(idx, func(p *play) float64 {
+			if p.rung >= f.topRung(p) || now-p.steppedUpAt < stepUpInterval || f.stepRate(p, p.rung+1) > headroom {
 				return 0
 			}
-			if !p.joins && !f.inReach(now, at, p, p.rung+1, f.more(p, p.rung+1)) {
+			if !p.sharesStream && !f.rungAllowed(now, idx, p, p.rung+1, f.stepRate(p, p.rung+1)) {
 				return 0
 			}
-			left := max(leastLeft, now-p.started)
-			if p.want.Length > 0 {
-				left = max(0, p.taken+p.want.Length-now)
+			remaining := max(minRemaining, now-p.startedAt)
+			if p.request.Length > 0 {
+				remaining = max(0, p.acceptedAt+p.request.Length-now)
 			}
-			gain := f.gain(p, p.rung+1)
-			if gain*float64(left)/float64(sec) <= swapGain*f.val("switch.seconds")*f.importance(p) {
+			gain := f.stepGain(p, p.rung+1)
+			if gain*float64(remaining)/float64(sec) <= minStepUpGain*f.setting("switch.seconds")*f.importance(p) {
 				return 0
 			}
-			return gain / f.more(p, p.rung+1)
+			return gain / f.stepRate(p, p.rung+1)
 		})
 		if p == nil {
 			return
 		}
-		if f.asks() && now-n.link.at > freshFor {
-			if now-n.raisedAt < upEvery/int64(len(n.plays)) { // asked and drawn for just before
+		if f.probingEnabled() && now-n.linkLoad.reportedAt > freshReportMaxAge {
+			// Already requested, or a step drawn, just before.
+			if now-n.steppedUpAt < stepUpInterval/int64(len(n.plays)) {
 				return
 			}
-			f.probe(now, at, 0) // unrationed: a step up earns many times a probe's price
+			f.requestLoad(now, idx, 0) // free of credit: a step up gains many times the cost of a probe
 			return
 		}
-		n.raisedAt = now
-		more := f.more(p, p.rung+1)
-		if f.rnd.Float()*more > part { // a step larger than the part left is taken by chance
+		n.steppedUpAt = now
+		addedRate := f.stepRate(p, p.rung+1)
+		// A step larger than the remaining share is taken at random in proportion.
+		if f.rng.Float()*addedRate > ownHeadroom {
 			return
 		}
-		part, room = part-more, room-more
+		ownHeadroom, headroom = ownHeadroom-addedRate, headroom-addedRate
 		f.setRung(now, h, p, p.rung+1)
 	}
 }
 
-// shed moves one play in shedEvery off a link that stays short with its plays stepped down.
-func (f *Policy) shed(now int64, at int) {
-	n := &f.nodes[at]
-	if now-n.shareAt > shortHolds {
-		n.shortFrom = 0
+// shed moves one play per shedInterval off a link that stays short although its plays have stepped down.
+func (f *Policy) shed(now int64, idx int) {
+	n := &f.nodes[idx]
+	if now-n.deliveredShareAt > shortShareTTL {
+		n.shortSince = 0
 	}
-	if n.shortFrom == 0 || now-n.shortFrom < checkGap || now-n.shedAt < shedEvery {
+	if n.shortSince == 0 || now-n.shortSince < shortConfirmDelay || now-n.shedAt < shedInterval {
 		return
 	}
-	if _, p := f.best(at, func(p *ply) float64 { return float64(p.rung - f.floor(p)) }); p != nil {
+	if _, p := f.bestPlay(idx, func(p *play) float64 { return float64(p.rung - f.floorRung(p)) }); p != nil {
 		return // steps down come first
 	}
-	h, p := f.best(at, func(p *ply) float64 {
-		if now-f.viewers[p.want.Viewer].movedAt < moveEvery {
+	h, p := f.bestPlay(idx, func(p *play) float64 {
+		if now-f.viewers[p.request.Viewer].movedAt < moveInterval {
 			return 0
 		}
 		return f.rate(p, p.rung) / f.importance(p)
 	})
 	n.shedAt = now
-	over := float64(len(n.plays)) * (1 - f.shareNow(now, at))   // own plays that the link can't carry
-	if p != nil && f.rnd.Float() < max(over, f.part(now, at)) { // the link loses one, whichever front's it is
-		f.viewers[p.want.Viewer] = viewer{at + 1, now, now}
-		f.order(decision.Order{Play: h, Action: decision.Move})
+	// Own plays that exceed the capacity of the link.
+	excessPlays := float64(len(n.plays)) * (1 - f.currentShare(now, idx))
+	// All fronts together move about one play.
+	if p != nil && f.rng.Float() < max(excessPlays, f.ownDemandShare(now, idx)) {
+		f.viewers[p.request.Viewer] = viewer{idx + 1, now, now}
+		f.addOrder(decision.Order{Play: h, Action: decision.Move})
 	}
 }
 
 // ---- Health ----
 
-// judge takes an allocation's end as a symptom. Guards against a node that fails, hangs or breaks
-// while its kind does well: it is skipped, longer when it fails again. One that refused as full is
-// left alone for a little, whatever late reports say of it.
-func (f *Policy) judge(now int64, at int, how decision.Outcome) {
-	n := &f.nodes[at]
-	switch how {
+// recordFailure updates the health of a node after an allocation ended. A node that fails, does not answer or
+// disconnects is skipped, twice as long after a repeated failure; this covers single bad nodes of an otherwise
+// good kind. A node that rejected a play as full is skipped for a short time, whatever late reports show.
+func (f *Policy) recordFailure(now int64, idx int, outcome decision.Outcome) {
+	n := &f.nodes[idx]
+	switch outcome {
 	case decision.Rejected:
-		n.skipUntil = max(n.skipUntil, now+refusedFor<<min(n.strikes, doublings))
-		n.failedAt, n.strikes = n.skipUntil, n.strikes+1
-	case decision.NoConnect, decision.ConnectionLost: // it may come back cold before the list says so
-		n.lostAt = now
+		n.skipUntil = max(n.skipUntil, now+rejectionBackoff<<min(n.consecutiveFailures, maxBackoffDoublings))
+		n.failedAt, n.consecutiveFailures = n.skipUntil, n.consecutiveFailures+1
+	case decision.NoConnect, decision.ConnectionLost: // it may return cold before the list shows its restart
+		n.disconnectedAt = now
 		fallthrough
 	case decision.Errored, decision.NoAnswer:
-		n.skipUntil, n.failedAt = now+skipFor<<min(n.strikes, 1), now
-		n.strikes++
+		n.skipUntil, n.failedAt = now+skipDuration<<min(n.consecutiveFailures, 1), now
+		n.consecutiveFailures++
 	}
 }
 
-// ---- The six rules: each by one piece of code ----
+// ---- The six rules, each implemented in one place ----
 
-// giveUp answers a play, once as it drops it. A paid one that may have run fails; others are declined.
-func (f *Policy) giveUp(h decision.Handle, p *ply) {
-	if f.paid(p) && p.mayHave {
-		f.order(decision.Order{Play: h, Action: decision.Fail})
+// answerUnplaced answers a play that cannot be placed and drops it, so that it is answered once. A paid play that
+// may have run fails; others are declined.
+func (f *Policy) answerUnplaced(h decision.Handle, p *play) {
+	if f.paid(p) && p.mayHaveRun {
+		f.addOrder(decision.Order{Play: h, Action: decision.Fail})
 	} else {
-		f.order(decision.Order{Play: h, Action: decision.Decline,
-			RetryAfter: int64(min(1, f.val("comeback")) * f.val("comeback.most"))})
+		f.addOrder(decision.Order{Play: h, Action: decision.Decline,
+			RetryAfter: int64(min(1, f.setting("comeback")) * f.setting("comeback.most"))})
 	}
 	f.plays.Drop(h)
 }
 
-func (f *Policy) paid(p *ply) bool { return f.of("product.paid", p.want.Product, 1) > 0 }
+func (f *Policy) paid(p *play) bool { return f.settingAt("product.paid", p.request.Product, 1) > 0 }
 
-// mayAgain keeps a paid play from running twice and further allocations within the budget.
-func (f *Policy) mayAgain(now int64, p *ply) bool {
-	if p.try < 0 {
+// mayReallocate returns whether another attempt is allowed: a paid play must not run twice, and reallocations must
+// stay within the budget.
+func (f *Policy) mayReallocate(now int64, p *play) bool {
+	if p.attempt < 0 {
 		return true
 	}
-	if f.paid(p) && p.mayHave {
+	if f.paid(p) && p.mayHaveRun {
 		return false
 	}
-	over := int64(f.val("budget.over"))
-	if over == 0 {
+	window := int64(f.setting("budget.over"))
+	if window == 0 {
 		return true
 	}
-	f.taken = since(f.taken, now-over+budgetEdge)
-	f.again = since(f.again, now-over-budgetEdge)
-	most := f.val("budget.free") + f.val("budget.share")*float64(len(f.taken))
-	return float64(len(f.again)+1) <= most
+	f.acceptedTimes = dropBefore(f.acceptedTimes, now-window+budgetWindowMargin)
+	f.reallocationTimes = dropBefore(f.reallocationTimes, now-window-budgetWindowMargin)
+	limit := f.setting("budget.free") + f.setting("budget.share")*float64(len(f.acceptedTimes))
+	return float64(len(f.reallocationTimes)+1) <= limit
 }
 
-// warmsFrom is when a node began to warm: at its start, or at a return that this front saw.
-func (f *Policy) warmsFrom(at int) int64 { return max(f.nodes[at].started, f.nodes[at].backAt) }
+// warmupStart returns when a node started to warm up: at its start, or at a return that this front observed.
+func (f *Policy) warmupStart(idx int) int64 {
+	return max(f.nodes[idx].startedAt, f.nodes[idx].returnedAt)
+}
 
-// warmth is the least share of its power that a node has.
-func (f *Policy) warmth(now int64, at int) float64 {
-	start := f.warmsFrom(at)
-	age := float64(now-start) / f.val("cold.lasts")
+// warmShare returns the minimum share of its capacity that a node has while it warms up.
+func (f *Policy) warmShare(now int64, idx int) float64 {
+	start := f.warmupStart(idx)
+	age := float64(now-start) / f.setting("cold.lasts")
 	if start == 0 || age >= 1 {
 		return 1
 	}
-	return f.val("cold.share") + (1-f.val("cold.share"))*max(0, age)
+	return f.setting("cold.share") + (1-f.setting("cold.share"))*max(0, age)
 }
 
-// turnOf numbers the turns of a cold node since its start: one set-up each, the fronts in rotation.
-// Together they stay under the allowance of any window, one early set-up included.
-func (f *Policy) turnOf(now int64, at int) (turn int64, cold bool) {
-	warmth := f.warmth(now, at)
-	if warmth >= 1 {
+// coldTurn returns the number of the current turn of a cold node since its start. Fronts rotate through the turns,
+// with one set-up each. Together they stay within the limit of any window, one early set-up included.
+func (f *Policy) coldTurn(now int64, idx int) (turn int64, cold bool) {
+	share := f.warmShare(now, idx)
+	if share >= 1 {
 		return 0, false
 	}
-	age := float64(max(0, now-f.warmsFrom(at)))
-	pace := f.val("fall.multiple") * f.of("kind.streams", f.nodes[at].kind, 1) / f.val("cold.lasts")
-	pace *= (f.val("cold.share") + warmth) / 2 / coldMargin // the mean since its start
-	return int64(age * max(pace-1/f.val("fall.over"), pace/2)), true
+	age := float64(max(0, now-f.warmupStart(idx)))
+	rate := f.setting("fall.multiple") * f.settingAt("kind.streams", f.nodes[idx].kind, 1) / f.setting("cold.lasts")
+	rate *= (f.setting("cold.share") + share) / 2 / coldPaceMargin // mean capacity share since its start
+	return int64(age * max(rate-1/f.setting("fall.over"), rate/2)), true
 }
 
-// pace tells that this front may set up at a node: always on a warm one, else once in its turn, or,
-// where fronts tell each other, with the leave of the node's keeper.
-func (f *Policy) pace(now int64, at int) bool {
-	n := &f.nodes[at]
-	turn, cold := f.turnOf(now, at)
-	if !cold || f.tells() {
-		return !cold || now < n.leave || f.keeper(at) == int(f.val("front")) && f.mayGive(now, at)
+// maySetUp returns whether this front may set up a play on a node: always on a warm one; on a cold one once in its
+// turn or, if fronts message each other, with a grant of the node's owner.
+func (f *Policy) maySetUp(now int64, idx int) bool {
+	n := &f.nodes[idx]
+	turn, cold := f.coldTurn(now, idx)
+	if !cold || f.peersEnabled() {
+		return !cold || now < n.grantedUntil || f.ownerOf(idx) == int(f.setting("front")) && f.mayGrant(now, idx)
 	}
-	fronts := max(1, int64(f.val("fronts")))
-	return turn%fronts == int64(f.val("front"))%fronts && turn != n.slot
+	fronts := max(1, int64(f.setting("fronts")))
+	return turn%fronts == int64(f.setting("front"))%fronts && turn != n.lastTurn
 }
 
-// mayGive tells that this front, as a cold node's keeper, may give leave for one set-up: one in giveEvery
-// turns, so that fronts that go by turns may have theirs beside it within coldMargin. A lost leave is a
-// turn not used. A keeper just started gives none: what it gave before is not known.
-func (f *Policy) mayGive(now int64, at int) bool {
-	turn, cold := f.turnOf(now, at)
-	return cold && f.nodes[at].phase == decision.Ready && turn/giveEvery > f.nodes[at].slot/giveEvery &&
-		now-f.born > int64(f.val("fall.over"))
+// mayGrant returns whether this front, as the owner of a cold node, may grant one set-up. It uses one in
+// turnsPerGrant turns, so that fronts that still go by turns fit within coldPaceMargin as well. A lost grant
+// leaves its turn unused. An owner that has just started grants none, as it does not know its earlier grants.
+func (f *Policy) mayGrant(now int64, idx int) bool {
+	turn, cold := f.coldTurn(now, idx)
+	return cold && f.nodes[idx].phase == decision.Ready && turn/turnsPerGrant > f.nodes[idx].lastTurn/turnsPerGrant &&
+		now-f.startedAt > int64(f.setting("fall.over"))
 }
 
-func (f *Policy) seatFree(p *ply) bool {
-	most := f.of("product.seats", p.want.Product, 0)
-	return most == 0 || float64(*f.seat(p)) < most
+func (f *Policy) seatAvailable(p *play) bool {
+	seats := f.settingAt("product.seats", p.request.Product, 0)
+	return seats == 0 || float64(*f.seatCount(p)) < seats
 }
