--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill runs the decision module on the bench's wire.
+// Command drill runs the placement policy under the test bench, over the line protocol on standard input and
+// output.
 package main
 
 import (
--- a/internal/benchproto/benchproto_test.go
+++ b/internal/benchproto/benchproto_test.go
@@ -21,7 +21,7 @@
 const list = "DEFINE_LIST page=0 records=1\n" + rowA + "ANNOUNCE page=0 index=1 how=restored\n"
 const incoming = "INCOMING job=7 service=s object=v asset=t left-ms=3000 start-cell=0 span=2 best-rung=1\n"
 
-func mark(n, body string) string { return "MARK ts-ms=100.5 n=" + n + "\n" + body + "EOB\n" }
+func batch(n, body string) string { return "MARK ts-ms=100.5 n=" + n + "\n" + body + "EOB\n" }
 
 func run(in string) (string, error) {
 	var out strings.Builder
@@ -31,17 +31,17 @@
 
 func TestGoodInput(t *testing.T) {
 	for name, c := range map[string]struct{ in, reply string }{
-		"empty batch":             {mark("1", ""), "ACK n=1\n"},
-		"placed":                  {mark("1", spawn+list+incoming), "FORWARD job=7 not-past-ms=600.5 node=1.1.1.1:1"},
-		"nobody holds it":         {mark("1", spawn+list+strings.Replace(incoming, "cell=0", "cell=1", 1)), "NOT_NOW job=7"},
-		"list of no nodes":        {mark("1", spawn+list+"DEFINE_LIST page=1 records=0\nANNOUNCE page=1 index=2 how=replace\n"+incoming), "NOT_NOW job=7"},
-		"time limit already past": {mark("1", spawn+list+strings.Replace(incoming, "3000", "0", 1)), "NOT_NOW job=7"},
-		"number of list used again": {mark("1", spawn+"DEFINE_LIST page=0 records=0\n"+list+incoming),
+		"empty batch":             {batch("1", ""), "ACK n=1\n"},
+		"placed":                  {batch("1", spawn+list+incoming), "FORWARD job=7 not-past-ms=600.5 node=1.1.1.1:1"},
+		"no node holds it":        {batch("1", spawn+list+strings.Replace(incoming, "cell=0", "cell=1", 1)), "NOT_NOW job=7"},
+		"list without nodes":      {batch("1", spawn+list+"DEFINE_LIST page=1 records=0\nANNOUNCE page=1 index=2 how=replace\n"+incoming), "NOT_NOW job=7"},
+		"deadline already passed": {batch("1", spawn+list+strings.Replace(incoming, "3000", "0", 1)), "NOT_NOW job=7"},
+		"list number reused": {batch("1", spawn+"DEFINE_LIST page=0 records=0\n"+list+incoming),
 			"FORWARD job=7"},
-		"killed and started at once": {mark("1", spawn+list+incoming+"POWER_OFF\n"+spawn+list+
+		"stopped and restarted in one batch": {batch("1", spawn+list+incoming+"POWER_OFF\n"+spawn+list+
 			strings.Replace(incoming, "job=7", "job=8", 1)), "FORWARD job=8"},
-		"unknown event and field": {mark("1", spawn+list+"NEWS job=1\n"+strings.Replace(incoming, "job", "x=1 job", 1)), "FORWARD job=7"},
-		"event for a finished play": {mark("1", spawn+list+"RESPONSE job=5 rc=served send-no=0 node=1.1.1.1:1\nCLIENT_LEFT job=6\n"),
+		"unknown event and field": {batch("1", spawn+list+"NEWS job=1\n"+strings.Replace(incoming, "job", "x=1 job", 1)), "FORWARD job=7"},
+		"event for a finished play": {batch("1", spawn+list+"RESPONSE job=5 rc=served send-no=0 node=1.1.1.1:1\nCLIENT_LEFT job=6\n"),
 			"ACK n=1\n"},
 	} {
 		out, err := run(c.in)
@@ -51,27 +51,27 @@
 	}
 }
 
-func TestBadInputEndsTheRunNamingThePlace(t *testing.T) {
-	for name, c := range map[string]struct{ in, says string }{
-		"part without a value": {mark("3", "TO who\n"), `batch 3, line 2: part "who"`},
-		"number unreadable":    {mark("3", "TO who=x\n"), "batch 3, line 2: TO: field who: not a whole number"},
-		"field missing":        {mark("3", spawn+list+"INCOMING job=1\n"), "line 7: INCOMING: field service: missing"},
-		"list never defined":   {mark("3", spawn+"ANNOUNCE page=4 index=1 how=replace\n"), "line 4: ANNOUNCE: field page"},
-		"rows missing":         {mark("3", "DEFINE_LIST page=0 records=2\n"+rowA), "line 4: EOB: 1 rows"},
-		"setting missing": {mark("3", strings.Replace(spawn, `"most-tries":3`, `"x":1`, 1)),
+func TestBadInputErrorNamesBatchAndLine(t *testing.T) {
+	for name, c := range map[string]struct{ in, message string }{
+		"field without a value": {batch("3", "TO who\n"), `batch 3, line 2: field "who" is not in the form name=value`},
+		"not a number":          {batch("3", "TO who=x\n"), "batch 3, line 2: TO: field who: not a whole number"},
+		"field missing":         {batch("3", spawn+list+"INCOMING job=1\n"), "line 7: INCOMING: field service: missing"},
+		"list never defined":    {batch("3", spawn+"ANNOUNCE page=4 index=1 how=replace\n"), "line 4: ANNOUNCE: field page"},
+		"rows missing":          {batch("3", "DEFINE_LIST page=0 records=2\n"+rowA), "line 4: EOB: 1 rows"},
+		"setting missing": {batch("3", strings.Replace(spawn, `"most-tries":3`, `"x":1`, 1)),
 			"SPAWN: field config.limits.most-tries: missing"},
-		"cut off in a batch": {"MARK ts-ms=1 n=3\nTO who=0\n", "batch 3, line 2: input ends before EOB"},
-		"outside a batch":    {"TO who=0\n", "outside a batch"},
+		"input ends in a batch": {"MARK ts-ms=1 n=3\nTO who=0\n", "batch 3, line 2: input ends before EOB"},
+		"outside a batch":       {"TO who=0\n", "outside a batch"},
 	} {
-		if out, err := run(c.in); err == nil || !strings.Contains(err.Error(), c.says) {
+		if out, err := run(c.in); err == nil || !strings.Contains(err.Error(), c.message) {
 			t.Errorf("%s: %v\n%s", name, err, out)
 		}
 	}
 }
 
-// talking is a spawn of one of two instances that may message each other, and a list of ten nodes, of which
-// the other instance keeps some.
-func talking() string {
+// spawnWithPeers starts one of two instances that may message each other, with a list of ten nodes, some of which
+// the other instance owns.
+func spawnWithPeers() string {
 	c := strings.NewReplacer(`"balancers":1`, `"balancers":2`, `"limits":{`, `"limits":{"peer-messages":true,`).Replace(config)
 	out := "TO who=0\nSPAWN random-seed=1 config=" + c + "\nDEFINE_LIST page=0 records=10\n"
 	for i := range 10 {
@@ -81,41 +81,41 @@
 }
 
 func TestMessagesBetweenInstances(t *testing.T) {
-	const told = "FROM_PEER by=1 bytes=" // a message of no meaning: it only shows that others are there
-	late := strings.Replace(mark("1", talking()+told+"aGVsbG8=\n"+incoming), "ts-ms=100.5", "ts-ms=100000.5", 1)
+	const fromPeer = "FROM_PEER by=1 bytes=" // a meaningless message, which only shows that the other instance is alive
+	late := strings.Replace(batch("1", spawnWithPeers()+fromPeer+"aGVsbG8=\n"+incoming), "ts-ms=100.5", "ts-ms=100000.5", 1)
 	out, err := run(late)
 	if err != nil || !strings.Contains(out, "NOTIFY dst=1 bytes=") || strings.Contains(out, "FORWARD") {
-		t.Fatalf("want a question before a set-up: %v\n%s", err, out)
+		t.Fatalf("want a query before a set-up: %v\n%s", err, out)
 	}
-	if out, err = run(mark("1", talking()+told+"-\n")); err != nil || strings.Contains(out, "BAIL_OUT") {
-		t.Fatalf("an empty message: %v\n%s", err, out)
+	if out, err = run(batch("1", spawnWithPeers()+fromPeer+"-\n")); err != nil || strings.Contains(out, "BAIL_OUT") {
+		t.Fatalf("empty message: %v\n%s", err, out)
 	}
-	if _, err = run(mark("1", talking()+told+"%%\n")); err == nil || !strings.Contains(err.Error(), "FROM_PEER: field bytes: not base64") {
+	if _, err = run(batch("1", spawnWithPeers()+fromPeer+"%%\n")); err == nil || !strings.Contains(err.Error(), "FROM_PEER: field bytes: not base64") {
 		t.Fatalf("got %v", err)
 	}
 }
 
-func TestSettingsOfLiveTitlesMessagesAndReports(t *testing.T) {
-	t0, err := convert.Parse(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
+func TestParseLiveTitlesMessagesAndReports(t *testing.T) {
+	parsed, err := convert.Parse(strings.NewReplacer(`"limits":{`, `"limits":{"peer-messages":true,`, `"report":{`, `"report":{"how":"piggyback",`,
 		`"rate-factor":[1]`, `"rate-factor":[1],"is-live":[true],"join-adds":0.3`).Replace(config))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := t0.PolicySettings
+	set := parsed.PolicySettings
 	for name, want := range map[string]float64{"peers": 1, "reports.answers": 1, "product.live": 1, "join": 0.3} {
 		if v := set[name]; len(v) != 1 || v[0] != want {
 			t.Errorf("%s is %v", name, v)
 		}
 	}
 	if plain, _ := convert.Parse(config); plain.PolicySettings["reports.answers"][0] != 0 || plain.PolicySettings["peers"] != nil || plain.PolicySettings["join"] != nil {
-		t.Errorf("not given, yet there: %v", plain.PolicySettings)
+		t.Errorf("settings that were not given: %v", plain.PolicySettings)
 	}
 }
 
-func TestPanicOfADecisionIsReported(t *testing.T) {
+func TestPolicyPanicIsReported(t *testing.T) {
 	var out strings.Builder
-	h := &host{out: bufio.NewWriter(&out), inBatch: true, last: -1, at: map[int64]*instance{
-		0: {mod: panicker{}, plays: map[int64]decision.Handle{}}}}
+	h := &host{out: bufio.NewWriter(&out), inBatch: true, lastContext: -1, instances: map[int64]*instance{
+		0: {policy: panickingPolicy{}, plays: map[int64]decision.Handle{}}}}
 	if err := h.decode("TIMER ref=1"); err != nil {
 		t.Fatal(err)
 	}
@@ -125,6 +125,6 @@
 	}
 }
 
-type panicker struct{ decision.Policy }
+type panickingPolicy struct{ decision.Policy }
 
-func (panicker) Wake(int64) *decision.Result { panic("broken") }
+func (panickingPolicy) Wake(int64) *decision.Result { panic("broken") }
--- a/internal/benchproto/codec.go
+++ b/internal/benchproto/codec.go
@@ -1,5 +1,5 @@
-// Package benchproto implements the bench's protocol: it decodes lines into calls on the decision module and
-// encodes what they return. It hosts many instances and shares nothing among them.
+// Package benchproto implements the line protocol of the test bench: it decodes messages into calls on the
+// placement policy and encodes the results. It hosts many independent front ends (instances) in one process.
 package benchproto
 
 import (
@@ -15,143 +15,146 @@
 	"gullrail/internal/convert"
 )
 
-// line is one message: its name and its parts, not yet read.
-type line struct {
-	name  string
-	parts []part
+// message is one line: its name and its unparsed fields.
+type message struct {
+	name   string
+	fields []field
 }
 
-type part struct{ key, val string }
+type field struct{ key, value string }
 
-// text fields run to the end of their line.
-func isText(key string) bool { return key == "config" || key == "note-text" }
+// extendsToLineEnd returns whether the value of a field is the rest of the line.
+func extendsToLineEnd(key string) bool { return key == "config" || key == "note-text" }
 
-// split cuts a line into its name and parts. The parts slice is used again.
-func split(s string, ln *line) error {
-	ln.parts = ln.parts[:0]
-	name, rest, more := strings.Cut(s, " ")
+// parseMessage splits a line into its name and fields. It reuses the slice of fields.
+func parseMessage(line string, msg *message) error {
+	msg.fields = msg.fields[:0]
+	name, rest, more := strings.Cut(line, " ")
 	if name == "" {
 		return errors.New("message without a name")
 	}
-	ln.name = name
+	msg.name = name
 	for more {
 		key, after, ok := strings.Cut(rest, "=")
 		if !ok || key == "" || strings.Contains(key, " ") {
-			return fmt.Errorf("part %q is not name=value", clip(rest))
+			return fmt.Errorf("field %q is not in the form name=value", truncate(rest))
 		}
-		if isText(key) {
-			ln.parts = append(ln.parts, part{key, after})
+		if extendsToLineEnd(key) {
+			msg.fields = append(msg.fields, field{key, after})
 			return nil
 		}
-		var val string
-		val, rest, more = strings.Cut(after, " ")
-		ln.parts = append(ln.parts, part{key, val})
+		var value string
+		value, rest, more = strings.Cut(after, " ")
+		msg.fields = append(msg.fields, field{key, value})
 	}
 	return nil
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "..."
 	}
 	return s
 }
 
-func (ln *line) find(key string) (string, bool) {
-	for _, p := range ln.parts {
+func (msg *message) find(key string) (string, bool) {
+	for _, p := range msg.fields {
 		if p.key == key {
-			return p.val, true
+			return p.value, true
 		}
 	}
 	return "", false
 }
 
-// A fieldError names the part of a line that could not be read.
+// A fieldError names a field that could not be parsed.
 type fieldError = convert.FieldError
 
-func wrong(field, what string) fieldError { return fieldError{Field: field, Problem: what} }
+func newFieldError(field, what string) fieldError { return fieldError{Field: field, Problem: what} }
 
-// The readers below panic with a fieldError; decode turns it into the run's one message.
-func (ln *line) text(key string) string {
-	s, ok := ln.find(key)
+// The methods below panic with a fieldError, which decode recovers and returns as an error.
+
+func (msg *message) text(key string) string {
+	s, ok := msg.find(key)
 	if !ok {
-		panic(wrong(key, "missing"))
+		panic(newFieldError(key, "missing"))
 	}
 	return s
 }
 
-func (ln *line) whole(key string) int64 {
-	n, err := strconv.ParseInt(ln.text(key), 10, 64)
+// integer parses a field as a decimal integer.
+func (msg *message) integer(key string) int64 {
+	n, err := strconv.ParseInt(msg.text(key), 10, 64)
 	if err != nil {
-		panic(wrong(key, "not a whole number"))
+		panic(newFieldError(key, "not a whole number"))
 	}
 	return n
 }
 
-func (ln *line) number(key string) float64 {
-	f, err := strconv.ParseFloat(ln.text(key), 64)
+func (msg *message) number(key string) float64 {
+	f, err := strconv.ParseFloat(msg.text(key), 64)
 	if err != nil || math.IsNaN(f) || math.IsInf(f, 0) {
-		panic(wrong(key, "not a number"))
+		panic(newFieldError(key, "not a number"))
 	}
 	return f
 }
 
-// wholeOr and numberOr read a part that may be absent.
-func (ln *line) wholeOr(key string, or int64) int64 {
-	if _, ok := ln.find(key); !ok {
-		return or
+// integerOr and numberOr parse an optional field.
+func (msg *message) integerOr(key string, fallback int64) int64 {
+	if _, ok := msg.find(key); !ok {
+		return fallback
 	}
-	return ln.whole(key)
+	return msg.integer(key)
 }
 
-func (ln *line) numberOr(key string, or float64) float64 {
-	if _, ok := ln.find(key); !ok {
-		return or
+func (msg *message) numberOr(key string, fallback float64) float64 {
+	if _, ok := msg.find(key); !ok {
+		return fallback
 	}
-	return ln.number(key)
+	return msg.number(key)
 }
 
-func millis(t int64) string {
+// formatMillis formats a time of package decision in milliseconds.
+func formatMillis(t int64) string {
 	return strconv.FormatFloat(float64(t)/float64(decision.Millisecond), 'f', 1, 64)
 }
 
-var endings = map[string]decision.Outcome{
+var outcomes = map[string]decision.Outcome{
 	"served": decision.Served, "server_error": decision.Errored, "turned_away": decision.Rejected,
 	"no_answer": decision.NoAnswer, "no_connection": decision.NoConnect, "connection_lost": decision.ConnectionLost,
 	"called_off": decision.Canceled, "not_sent": decision.NotSent,
 }
 
-func (ln *line) ending() decision.Outcome {
-	e, ok := endings[ln.text("rc")]
+func (msg *message) outcome() decision.Outcome {
+	e, ok := outcomes[msg.text("rc")]
 	if !ok {
-		panic(wrong("rc", "unknown outcome"))
+		panic(newFieldError("rc", "unknown outcome"))
 	}
 	return e
 }
 
-// load reads a report by the columns of the settings; columns that no call uses are passed over.
-func (ln *line) load(t *convert.Settings) decision.Load {
-	row, ok := ln.find("report")
-	if !ok || row == "" || row == "-" {
+// load parses a load report according to the columns of the settings. Unused columns are ignored.
+func (msg *message) load(settings *convert.Settings) decision.Load {
+	report, ok := msg.find("report")
+	if !ok || report == "" || report == "-" {
 		return decision.UnknownLoad
 	}
-	vals := strings.Split(row, ",")
-	if len(vals) != len(t.Columns) {
-		panic(wrong("report", "not as many values as report.columns"))
+	values := strings.Split(report, ",")
+	if len(values) != len(settings.Columns) {
+		panic(newFieldError("report", "number of values differs from report.columns"))
 	}
-	return t.Load(func(i int, col string) (float64, bool) {
-		v, err := strconv.ParseFloat(vals[i], 64)
+	return settings.Load(func(i int, col string) (float64, bool) {
+		v, err := strconv.ParseFloat(values[i], 64)
 		if err != nil {
-			panic(wrong("report", "value of "+col+" is not a number"))
+			panic(newFieldError("report", "value of "+col+" is not a number"))
 		}
 		return v, true
 	})
 }
 
-// Run answers batches until the input ends.
+// Run processes batches until the input ends. An error ends the run and names the batch and line.
 func Run(in io.Reader, out io.Writer) error {
 	rd := bufio.NewReaderSize(in, 1<<20)
-	h := &host{out: bufio.NewWriterSize(out, 1<<20), at: map[int64]*instance{}, last: -1}
+	h := &host{out: bufio.NewWriterSize(out, 1<<20), instances: map[int64]*instance{}, lastContext: -1}
 	for {
 		raw, err := rd.ReadString('\n')
 		if err == io.EOF && raw == "" {
--- a/internal/benchproto/host.go
+++ b/internal/benchproto/host.go
@@ -14,82 +14,82 @@
 	"gullrail/placement"
 )
 
-// instance is one front end: its module and the numbers that stand for the wire's names.
+// instance is one front end: its policy, and the numbers assigned to the names of the protocol.
 type instance struct {
-	mod     decision.Policy
-	terms   *convert.Settings
-	nodes   map[string]int
-	addr    []string
-	titles  map[string]int
-	viewers map[string]int
-	plays   map[int64]decision.Handle
-	jobs    []int64 // by place of the handle
-	armed   int64   // when the earliest timer is due; 0 is none
-	list    []decision.Node
+	policy      decision.Policy
+	settings    *convert.Settings
+	nodes       map[string]int
+	addresses   []string
+	titles      map[string]int
+	viewers     map[string]int
+	plays       map[int64]decision.Handle
+	jobsByIndex []int64 // by Handle.Index
+	timerDueAt  int64   // when the earliest timer is due; 0 if none
+	list        []decision.Node
 }
 
-// host is the state of the wire.
+// host is the state of the protocol.
 type host struct {
-	out     *bufio.Writer
-	at      map[int64]*instance
-	who     int64
-	now     int64
-	batch   int64
-	lineNo  int
-	inBatch bool
-	last    int64 // whose context the reply is in; -1 is none
-	ln      line
-	pages   [16][]row
-	filled  [16]bool
-	rows    int // ROW lines still to come
-	page    int64
-	failed  bool
+	out         *bufio.Writer
+	instances   map[int64]*instance
+	current     int64 // instance that the input addresses
+	now         int64
+	batch       int64
+	lineNo      int
+	inBatch     bool
+	lastContext int64 // instance of the last CONTEXT line in the reply; -1 if none
+	msg         message
+	lists       [16][]row // by list number
+	defined     [16]bool
+	rowsLeft    int // ROW lines still missing
+	currentList int64
+	panicked    bool
 }
 
-// row is a line of a list, read but not yet numbered by an instance.
+// row is a line of a node list, before names are mapped to the numbers of an instance.
 type row struct {
 	phase      decision.Phase
 	addr, zone string
 	kind       string
 	cell       int
-	started    int64
+	startedAt  int64
 	weight     float64
 }
 
-// decode takes one line in.
-func (h *host) decode(s string) (err error) {
+// decode processes one line of input.
+func (h *host) decode(line string) (err error) {
 	h.lineNo++
-	if s == "" {
+	if line == "" {
 		return nil
 	}
-	if err := split(s, &h.ln); err != nil {
+	if err := parseMessage(line, &h.msg); err != nil {
 		return err
 	}
 	defer func() {
 		if r := recover(); r != nil {
 			if fe, ok := r.(fieldError); ok {
-				err = fmt.Errorf("%s: %w", h.ln.name, fe)
+				err = fmt.Errorf("%s: %w", h.msg.name, fe)
 				return
 			}
 			fmt.Fprintf(os.Stderr, "drill: panic: %v\n%s", r, debug.Stack())
-			if !h.failed {
-				h.failed = true
-				h.context()
+			if !h.panicked {
+				h.panicked = true
+				h.writeContext()
 				text := strings.ReplaceAll(fmt.Sprint(r), "\n", " ")
 				fmt.Fprintf(h.out, "BAIL_OUT note-text=%s\n", text)
 			}
 		}
 	}()
-	ln := &h.ln
-	if h.rows > 0 && ln.name != "ROW" {
-		return fmt.Errorf("%s: %d rows of list %d are missing", ln.name, h.rows, h.page)
+	msg := &h.msg
+	if h.rowsLeft > 0 && msg.name != "ROW" {
+		return fmt.Errorf("%s: %d rows of list %d are missing", msg.name, h.rowsLeft, h.currentList)
 	}
-	switch ln.name {
+	switch msg.name {
 	case "MARK":
 		if h.inBatch {
-			return fmt.Errorf("MARK: the batch before it has no EOB")
+			return fmt.Errorf("MARK: the previous batch has no EOB")
 		}
-		h.now, h.batch, h.inBatch, h.last, h.lineNo = convert.Ticks(ln.number("ts-ms")), ln.whole("n"), true, -1, 1
+		h.now, h.batch, h.inBatch, h.lastContext, h.lineNo = convert.Ticks(msg.number("ts-ms")), msg.integer("n"), true, -1, 1
 		return nil
 	case "EOB":
 		if !h.inBatch {
@@ -100,43 +100,43 @@
 		return h.out.Flush()
 	}
 	if !h.inBatch {
-		return fmt.Errorf("%s: outside a batch", ln.name)
+		return fmt.Errorf("%s: outside a batch", msg.name)
 	}
-	switch ln.name {
+	switch msg.name {
 	case "TO":
-		h.who = ln.whole("who")
+		h.current = msg.integer("who")
 	case "DEFINE_LIST":
-		h.page, h.rows = ln.whole("page"), int(ln.whole("records"))
-		if h.page < 0 || h.page >= int64(len(h.pages)) {
-			return fmt.Errorf("DEFINE_LIST: field page: %d is not a list number", h.page)
+		h.currentList, h.rowsLeft = msg.integer("page"), int(msg.integer("records"))
+		if h.currentList < 0 || h.currentList >= int64(len(h.lists)) {
+			return fmt.Errorf("DEFINE_LIST: field page: %d is not a list number", h.currentList)
 		}
-		if h.rows < 0 {
-			return fmt.Errorf("DEFINE_LIST: field records: below 0")
+		if h.rowsLeft < 0 {
+			return fmt.Errorf("DEFINE_LIST: field records: negative")
 		}
-		h.pages[h.page], h.filled[h.page] = h.pages[h.page][:0], true
+		h.lists[h.currentList], h.defined[h.currentList] = h.lists[h.currentList][:0], true
 	case "ROW":
-		if h.rows == 0 {
+		if h.rowsLeft == 0 {
 			return fmt.Errorf("ROW: no list is open")
 		}
-		h.rows--
-		h.pages[h.page] = append(h.pages[h.page], readRow(ln))
+		h.rowsLeft--
+		h.lists[h.currentList] = append(h.lists[h.currentList], readRow(msg))
 	case "SPAWN":
-		return h.spawn()
+		return h.startInstance()
 	case "POWER_OFF":
-		delete(h.at, h.who)
+		delete(h.instances, h.current)
 	default:
-		if !h.failed {
-			return h.event()
+		if !h.panicked {
+			return h.handleEvent()
 		}
 	}
 	return nil
 }
 
-func readRow(ln *line) row {
-	r := row{addr: ln.text("node"), zone: ln.text("campus"), kind: ln.text("generation-hw"),
-		cell: int(ln.whole("place")), started: convert.Ticks(ln.numberOr("ready-at-ms", 0)),
-		weight: ln.numberOr("heft", 1)}
-	switch p := ln.text("phase"); p {
+func readRow(msg *message) row {
+	r := row{addr: msg.text("node"), zone: msg.text("campus"), kind: msg.text("generation-hw"),
+		cell: int(msg.integer("place")), startedAt: convert.Ticks(msg.numberOr("ready-at-ms", 0)),
+		weight: msg.numberOr("heft", 1)}
+	switch p := msg.text("phase"); p {
 	case "ready":
 		r.phase = decision.Ready
 	case "draining":
@@ -144,27 +144,27 @@
 	case "gone":
 		r.phase = decision.Gone
 	default:
-		panic(wrong("phase", "unknown: "+p))
+		panic(newFieldError("phase", "unknown: "+p))
 	}
 	return r
 }
 
-func (h *host) spawn() error {
-	seed, err := strconv.ParseUint(h.ln.text("random-seed"), 10, 64)
+func (h *host) startInstance() error {
+	seed, err := strconv.ParseUint(h.msg.text("random-seed"), 10, 64)
 	if err != nil {
-		return fmt.Errorf("SPAWN: %w", wrong("random-seed", "not a whole number"))
+		return fmt.Errorf("SPAWN: %w", newFieldError("random-seed", "not a whole number"))
 	}
-	t, err := convert.Parse(h.ln.text("config"))
+	settings, err := convert.Parse(h.msg.text("config"))
 	if err != nil {
 		return fmt.Errorf("SPAWN: %w", err)
 	}
-	h.at[h.who] = &instance{mod: placement.New(t.PolicySettings, seed), terms: t, nodes: map[string]int{},
+	h.instances[h.current] = &instance{policy: placement.New(settings.PolicySettings, seed), settings: settings, nodes: map[string]int{},
 		titles: map[string]int{}, viewers: map[string]int{}, plays: map[int64]decision.Handle{}}
 	return nil
 }
 
-// number gives a name its small number.
-func number(m map[string]int, s string) int {
+// assignNumber returns the number of a name, and assigns the next one if it is new.
+func assignNumber(m map[string]int, s string) int {
 	n, ok := m[s]
 	if !ok {
 		n = len(m)
@@ -173,97 +173,97 @@
 	return n
 }
 
-func known(m map[string]int, field, s string) int {
+func lookUp(m map[string]int, field, s string) int {
 	n, ok := m[s]
 	if !ok {
-		panic(wrong(field, "unknown name "+clip(s)))
+		panic(newFieldError(field, "unknown name "+truncate(s)))
 	}
 	return n
 }
 
-func (in *instance) node(addr string) int {
-	n := number(in.nodes, addr)
-	if n == len(in.addr) {
-		in.addr = append(in.addr, addr)
+func (in *instance) nodeIndex(addr string) int {
+	n := assignNumber(in.nodes, addr)
+	if n == len(in.addresses) {
+		in.addresses = append(in.addresses, addr)
 	}
 	return n
 }
 
-// want reads what INCOMING and EXISTING say of a viewer.
-func (in *instance) want(ln *line, now int64) decision.Request {
-	bits := ln.wholeOr("bits", 0)
-	product := known(in.terms.Products, "service", ln.text("service"))
-	asset := ln.text("asset")
-	r := convert.Request{
+// readRequest parses the request in INCOMING and EXISTING.
+func (in *instance) readRequest(msg *message, now int64) decision.Request {
+	bits := msg.integerOr("bits", 0)
+	product := lookUp(in.settings.Products, "service", msg.text("service"))
+	asset := msg.text("asset")
+	req := convert.Request{
 		Product:   product,
-		Title:     number(in.titles, asset),
+		Title:     assignNumber(in.titles, asset),
 		TitleName: asset,
-		Viewer:    number(in.viewers, ln.text("object")),
-		LeftMs:    ln.numberOr("left-ms", 0),
-		FirstCell: int(ln.numberOr("start-cell", 0)),
-		CellCount: int(ln.numberOr("span", 0)),
-		MaxRung:   int(ln.numberOr("best-rung", 0)),
+		Viewer:    assignNumber(in.viewers, msg.text("object")),
+		LeftMs:    msg.numberOr("left-ms", 0),
+		FirstCell: int(msg.numberOr("start-cell", 0)),
+		CellCount: int(msg.numberOr("span", 0)),
+		MaxRung:   int(msg.numberOr("best-rung", 0)),
 		Moved:     bits&8 != 0,
 		Retry:     bits&16 != 0,
 	}
 	if bits&1 != 0 {
-		r.HintMs = ln.numberOr("hint-ms", 0)
+		req.HintMs = msg.numberOr("hint-ms", 0)
 	}
-	return r.PolicyRequest(now)
+	return req.PolicyRequest(now)
 }
 
-func (h *host) event() error {
-	ln := &h.ln
-	in := h.at[h.who]
+func (h *host) handleEvent() error {
+	msg := &h.msg
+	in := h.instances[h.current]
 	if in == nil {
-		return nil // a killed instance hears nothing more
+		return nil // the instance was stopped
 	}
 	now := h.now
-	switch ln.name {
+	switch msg.name {
 	case "INCOMING":
-		job := ln.whole("job")
-		hd, res := in.mod.AddPlay(now, in.want(ln, now))
-		in.bind(job, hd)
-		h.encode(in, res)
+		job := msg.integer("job")
+		handle, res := in.policy.AddPlay(now, in.readRequest(msg, now))
+		in.bind(job, handle)
+		h.writeResult(in, res)
 	case "EXISTING":
-		job := ln.whole("job")
-		hd, res := in.mod.AdoptPlay(now, in.want(ln, now), in.node(ln.text("node")))
-		in.bind(job, hd)
-		h.encode(in, res)
+		job := msg.integer("job")
+		handle, res := in.policy.AdoptPlay(now, in.readRequest(msg, now), in.nodeIndex(msg.text("node")))
+		in.bind(job, handle)
+		h.writeResult(in, res)
 	case "ANNOUNCE":
-		return h.announce(in)
+		return h.applyList(in)
 	case "TIMER":
-		if in.armed != 0 && now >= in.armed {
-			in.armed = 0
+		if in.timerDueAt != 0 && now >= in.timerDueAt {
+			in.timerDueAt = 0
 		}
-		h.encode(in, in.mod.Wake(now))
+		h.writeResult(in, in.policy.Wake(now))
 	case "FROM_PEER":
-		b, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(ln.text("bytes"), "-"))
+		b, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(msg.text("bytes"), "-"))
 		if err != nil {
-			return fmt.Errorf("FROM_PEER: %w", wrong("bytes", "not base64"))
+			return fmt.Errorf("FROM_PEER: %w", newFieldError("bytes", "not base64"))
 		}
-		h.encode(in, in.mod.MessageReceived(now, int(ln.whole("by")), b))
+		h.writeResult(in, in.policy.MessageReceived(now, int(msg.integer("by")), b))
 	case "PING_RESULT":
-		how, load := ln.ending(), ln.load(in.terms)
-		h.encode(in, in.mod.ProbeEnded(now, in.node(ln.text("node")), how, load))
+		outcome, load := msg.outcome(), msg.load(in.settings)
+		h.writeResult(in, in.policy.ProbeEnded(now, in.nodeIndex(msg.text("node")), outcome, load))
 	case "ACK_FIRST", "UPDATE_OF", "RESPONSE", "CLIENT_LEFT":
-		job := ln.whole("job")
-		hd, ok := in.plays[job]
+		job := msg.integer("job")
+		handle, ok := in.plays[job]
 		if !ok {
-			return nil // finished before
+			return nil // the play has already finished
 		}
-		switch ln.name {
+		switch msg.name {
 		case "ACK_FIRST":
-			h.encode(in, in.mod.AttemptStarted(now, hd, int(ln.whole("send-no"))))
+			h.writeResult(in, in.policy.AttemptStarted(now, handle, int(msg.integer("send-no"))))
 		case "UPDATE_OF":
-			h.encode(in, in.update(ln, now, hd))
+			h.writeResult(in, in.applyNote(msg, now, handle))
 		case "CLIENT_LEFT":
-			h.encode(in, in.mod.ViewerLeft(now, hd))
+			h.writeResult(in, in.policy.ViewerLeft(now, handle))
 		case "RESPONSE":
-			how, over := ln.ending(), ln.wholeOr("no-more", 0) == 1
-			load := ln.load(in.terms)
-			h.encode(in, in.mod.AttemptEnded(now, hd, int(ln.whole("send-no")), how, over, load))
-			if over {
+			outcome, finished := msg.outcome(), msg.integerOr("no-more", 0) == 1
+			load := msg.load(in.settings)
+			h.writeResult(in, in.policy.AttemptEnded(now, handle, int(msg.integer("send-no")), outcome, finished, load))
+			if finished {
 				delete(in.plays, job)
 			}
 		}
@@ -271,59 +271,59 @@
 	return nil
 }
 
-func (in *instance) update(ln *line, now int64, hd decision.Handle) *decision.Result {
-	return convert.ApplyNote(in.mod, now, hd, int(ln.whole("topic")), ln.number("level"))
+func (in *instance) applyNote(msg *message, now int64, handle decision.Handle) *decision.Result {
+	return convert.ApplyNote(in.policy, now, handle, int(msg.integer("topic")), msg.number("level"))
 }
 
-func (in *instance) bind(job int64, hd decision.Handle) {
-	in.plays[job] = hd
-	for int(hd.Index) >= len(in.jobs) {
-		in.jobs = append(in.jobs, 0)
+func (in *instance) bind(job int64, handle decision.Handle) {
+	in.plays[job] = handle
+	for int(handle.Index) >= len(in.jobsByIndex) {
+		in.jobsByIndex = append(in.jobsByIndex, 0)
 	}
-	in.jobs[hd.Index] = job
+	in.jobsByIndex[handle.Index] = job
 }
 
-func (h *host) announce(in *instance) error {
-	how := h.ln.text("how")
+func (h *host) applyList(in *instance) error {
+	how := h.msg.text("how")
 	if how == "unavailable" {
-		return nil // the old list holds
+		return nil // the previous list stays in force
 	}
-	page := h.ln.whole("page")
-	if page < 0 || page >= int64(len(h.pages)) || !h.filled[page] {
-		return fmt.Errorf("ANNOUNCE: field page: list %d was never defined", page)
+	number := h.msg.integer("page")
+	if number < 0 || number >= int64(len(h.lists)) || !h.defined[number] {
+		return fmt.Errorf("ANNOUNCE: field page: list %d was never defined", number)
 	}
 	in.list = in.list[:0]
-	for _, r := range h.pages[page] {
-		in.list = append(in.list, convert.Row{Phase: r.phase, Name: r.addr, Kind: known(in.terms.Kinds, "generation-hw", r.kind),
-			Zone: known(in.terms.Zones, "campus", r.zone), Cell: r.cell, StartedAt: r.started, Weight: r.weight}.Node(in.node(r.addr)))
+	for _, r := range h.lists[number] {
+		in.list = append(in.list, convert.Row{Phase: r.phase, Name: r.addr, Kind: lookUp(in.settings.Kinds, "generation-hw", r.kind),
+			Zone: lookUp(in.settings.Zones, "campus", r.zone), Cell: r.cell, StartedAt: r.startedAt, Weight: r.weight}.Node(in.nodeIndex(r.addr)))
 	}
-	h.encode(in, in.mod.UpdateNodes(h.now, in.list, how != "update"))
+	h.writeResult(in, in.policy.UpdateNodes(h.now, in.list, how != "update"))
 	return nil
 }
 
-func (h *host) context() {
-	if h.last != h.who {
-		fmt.Fprintf(h.out, "CONTEXT who=%d\n", h.who)
-		h.last = h.who
+func (h *host) writeContext() {
+	if h.lastContext != h.current {
+		fmt.Fprintf(h.out, "CONTEXT who=%d\n", h.current)
+		h.lastContext = h.current
 	}
 }
 
-// encode writes what a call decided.
-func (h *host) encode(in *instance, res *decision.Result) {
+// writeResult writes the decisions of a call.
+func (h *host) writeResult(in *instance, res *decision.Result) {
 	if res == nil {
 		return
 	}
 	for i := range res.Orders {
 		o := &res.Orders[i]
-		h.context()
-		job := in.jobs[o.Play.Index]
+		h.writeContext()
+		job := in.jobsByIndex[o.Play.Index]
 		switch o.Action {
 		case decision.Place:
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
-			fmt.Fprintf(h.out, "FORWARD job=%d not-past-ms=%s node=%s\n", job, millis(o.Until), in.addr[o.Node])
+			fmt.Fprintf(h.out, "FORWARD job=%d not-past-ms=%s node=%s\n", job, formatMillis(o.Until), in.addresses[o.Node])
 		case decision.Decline:
 			if o.RetryAfter > 0 {
-				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, millis(o.RetryAfter))
+				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, formatMillis(o.RetryAfter))
 			} else {
 				fmt.Fprintf(h.out, "NOT_NOW job=%d\n", job)
 			}
@@ -340,16 +340,16 @@
 		}
 	}
 	for _, n := range res.Probes {
-		h.context()
-		fmt.Fprintf(h.out, "SAMPLE node=%s\n", in.addr[n])
+		h.writeContext()
+		fmt.Fprintf(h.out, "SAMPLE node=%s\n", in.addresses[n])
 	}
 	for _, t := range res.Messages {
-		h.context()
+		h.writeContext()
 		fmt.Fprintf(h.out, "NOTIFY dst=%d bytes=%s\n", t.To, base64.StdEncoding.EncodeToString(t.Bytes))
 	}
-	if res.WakeAt > 0 && (in.armed == 0 || res.WakeAt < in.armed) {
-		h.context()
-		in.armed = max(res.WakeAt, h.now+1)
-		fmt.Fprintf(h.out, "ARM ref=1 in-ms=%s\n", millis(in.armed-h.now))
+	if res.WakeAt > 0 && (in.timerDueAt == 0 || res.WakeAt < in.timerDueAt) {
+		h.writeContext()
+		in.timerDueAt = max(res.WakeAt, h.now+1)
+		fmt.Fprintf(h.out, "ARM ref=1 in-ms=%s\n", formatMillis(in.timerDueAt-h.now))
 	}
 }
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -1,5 +1,5 @@
-// Package convert turns the platform's words into the module's, the same for every way in: the settings, what a
-// request says of a title and its viewer, lines of the list, reports. It decides nothing.
+// Package convert translates the terms of the platform and of the test bench into those of package decision:
+// settings, requests, entries of the node list and load reports. It makes no decisions.
 package convert
 
 import (
@@ -10,10 +10,11 @@
 	"gullrail/decision"
 )
 
-// Names of the wire's settings beside ours. A "-ms" figure becomes tenths of a millisecond.
-var plain = []struct {
-	wire, ours string
-	required   bool
+// commonSettings maps the names of settings on the wire to those of the policy. Values whose name ends in "-ms"
+// are converted to tenths of a millisecond.
+var commonSettings = []struct {
+	wireName, policyName string
+	required             bool
 }{
 	{"balancers", "fronts", true}, {"me", "front", true},
 	{"family-info.places", "cells", true}, {"family-info.shelves", "racks", true},
@@ -36,28 +37,28 @@
 	{"safety.counted-over-ms", "budget.over", false},
 }
 
-// perLane are settings that each lane of the wire carries.
-var perLane = []struct{ wire, ours string }{
+// laneSettings maps the settings of a lane, which is a product on the wire.
+var laneSettings = []struct{ wireName, policyName string }{
 	{"objective-ms", "product.target"}, {"worth", "product.importance"},
 }
 
-// Settings are an instance's settings in the module's words, and the names that become small numbers.
+// Settings holds the settings of a policy, and the numbers that stand for names.
 type Settings struct {
-	PolicySettings         map[string][]float64 // for the module
+	PolicySettings         map[string][]float64 // for placement.New
 	Products, Kinds, Zones map[string]int
-	Columns                []string // of a load report
+	Columns                []string // columns of a load report
 	root                   map[string]any
 }
 
-// FieldError names the field that could not be read.
+// FieldError names a field that is missing or invalid.
 type FieldError struct{ Field, Problem string }
 
 func (e FieldError) Error() string { return "field " + e.Field + ": " + e.Problem }
 
-// Ticks turns milliseconds into tenths of them.
+// Ticks converts milliseconds to the time unit of package decision.
 func Ticks(ms float64) int64 { return int64(math.Round(ms * float64(decision.Millisecond))) }
 
-func numbers(v any, scale float64) ([]float64, bool) {
+func toNumbers(v any, scale float64) ([]float64, bool) {
 	switch v := v.(type) {
 	case float64:
 		return []float64{v * scale}, true
@@ -69,7 +70,7 @@
 	case []any:
 		var all []float64
 		for _, e := range v {
-			one, ok := numbers(e, scale)
+			one, ok := toNumbers(e, scale)
 			if !ok {
 				return nil, false
 			}
@@ -80,13 +81,14 @@
 	return nil, false
 }
 
-func scaleOf(name string) float64 {
+func unitScale(name string) float64 {
 	if len(name) > 3 && name[len(name)-3:] == "-ms" {
 		return 10
 	}
 	return 1
 }
 
+// lookup returns the setting at a path of one or two elements, separated by a dot.
 func lookup(root map[string]any, path string) (any, bool) {
 	for i := range len(path) {
 		if path[i] == '.' {
@@ -102,113 +104,113 @@
 	return v, ok
 }
 
-func index(root map[string]any, path string) (map[string]int, error) {
+func indexNames(root map[string]any, path string) (map[string]int, error) {
 	v, _ := lookup(root, path)
 	list, ok := v.([]any)
 	if !ok {
 		return nil, FieldError{"config." + path, "missing or not a list"}
 	}
-	at := map[string]int{}
+	indexes := map[string]int{}
 	for i, e := range list {
 		s, ok := e.(string)
 		if !ok {
-			return nil, FieldError{"config." + path, "holds something that is not a name"}
+			return nil, FieldError{"config." + path, "contains a value that is not a string"}
 		}
-		at[s] = i
+		indexes[s] = i
 	}
-	return at, nil
+	return indexes, nil
 }
 
-// Parse reads the settings, a JSON object. An error is a FieldError.
+// Parse parses the settings, a JSON object. An error is a FieldError.
 func Parse(text string) (*Settings, error) {
 	var root map[string]any
 	if err := json.Unmarshal([]byte(text), &root); err != nil {
 		return nil, FieldError{"config", "not a JSON object: " + err.Error()}
 	}
-	out := map[string][]float64{}
-	for _, s := range plain {
-		v, ok := lookup(root, s.wire)
+	policySettings := map[string][]float64{}
+	for _, s := range commonSettings {
+		v, ok := lookup(root, s.wireName)
 		if !ok {
 			if s.required {
-				return nil, FieldError{"config." + s.wire, "missing"}
+				return nil, FieldError{"config." + s.wireName, "missing"}
 			}
 			continue
 		}
-		if out[s.ours], ok = numbers(v, scaleOf(s.wire)); !ok || s.required && len(out[s.ours]) == 0 {
-			return nil, FieldError{"config." + s.wire, "not a number or a list of numbers"}
+		if policySettings[s.policyName], ok = toNumbers(v, unitScale(s.wireName)); !ok || s.required && len(policySettings[s.policyName]) == 0 {
+			return nil, FieldError{"config." + s.wireName, "not a number or a list of numbers"}
 		}
 	}
 	lanes, _ := root["lanes"].([]any)
 	if len(lanes) == 0 {
 		return nil, FieldError{"config.lanes", "missing"}
 	}
-	nm := &Settings{PolicySettings: out, Products: map[string]int{}, root: root}
+	settings := &Settings{PolicySettings: policySettings, Products: map[string]int{}, root: root}
 	for i, l := range lanes {
 		lane, _ := l.(map[string]any)
 		name, _ := lane["name"].(string)
 		effect, _ := lane["effect"].(string)
 		if name == "" || effect == "" {
-			return nil, FieldError{fmt.Sprintf("config.lanes[%d]", i), "without a name or an effect"}
+			return nil, FieldError{fmt.Sprintf("config.lanes[%d]", i), "name or effect missing"}
 		}
-		nm.Products[name] = i
+		settings.Products[name] = i
 		paid := 1.0
 		if effect == "read_like" {
 			paid = 0
 		}
-		out["product.paid"] = append(out["product.paid"], paid)
-		for _, s := range perLane {
-			v, ok := lane[s.wire].(float64)
+		policySettings["product.paid"] = append(policySettings["product.paid"], paid)
+		for _, s := range laneSettings {
+			v, ok := lane[s.wireName].(float64)
 			if !ok {
-				return nil, FieldError{fmt.Sprintf("config.lanes[%d].%s", i, s.wire), "missing"}
+				return nil, FieldError{fmt.Sprintf("config.lanes[%d].%s", i, s.wireName), "missing"}
 			}
-			out[s.ours] = append(out[s.ours], v*scaleOf(s.wire))
+			policySettings[s.policyName] = append(policySettings[s.policyName], v*unitScale(s.wireName))
 		}
 	}
-	if rates := out["product.rate"]; len(rates) != len(lanes) {
-		return nil, FieldError{"config.family-info.rate-factor", "not one value for each lane"}
+	if rates := policySettings["product.rate"]; len(rates) != len(lanes) {
+		return nil, FieldError{"config.family-info.rate-factor", "number of values differs from the number of lanes"}
 	}
 	var err error
-	if nm.Kinds, err = index(root, "shapes"); err != nil {
+	if settings.Kinds, err = indexNames(root, "shapes"); err != nil {
 		return nil, err
 	}
-	if nm.Zones, err = index(root, "localities"); err != nil {
+	if settings.Zones, err = indexNames(root, "localities"); err != nil {
 		return nil, err
 	}
 	if own, ok := root["zone"].(string); ok {
-		if z, ok := nm.Zones[own]; ok {
-			out["zone"] = []float64{float64(z)}
+		if z, ok := settings.Zones[own]; ok {
+			policySettings["zone"] = []float64{float64(z)}
 		}
 	}
 	if v, ok := lookup(root, "report.columns"); ok {
 		list, _ := v.([]any)
 		for _, e := range list {
 			s, _ := e.(string)
-			nm.Columns = append(nm.Columns, s)
+			settings.Columns = append(settings.Columns, s)
 		}
 	}
 	how, _ := lookup(root, "report.how")
-	out["reports.answers"], out["reports.uplink"] = []float64{0}, []float64{0}
+	policySettings["reports.answers"], policySettings["reports.uplink"] = []float64{0}, []float64{0}
 	if how == "piggyback" {
-		out["reports.answers"][0] = 1
+		policySettings["reports.answers"][0] = 1
 	}
-	for _, c := range nm.Columns {
+	for _, c := range settings.Columns {
 		if c == "x1" {
-			out["reports.uplink"][0] = 1
+			policySettings["reports.uplink"][0] = 1
 		}
 	}
-	return nm, nil
+	return settings, nil
 }
 
-// Number is a setting that the module has no use for, by its path, or what stands in for one not given.
-func (s *Settings) Number(path string, or float64) float64 {
+// Number returns a setting that the policy does not use, by its path, or the fallback if it is not set.
+func (s *Settings) Number(path string, fallback float64) float64 {
 	v, _ := lookup(s.root, path)
 	if n, ok := v.(float64); ok {
 		return n
 	}
-	return or
+	return fallback
 }
 
-// LongestLimit is the longest time limit of a product, milliseconds.
+// LongestLimit returns the longest deadline of the products, in milliseconds.
 func (s *Settings) LongestLimit() (longest float64) {
 	lanes, _ := s.root["lanes"].([]any)
 	for _, l := range lanes {
@@ -219,22 +221,22 @@
 	return longest
 }
 
-// Request is what a request says. Title and Viewer are the front's own numbers for their names.
+// Request is a request of a viewer. Title and Viewer are numbers assigned by this front.
 type Request struct {
 	Product, Title, Viewer        int
 	TitleName                     string
-	LeftMs, HintMs                float64 // HintMs is 0 where none is given
+	LeftMs, HintMs                float64 // HintMs is 0 if not given
 	FirstCell, CellCount, MaxRung int
 	Moved, Retry                  bool
 }
 
-// PolicyRequest is a request in the module's words.
+// PolicyRequest returns the request in the form of package decision.
 func (r Request) PolicyRequest(now int64) decision.Request {
 	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.HashName(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
 		Length: Ticks(r.HintMs), FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Moved: r.Moved, Retry: r.Retry}
 }
 
-// Row is a line of the list; Started is on the front's clock.
+// Row is an entry of the node list. StartedAt is in the front's time.
 type Row struct {
 	Phase            decision.Phase
 	Name             string // the same at every front
@@ -243,13 +245,13 @@
 	Weight           float64
 }
 
-// Node is a line of the list in the module's words, with the front's own number for its name.
+// Node returns the entry in the form of package decision, with the number that this front assigned to the node.
 func (r Row) Node(index int) decision.Node {
 	return decision.Node{Index: index, Phase: r.Phase, Kind: r.Kind, Zone: r.Zone, Cell: r.Cell, StartedAt: r.StartedAt, Weight: r.Weight, Key: decision.HashName(r.Name)}
 }
 
-// Load is a report of which a field is told by its column and that column's place; fields that no call uses are
-// passed over.
+// Load builds a load report. value returns the value of a column by its index and name, and whether it is present.
+// Unused columns are ignored.
 func (s *Settings) Load(value func(i int, column string) (float64, bool)) decision.Load {
 	l := decision.UnknownLoad
 	for i, col := range s.Columns {
@@ -273,17 +275,18 @@
 	return l
 }
 
-// ApplyNote is a note of one of the kinds that nodes send while a play plays, by its number.
-func ApplyNote(mod decision.Policy, now int64, h decision.Handle, kind int, level float64) *decision.Result {
+// ApplyNote passes a note that a node sent about a play to the policy, by the number of its kind. Unknown kinds
+// return nil.
+func ApplyNote(policy decision.Policy, now int64, h decision.Handle, kind int, level float64) *decision.Result {
 	switch kind {
 	case 1:
-		return mod.DeliveryReported(now, h, level)
+		return policy.DeliveryReported(now, h, level)
 	case 2:
-		return mod.RungReported(now, h, int(level))
+		return policy.RungReported(now, h, int(level))
 	case 3:
-		return mod.LoadReported(now, h, decision.Load{Streams: -1, Link: level, Uplink: -1})
+		return policy.LoadReported(now, h, decision.Load{Streams: -1, Link: level, Uplink: -1})
 	case 4:
-		return mod.LoadReported(now, h, decision.Load{Streams: -1, Link: -1, Uplink: level})
+		return policy.LoadReported(now, h, decision.Load{Streams: -1, Link: -1, Uplink: level})
 	}
 	return nil
 }
--- a/internal/intern/intern.go
+++ b/internal/intern/intern.go
@@ -1,22 +1,22 @@
 // Package intern maps names to small integers and reuses the integers of names no longer referenced.
 package intern
 
-// Table gives names small numbers, and gives a number back once nothing refers to it and
-// may forget says so. Guards against tables that grow with every name ever met.
+// Table maps names to small numbers, and reuses a number once nothing refers to it and the caller agrees to forget
+// it. This bounds the size of tables of long-running processes.
 type Table struct {
-	at    map[string]int
-	names []string
-	refs  []int
-	free  []int
-	idle  []int // without references, the longest idle first; a number may stand here twice
+	numbers map[string]int
+	names   []string
+	refs    []int
+	free    []int
+	idle    []int // without references, longest idle first; may contain a number twice
 }
 
-// New makes a table that knows no name.
-func New() *Table { return &Table{at: map[string]int{}} }
+// New returns an empty table.
+func New() *Table { return &Table{numbers: map[string]int{}} }
 
-// Acquire returns a name's number and counts one reference.
+// Acquire returns the number of a name and adds a reference.
 func (t *Table) Acquire(name string) int {
-	i, ok := t.at[name]
+	i, ok := t.numbers[name]
 	if !ok {
 		if k := len(t.free); k > 0 {
 			i, t.free = t.free[k-1], t.free[:k-1]
@@ -25,36 +25,35 @@
 			i = len(t.names)
 			t.names, t.refs = append(t.names, name), append(t.refs, 0)
 		}
-		t.at[name] = i
+		t.numbers[name] = i
 	}
 	t.refs[i]++
 	return i
 }
 
-// Release takes a reference away.
+// Release removes a reference.
 func (t *Table) Release(i int) {
 	if t.refs[i]--; t.refs[i] == 0 {
 		t.idle = append(t.idle, i)
 	}
 }
 
-// Sweep gives back idle numbers that may be forgotten, looking at so many at most; the others
-// come round again.
-func (t *Table) Sweep(most int, forget func(i int) bool) {
-	looked := min(most, len(t.idle))
-	for _, i := range t.idle[:looked] {
+// Sweep checks up to limit idle numbers and frees those that forget agrees to; the others are checked again later.
+func (t *Table) Sweep(limit int, forget func(i int) bool) {
+	checked := min(limit, len(t.idle))
+	for _, i := range t.idle[:checked] {
 		switch {
-		case t.refs[i] != 0 || t.names[i] == "": // in use again, or given back already
+		case t.refs[i] != 0 || t.names[i] == "": // in use again, or already freed
 		case forget(i):
-			delete(t.at, t.names[i])
+			delete(t.numbers, t.names[i])
 			t.names[i] = ""
 			t.free = append(t.free, i)
 		default:
 			t.idle = append(t.idle, i)
 		}
 	}
-	t.idle = t.idle[:copy(t.idle, t.idle[looked:])]
+	t.idle = t.idle[:copy(t.idle, t.idle[checked:])]
 }
 
-// Len is how many names have a number.
-func (t *Table) Len() int { return len(t.at) }
+// Len returns how many names have a number.
+func (t *Table) Len() int { return len(t.numbers) }
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -1,32 +1,32 @@
-// Package pcg is a permuted congruential generator (PCG XSH RR 64/32).
+// Package pcg implements the pseudo-random number generator PCG XSH RR 64/32.
 package pcg
 
 const (
-	step = 6364136223846793005
-	odd  = 1442695040888963407
+	multiplier = 6364136223846793005
+	increment  = 1442695040888963407
 )
 
-// Source is a stream of chance that its seed alone decides.
+// Source is a deterministic sequence of random numbers.
 type Source struct{ state uint64 }
 
-// New starts a stream.
+// New returns a source with the given seed.
 func New(seed uint64) Source {
-	s := Source{state: seed + odd}
+	s := Source{state: seed + increment}
 	s.Uint32()
 	return s
 }
 
-// Uint32 draws 32 even bits.
+// Uint32 returns 32 uniformly distributed bits.
 func (s *Source) Uint32() uint32 {
 	old := s.state
-	s.state = old*step + odd
+	s.state = old*multiplier + increment
 	x := uint32(((old >> 18) ^ old) >> 27)
 	rot := uint32(old >> 59)
 	return x>>rot | x<<(-rot&31)
 }
 
-// Float draws from [0, 1).
+// Float returns a number in [0, 1).
 func (s *Source) Float() float64 { return float64(s.Uint32()) / (1 << 32) }
 
-// Below draws a whole number from 0 to n-1; n must be positive.
+// Below returns an integer in [0, n); n must be positive.
 func (s *Source) Below(n int) int { return int(uint64(s.Uint32()) * uint64(n) >> 32) }
--- a/internal/slab/slab.go
+++ b/internal/slab/slab.go
@@ -1,63 +1,62 @@
-// Package slab keeps records in places that are used again, behind handles that go stale.
+// Package slab stores records in reusable slots. Handles to removed records become stale.
 package slab
 
 import "gullrail/decision"
 
-// Slab holds records of one type. A place is reused once dropped; its generation then moves on.
+// Slab stores records of one type. A slot gets a new generation whenever it is reused.
 type Slab[T any] struct {
-	places []place[T]
-	free   []int32
+	entries []entry[T]
+	free    []int32
 }
 
-type place[T any] struct {
-	rec  T
-	gen  uint32
-	live bool
+type entry[T any] struct {
+	record     T
+	generation uint32
+	live       bool
 }
 
-// Add takes a place and returns its handle with the zeroed record in it.
+// Add reserves a slot and returns its handle and its zeroed record.
 func (s *Slab[T]) Add() (decision.Handle, *T) {
-	var at int32
+	var index int32
 	if n := len(s.free); n > 0 {
-		at, s.free = s.free[n-1], s.free[:n-1]
+		index, s.free = s.free[n-1], s.free[:n-1]
 	} else {
-		at = int32(len(s.places))
-		s.places = append(s.places, place[T]{})
+		index = int32(len(s.entries))
+		s.entries = append(s.entries, entry[T]{})
 	}
-	p := &s.places[at]
+	p := &s.entries[index]
 	var zero T
-	p.rec, p.live = zero, true
-	p.gen++
-	return decision.Handle{Index: at, Generation: p.gen}, &p.rec
+	p.record, p.live = zero, true
+	p.generation++
+	return decision.Handle{Index: index, Generation: p.generation}, &p.record
 }
 
-// Get returns the record of a handle, or nil if the handle is stale.
-// The pointer holds until the next Add.
+// Get returns the record of a handle, or nil if the handle is stale. The pointer is valid until the next Add.
 func (s *Slab[T]) Get(h decision.Handle) *T {
-	if h.Index < 0 || int(h.Index) >= len(s.places) {
+	if h.Index < 0 || int(h.Index) >= len(s.entries) {
 		return nil
 	}
-	if p := &s.places[h.Index]; p.live && p.gen == h.Generation {
-		return &p.rec
+	if p := &s.entries[h.Index]; p.live && p.generation == h.Generation {
+		return &p.record
 	}
 	return nil
 }
 
-// Drop gives a place back; a stale handle does nothing.
+// Drop frees the slot of a handle. A stale handle is ignored.
 func (s *Slab[T]) Drop(h decision.Handle) {
 	if s.Get(h) != nil {
-		s.places[h.Index].live = false
+		s.entries[h.Index].live = false
 		s.free = append(s.free, h.Index)
 	}
 }
 
-// Len is the number of places, live or not; At walks them in their order.
-func (s *Slab[T]) Len() int { return len(s.places) }
+// Len returns the number of slots, used or free, for iteration with At.
+func (s *Slab[T]) Len() int { return len(s.entries) }
 
-// At returns the handle and record in a place, or nil if nothing lives there.
+// At returns the handle and record of a slot, or nil if it is free.
 func (s *Slab[T]) At(i int) (decision.Handle, *T) {
-	if p := &s.places[i]; p.live {
-		return decision.Handle{Index: int32(i), Generation: p.gen}, &p.rec
+	if p := &s.entries[i]; p.live {
+		return decision.Handle{Index: int32(i), Generation: p.generation}, &p.record
 	}
 	return decision.Handle{}, nil
 }
--- a/internal/slab/slab_test.go
+++ b/internal/slab/slab_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestReusedPlaceMakesOldHandlesStale(t *testing.T) {
+func TestReusedSlotMakesOldHandlesStale(t *testing.T) {
 	var s Slab[int]
 	old, _ := s.Add()
 	s.Drop(old)
