--- a/decision/decision.go
+++ b/decision/decision.go
@@ -126,15 +126,15 @@
 // docs/design.md lists the names.
 type Policy interface {
 	// UpdateNodes passes the whole node list, or only its changes.
-	UpdateNodes(now int64, list []Node, whole bool) *Result
+	UpdateNodes(now int64, list []Node, complete bool) *Result
 	// AddPlay accepts a play. The policy must answer it exactly once.
-	AddPlay(now int64, w Request) (Handle, *Result)
+	AddPlay(now int64, req Request) (Handle, *Result)
 	// AdoptPlay passes a play that already runs on a node.
-	AdoptPlay(now int64, w Request, node int) (Handle, *Result)
+	AdoptPlay(now int64, req Request, node int) (Handle, *Result)
 	// AttemptStarted reports that an attempt of the play has started to play.
 	AttemptStarted(now int64, h Handle, attempt int) *Result
-	// AttemptEnded reports the outcome of an attempt. If over is set, the play is finished.
-	AttemptEnded(now int64, h Handle, attempt int, outcome Outcome, over bool, load Load) *Result
+	// AttemptEnded reports the outcome of an attempt. If finished is set, the play has ended.
+	AttemptEnded(now int64, h Handle, attempt int, outcome Outcome, finished bool, load Load) *Result
 	// DeliveryReported reports the share of the play's rate that its node delivers.
 	DeliveryReported(now int64, h Handle, share float64) *Result
 	// RungReported reports the current rung of an adopted play.
--- a/internal/benchproto/codec.go
+++ b/internal/benchproto/codec.go
@@ -58,9 +58,9 @@
 }
 
 func (msg *message) find(key string) (string, bool) {
-	for _, p := range msg.fields {
-		if p.key == key {
-			return p.value, true
+	for _, f := range msg.fields {
+		if f.key == key {
+			return f.value, true
 		}
 	}
 	return "", false
@@ -69,7 +69,9 @@
 // A fieldError names a field that could not be parsed.
 type fieldError = convert.FieldError
 
-func newFieldError(field, what string) fieldError { return fieldError{Field: field, Problem: what} }
+func newFieldError(field, problem string) fieldError {
+	return fieldError{Field: field, Problem: problem}
+}
 
 // The methods below panic with a fieldError, which decode recovers and returns as an error.
 
--- a/placement/book.go
+++ b/placement/book.go
@@ -10,73 +10,73 @@
 // Bookkeeping: settings, records of plays and nodes, list traversal and message encoding. Nothing here makes decisions.
 
 // setting returns the single value of a setting, or 0 if it is not set.
-func (f *Policy) setting(name string) float64 { return f.settingAt(name, 0, 0) }
+func (pol *Policy) setting(name string) float64 { return pol.settingAt(name, 0, 0) }
 
 // settingAt returns the value of a setting for one product, kind or rung, or the fallback if it is not set.
-func (f *Policy) settingAt(name string, i int, fallback float64) float64 {
-	if v := f.settings[name]; i >= 0 && i < len(v) {
+func (pol *Policy) settingAt(name string, i int, fallback float64) float64 {
+	if v := pol.settings[name]; i >= 0 && i < len(v) {
 		return v[i]
 	}
 	return fallback
 }
 
-func (f *Policy) beginCall() {
-	f.loadVersion++
-	f.result.Orders, f.result.Probes = f.result.Orders[:0], f.result.Probes[:0]
-	f.result.Messages, f.messageBuf = f.result.Messages[:0], f.messageBuf[:0]
+func (pol *Policy) beginCall() {
+	pol.loadVersion++
+	pol.result.Orders, pol.result.Probes = pol.result.Orders[:0], pol.result.Probes[:0]
+	pol.result.Messages, pol.messageBuf = pol.result.Messages[:0], pol.messageBuf[:0]
 }
 
-func (f *Policy) addOrder(o decision.Order) { f.result.Orders = append(f.result.Orders, o) }
+func (pol *Policy) addOrder(o decision.Order) { pol.result.Orders = append(pol.result.Orders, o) }
 
 // unknownViewer and unknownNode are the initial records of a viewer and a node.
 var (
 	unknownViewer = viewer{movedAt: never}
-	unknownNode   = node{deliveredShare: 1, lastTurn: -1, deliveredShareAt: never, steppedDownAt: never, steppedUpAt: never, shedAt: never,
-		probedAt: never, unlistedAt: never}
+	unknownNode   = node{deliveredShare: 1, lastTurn: -1, deliveredShareAt: never, steppedDownAt: never,
+		steppedUpAt: never, shedAt: never, probedAt: never, unlistedAt: never}
 )
 
 // ensureNode returns the record of a node and creates it if needed.
-func (f *Policy) ensureNode(idx int) *node {
-	for idx >= len(f.nodes) {
-		f.nodes = append(f.nodes, unknownNode)
+func (pol *Policy) ensureNode(idx int) *node {
+	for idx >= len(pol.nodes) {
+		pol.nodes = append(pol.nodes, unknownNode)
 	}
-	return &f.nodes[idx]
+	return &pol.nodes[idx]
 }
 
 // rebuildLists groups the listed nodes by rack and by cell, so that placing a play need not visit all nodes.
-func (f *Policy) rebuildLists() {
-	f.listed = 0
-	for i := range f.racks {
-		f.racks[i].nodes = f.racks[i].nodes[:0]
+func (pol *Policy) rebuildLists() {
+	pol.listed = 0
+	for i := range pol.racks {
+		pol.racks[i].nodes = pol.racks[i].nodes[:0]
 	}
-	for i := range f.cells {
-		f.cells[i] = f.cells[i][:0]
+	for i := range pol.cells {
+		pol.cells[i] = pol.cells[i][:0]
 	}
-	for i := range f.nodes {
-		if n := &f.nodes[i]; n.listed {
-			f.listed++
-			f.racks[n.rack].nodes = append(f.racks[n.rack].nodes, i)
-			f.cells[n.cell%len(f.cells)] = append(f.cells[n.cell%len(f.cells)], i)
+	for i := range pol.nodes {
+		if n := &pol.nodes[i]; n.listed {
+			pol.listed++
+			pol.racks[n.rack].nodes = append(pol.racks[n.rack].nodes, i)
+			pol.cells[n.cell%len(pol.cells)] = append(pol.cells[n.cell%len(pol.cells)], i)
 		}
 	}
 }
 
 // holders returns the listed nodes that hold a play's title. The slice is valid until the next call.
-func (f *Policy) holders(p *play) []int {
-	f.holderBuf = f.holderBuf[:0]
-	cells := len(f.cells)
+func (pol *Policy) holders(p *play) []int {
+	pol.holderBuf = pol.holderBuf[:0]
+	cells := len(pol.cells)
 	first := (p.request.FirstCell%cells + cells) % cells
 	for offset := range min(p.request.CellCount, cells) {
-		f.holderBuf = append(f.holderBuf, f.cells[(first+offset)%cells]...)
+		pol.holderBuf = append(pol.holderBuf, pol.cells[(first+offset)%cells]...)
 	}
-	return f.holderBuf
+	return pol.holderBuf
 }
 
 // viewersOf counts own plays of a play's title and product, including the play itself.
-func (f *Policy) viewersOf(p *play) int {
+func (pol *Policy) viewersOf(p *play) int {
 	n := 1
-	for i := range f.plays.Len() {
-		_, o := f.plays.At(i)
+	for i := range pol.plays.Len() {
+		_, o := pol.plays.At(i)
 		if o != nil && o != p && o.request.Title == p.request.Title && o.request.Product == p.request.Product {
 			n++
 		}
@@ -85,9 +85,9 @@
 }
 
 // playsElsewhere returns whether another own play of the same title is playing.
-func (f *Policy) playsElsewhere(p *play) bool {
-	for i := range f.plays.Len() {
-		if _, o := f.plays.At(i); o != nil && o != p && o.stage == playing && o.request.Title == p.request.Title {
+func (pol *Policy) playsElsewhere(p *play) bool {
+	for i := range pol.plays.Len() {
+		if _, o := pol.plays.At(i); o != nil && o != p && o.stage == playing && o.request.Title == p.request.Title {
 			return true
 		}
 	}
@@ -95,37 +95,37 @@
 }
 
 // prefer keeps the candidates that match, or all if none does.
-func (f *Policy) prefer(matches func(c *candidate) bool) {
+func (pol *Policy) prefer(matches func(c *candidate) bool) {
 	k := 0
-	for i := range f.candidates {
-		if matches(&f.candidates[i]) {
-			f.candidates[i], f.candidates[k] = f.candidates[k], f.candidates[i]
+	for i := range pol.candidates {
+		if matches(&pol.candidates[i]) {
+			pol.candidates[i], pol.candidates[k] = pol.candidates[k], pol.candidates[i]
 			k++
 		}
 	}
 	if k > 0 {
-		f.candidates = f.candidates[:k]
+		pol.candidates = pol.candidates[:k]
 	}
 }
 
-func (f *Policy) updateRung(p *play, rung int) {
-	f.addRate(p.node, f.rate(p, rung)-f.rate(p, p.rung))
+func (pol *Policy) updateRung(p *play, rung int) {
+	pol.addRate(p.node, pol.rate(p, rung)-pol.rate(p, p.rung))
 	p.rung = rung
 }
 
 // addRate changes the total rate of own plays on a node and in its rack.
-func (f *Policy) addRate(idx int, delta float64) {
-	f.loadVersion++
-	n := &f.nodes[idx]
+func (pol *Policy) addRate(idx int, delta float64) {
+	pol.loadVersion++
+	n := &pol.nodes[idx]
 	n.ownRate += delta
-	f.racks[n.rack].ownRate += delta
+	pol.racks[n.rack].ownRate += delta
 }
 
 // bestPlay returns the play in stage playing with the highest positive merit on a node, or nil.
-func (f *Policy) bestPlay(idx int, merit func(p *play) float64) (bestHandle decision.Handle, bestPlay *play) {
+func (pol *Policy) bestPlay(idx int, merit func(p *play) float64) (bestHandle decision.Handle, bestPlay *play) {
 	highest := 0.0
-	for _, h := range f.nodes[idx].plays {
-		p := f.plays.Get(h)
+	for _, h := range pol.nodes[idx].plays {
+		p := pol.plays.Get(h)
 		if p.stage != playing {
 			continue
 		}
@@ -138,33 +138,33 @@
 
 // seatCount returns the counter of the plays on nodes with a play's title and product, which are limited by
 // product.seats.
-func (f *Policy) seatCount(p *play) *int32 {
-	i := p.request.Title*len(f.settings["product.paid"]) + p.request.Product
-	for i >= len(f.seats) {
-		f.seats = append(f.seats, 0)
+func (pol *Policy) seatCount(p *play) *int32 {
+	i := p.request.Title*len(pol.settings["product.paid"]) + p.request.Product
+	for i >= len(pol.seats) {
+		pol.seats = append(pol.seats, 0)
 	}
-	return &f.seats[i]
+	return &pol.seats[i]
 }
 
 // bind assigns a play to a node and counts its rate and seat; unbind reverses it.
-func (f *Policy) bind(h decision.Handle, p *play, idx int) {
+func (pol *Policy) bind(h decision.Handle, p *play, idx int) {
 	p.node = idx
-	n := &f.nodes[idx]
+	n := &pol.nodes[idx]
 	n.plays = append(n.plays, h)
-	f.addRate(idx, f.rate(p, p.rung))
-	*f.seatCount(p)++
+	pol.addRate(idx, pol.rate(p, p.rung))
+	*pol.seatCount(p)++
 }
 
-func (f *Policy) unbind(h decision.Handle, p *play) {
-	n := &f.nodes[p.node]
+func (pol *Policy) unbind(h decision.Handle, p *play) {
+	n := &pol.nodes[p.node]
 	for i, o := range n.plays {
 		if o == h {
 			n.plays = append(n.plays[:i], n.plays[i+1:]...)
 			break
 		}
 	}
-	f.addRate(p.node, -f.rate(p, p.rung))
-	*f.seatCount(p)--
+	pol.addRate(p.node, -pol.rate(p, p.rung))
+	*pol.seatCount(p)--
 }
 
 // dropBefore removes the times before a moment from a sorted slice, in place.
@@ -177,15 +177,16 @@
 }
 
 // addMessage queues a message to another front.
-func (f *Policy) addMessage(to int, kind byte, key uint32, payload ...byte) {
-	start := len(f.messageBuf)
-	f.messageBuf = append(binary.BigEndian.AppendUint32(append(f.messageBuf, kind), key), payload...)
-	f.result.Messages = append(f.result.Messages, decision.Message{To: to, Bytes: f.messageBuf[start:len(f.messageBuf):len(f.messageBuf)]})
+func (pol *Policy) addMessage(to int, kind byte, key uint32, payload ...byte) {
+	start := len(pol.messageBuf)
+	pol.messageBuf = append(binary.BigEndian.AppendUint32(append(pol.messageBuf, kind), key), payload...)
+	pol.result.Messages = append(pol.result.Messages,
+		decision.Message{To: to, Bytes: pol.messageBuf[start:len(pol.messageBuf):len(pol.messageBuf)]})
 }
 
 // encodeUtilization and decodeUtilization convert a utilization to and from a byte of a message.
-func encodeUtilization(asked float64) byte {
-	return byte(max(0, min(unknownByte-1, math.Round(asked*utilizationSteps))))
+func encodeUtilization(utilization float64) byte {
+	return byte(max(0, min(unknownByte-1, math.Round(utilization*utilizationSteps))))
 }
 
 func decodeUtilization(b byte) float64 {
--- a/placement/helper_test.go
+++ b/placement/helper_test.go
@@ -31,15 +31,15 @@
 	for _, c := range change {
 		c(set)
 	}
-	f := New(set, 7)
+	pol := New(set, 7)
 	var list []decision.Node
 	for i := range n {
 		list = append(list, decision.Node{Index: i, Cell: i, Kind: i % 2, Weight: 1})
 	}
-	f.UpdateNodes(0, list, true)
-	f.meanRung = 2
-	f.viewers = []viewer{{movedAt: never}}
-	return f
+	pol.UpdateNodes(0, list, true)
+	pol.meanRung = 2
+	pol.viewers = []viewer{{movedAt: never}}
+	return pol
 }
 
 func singleFront(set map[string][]float64) { set["fronts"] = []float64{1} }
@@ -49,13 +49,13 @@
 }
 
 // addPlaying adds a play that has been playing on a node since a time.
-func addPlaying(f *Policy, idx, product, rung int, since int64) (decision.Handle, *play) {
+func addPlaying(pol *Policy, idx, product, rung int, since int64) (decision.Handle, *play) {
 	req := newRequest(product)
-	req.Viewer = len(f.viewers)
-	h, p := f.accept(since, req)
+	req.Viewer = len(pol.viewers)
+	h, p := pol.accept(since, req)
 	p.attempt, p.stage, p.startedAt, p.rung, p.steppedUpAt = 0, playing, since, rung, never
-	f.bind(h, p, idx)
-	return h, f.plays.Get(h)
+	pol.bind(h, p, idx)
+	return h, pol.plays.Get(h)
 }
 
 // onlyOrder returns the only order of a result.
--- a/placement/state.go
+++ b/placement/state.go
@@ -16,7 +16,7 @@
 	cells                 [][]int // listed nodes by cell
 	kinds                 []kindStats
 	plays                 slab.Slab[play]
-	waiting               []decision.Handle
+	waiting               []decision.Handle // pending plays that wait for answers or for a node
 	viewers               []viewer
 	seats                 []int32   // plays on nodes, by title and product
 	acceptedTimes         []int64   // when plays were accepted, within the budget window
@@ -80,7 +80,7 @@
 	disconnectedAt      int64  // last failed or lost connection
 	returnedAt          int64  // first play after disconnectedAt
 	lastTurn            int64  // last turn used while cold
-	key                 uint32 // of the address; the same at every front
+	key                 uint32 // decision.Node.Key: the same at every front
 	grantedUntil        int64  // until when its owner permits one set-up while it is cold
 }
 
