--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -9,9 +9,9 @@
 
 func TestDeclinesWhenNoNodeHoldsTitle(t *testing.T) {
 	pol := newTestPolicy(2)
-	w := newRequest(0)
-	w.FirstCell, w.CellCount = 2, 2
-	h, r := pol.AddPlay(now, w)
+	req := newRequest(0)
+	req.FirstCell, req.CellCount = 2, 2
+	h, r := pol.AddPlay(now, req)
 	if o := onlyOrder(t, r); o.Action != decision.Decline || o.RetryAfter != 5000 {
 		t.Fatalf("got %+v", o)
 	}
@@ -323,9 +323,9 @@
 		}
 		at += skip
 	}
-	w := newRequest(0)
-	w.Deadline = at + 4*sec
-	h, _ := pol.AddPlay(at, w)
+	req := newRequest(0)
+	req.Deadline = at + 4*sec
+	h, _ := pol.AddPlay(at, req)
 	pol.AttemptStarted(at, h, 0)
 	if pol.nodes[0].consecutiveFailures != 0 {
 		t.Fatal("consecutiveFailures was not reset by a success")
@@ -481,12 +481,12 @@
 	pol := newTestPolicy(1)
 	pol.recordFailure(now, 0, decision.ConnectionLost)
 	back := int64(now + 30*sec)
-	w := newRequest(0)
-	w.Deadline = back + 4*sec
-	h, _ := pol.AddPlay(back, w)
+	req := newRequest(0)
+	req.Deadline = back + 4*sec
+	h, _ := pol.AddPlay(back, req)
 	pol.AttemptStarted(back, h, 0)
-	if w := pol.warmShare(back, 0); w != 0.4 {
-		t.Fatalf("capacity share %v right after its return", w)
+	if share := pol.warmShare(back, 0); share != 0.4 {
+		t.Fatalf("capacity share %v right after its return", share)
 	}
 }
 
@@ -514,12 +514,12 @@
 
 func TestCommonPathAllocatesNoMemory(t *testing.T) {
 	pol := newTestPolicy(4)
-	w := newRequest(0)
+	req := newRequest(0)
 	at := int64(now)
 	if n := testing.AllocsPerRun(2000, func() {
 		at += sec
-		w.Deadline = at + 4*sec
-		h, _ := pol.AddPlay(at, w)
+		req.Deadline = at + 4*sec
+		h, _ := pol.AddPlay(at, req)
 		pol.AttemptStarted(at, h, 0)
 		pol.Wake(at)
 		pol.AttemptEnded(at, h, 0, decision.Served, true, decision.UnknownLoad)
@@ -542,12 +542,12 @@
 func TestPlayNearDeadlineDoesNotWait(t *testing.T) {
 	pol := newTestPolicy(1)
 	pol.nodes[0].skipUntil = now + 100*ms
-	w := newRequest(0)
-	if _, r := pol.AddPlay(now, w); len(r.Orders) != 0 {
+	req := newRequest(0)
+	if _, r := pol.AddPlay(now, req); len(r.Orders) != 0 {
 		t.Fatalf("play did not wait: %+v", r.Orders)
 	}
-	w.Deadline = now + 100*ms
-	if _, r := pol.AddPlay(now, w); onlyOrder(t, r).Action != decision.Decline {
+	req.Deadline = now + 100*ms
+	if _, r := pol.AddPlay(now, req); onlyOrder(t, r).Action != decision.Decline {
 		t.Fatal("play waits beyond its deadline")
 	}
 }
@@ -626,9 +626,9 @@
 
 func TestPlayNearDeadlineIsPlacedWithoutProbes(t *testing.T) {
 	pol := newTestPolicy(2, withProbing)
-	w := newRequest(0)
-	w.Deadline = now + 300*ms
-	if _, r := pol.AddPlay(now, w); len(r.Orders) != 1 || r.Orders[0].Action != decision.Place {
+	req := newRequest(0)
+	req.Deadline = now + 300*ms
+	if _, r := pol.AddPlay(now, req); len(r.Orders) != 1 || r.Orders[0].Action != decision.Place {
 		t.Fatalf("got %+v", r.Orders)
 	}
 }
@@ -674,9 +674,9 @@
 	})
 	at := int64(now)
 	for range 50 { // the process stalls for two seconds between calls
-		w := newRequest(1)
-		w.Deadline = at + 4*sec
-		h, _ := pol.AddPlay(at, w)
+		req := newRequest(1)
+		req.Deadline = at + 4*sec
+		h, _ := pol.AddPlay(at, req)
 		pol.Wake(at)
 		at += 2 * sec
 		if p := pol.plays.Get(h); p != nil && p.stage == pending {
@@ -930,9 +930,9 @@
 		for range seed {
 			pol.rng.Float()
 		}
-		w := newRequest(0)
-		w.CellCount, w.Key = 200, 77
-		h, _ := pol.AddPlay(now, w)
+		req := newRequest(0)
+		req.CellCount, req.Key = 200, 77
+		h, _ := pol.AddPlay(now, req)
 		p := pol.plays.Get(h)
 		// 100 viewers add 120 each. At half of a link of 1000 per node, 24 of the 200 nodes are used.
 		if !p.sharesStream || p.rung != 2 || pol.rate(p, 2) > 200 {
@@ -944,9 +944,9 @@
 		t.Fatalf("60 fronts used %d of 200 nodes", len(used))
 	}
 	pol := withKeys(newTestPolicy(200, withLiveTitles))
-	w := newRequest(1) // a product that is not live
-	w.CellCount, w.Key = 200, 77
-	h, _ := pol.AddPlay(now, w)
+	req := newRequest(1) // a product that is not live
+	req.CellCount, req.Key = 200, 77
+	h, _ := pol.AddPlay(now, req)
 	if p := pol.plays.Get(h); p.sharesStream || pol.rate(p, 2) != 400 {
 		t.Fatal("a play of a product that is not live shares a stream")
 	}
@@ -978,9 +978,9 @@
 
 func TestAdoptedLiveViewersShareStreams(t *testing.T) {
 	pol := withKeys(newTestPolicy(10, withLiveTitles))
-	w := newRequest(0)
-	w.CellCount, w.Key = 200, 77
-	h, _ := pol.AdoptPlay(now, w, 3) // 100 expected viewers on ten nodes
+	req := newRequest(0)
+	req.CellCount, req.Key = 200, 77
+	h, _ := pol.AdoptPlay(now, req, 3) // 100 expected viewers on ten nodes
 	pol.RungReported(now, h, 2)
 	if p := pol.plays.Get(h); !p.sharesStream || math.Abs(pol.nodes[3].ownRate-148) > 1e-6 { // 400 x (0.3 + 0.7 / 10)
 		t.Fatalf("sharesStream %v, own rate of the node %v", p.sharesStream, pol.nodes[3].ownRate)
@@ -1023,9 +1023,9 @@
 		if elsewhere {
 			addPlaying(pol, 1, 0, 1, now-sec)
 		}
-		w := newRequest(0)
-		w.CellCount = 1
-		h, r := pol.AddPlay(now, w)
+		req := newRequest(0)
+		req.CellCount = 1
+		h, r := pol.AddPlay(now, req)
 		pol.AttemptEnded(now, h, onlyOrder(t, r).Attempt, decision.Errored, false, decision.UnknownLoad)
 		if skipped := pol.nodes[0].skipUntil > now; skipped != elsewhere {
 			t.Errorf("title plays elsewhere %v: node skipped %v", elsewhere, skipped)
