--- a/dash/dash.go
+++ b/dash/dash.go
@@ -18,204 +18,204 @@
 	"gullrail/token"
 )
 
-// PlayHeader names the play in every answer about one, so that a player's report can be traced.
+// PlayHeader is the response header with the id of the play, so that reports of players can be traced.
 const PlayHeader = "Gullrail-Play"
 
-// Front serves DASH players of one front end. It keeps no state of its own.
+// Front is the HTTP handler for the DASH players of one front end. It is stateless.
 type Front struct {
-	desk *playapi.Service
-	log  zerolog.Logger
-	mux  *http.ServeMux
+	service *playapi.Service
+	log     zerolog.Logger
+	mux     *http.ServeMux
 }
 
-// NewFront makes the handler.
-func NewFront(d *playapi.Service, log zerolog.Logger) *Front {
-	f := &Front{desk: d, log: log, mux: http.NewServeMux()}
-	f.mux.HandleFunc("GET /v1/titles/{title}/manifest.mpd", f.first)
-	f.mux.HandleFunc("GET /v1/plays/{token}/manifest.mpd", f.again)
-	f.mux.HandleFunc("DELETE /v1/plays/{token}", f.leave)
+// NewFront returns the handler.
+func NewFront(service *playapi.Service, log zerolog.Logger) *Front {
+	f := &Front{service: service, log: log, mux: http.NewServeMux()}
+	f.mux.HandleFunc("GET /v1/titles/{title}/manifest.mpd", f.serveTitle)
+	f.mux.HandleFunc("GET /v1/plays/{token}/manifest.mpd", f.servePlay)
+	f.mux.HandleFunc("DELETE /v1/plays/{token}", f.endPlay)
 	return f
 }
 
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
 
-// ParseFirst reads a first request for a title: product and viewer are needed; top, limit_ms, length_ms and
-// broken may be left out.
-func ParseFirst(set *config.Service, title string, q url.Values) (playapi.Request, error) {
-	w, err := read(q)
+// ParseFirst parses a request for a title: product and viewer are required; top, limit_ms, length_ms and
+// broken are optional.
+func ParseFirst(service *config.Service, title string, q url.Values) (playapi.Request, error) {
+	params, err := parseParams(q)
 	if err != nil {
 		return playapi.Request{}, err
 	}
-	w.Title, w.Product, w.Viewer = title, q.Get("product"), q.Get("viewer")
-	return playapi.NewRequest(set, w)
+	params.Title, params.Product, params.Viewer = title, q.Get("product"), q.Get("viewer")
+	return playapi.NewRequest(service, params)
 }
 
-// ParseReturn reads a request by a token that was checked.
-func ParseReturn(set *config.Service, cl token.Claims, q url.Values) (playapi.Request, error) {
-	w, err := read(q)
+// ParseReturn parses a request for the play of a token, whose claims have been verified.
+func ParseReturn(service *config.Service, claims token.Claims, q url.Values) (playapi.Request, error) {
+	params, err := parseParams(q)
 	if err != nil {
 		return playapi.Request{}, err
 	}
-	return playapi.NewReturnRequest(set, cl, w)
+	return playapi.NewReturnRequest(service, claims, params)
 }
 
-func read(q url.Values) (w playapi.Params, err error) {
-	if w.MaxRung, err = whole(q, "top", -1, 0, 1000); err != nil {
-		return w, err
+func parseParams(q url.Values) (params playapi.Params, err error) {
+	if params.MaxRung, err = parseInt(q, "top", -1, 0, 1000); err != nil {
+		return params, err
 	}
-	if w.LimitMs, err = whole(q, "limit_ms", 0, 1, 1<<31-1); err != nil {
-		return w, err
+	if params.LimitMs, err = parseInt(q, "limit_ms", 0, 1, 1<<31-1); err != nil {
+		return params, err
 	}
-	if w.LengthMs, err = whole(q, "length_ms", 0, 0, 1<<31-1); err != nil {
-		return w, err
+	if params.LengthMs, err = parseInt(q, "length_ms", 0, 0, 1<<31-1); err != nil {
+		return params, err
 	}
 	switch q.Get("broken") {
 	case "", "0":
 	case "1":
-		w.NotDelivered = true
+		params.NotDelivered = true
 	default:
-		return w, playapi.BadRequest{Field: "broken", Problem: "0 or 1 is needed"}
+		return params, playapi.BadRequest{Field: "broken", Problem: "must be 0 or 1"}
 	}
-	return w, nil
+	return params, nil
 }
 
-func whole(q url.Values, name string, or, least, most int) (int, error) {
+func parseInt(q url.Values, name string, defaultValue, minimum, maximum int) (int, error) {
 	s := q.Get(name)
 	if s == "" {
-		return or, nil
+		return defaultValue, nil
 	}
 	n, err := strconv.Atoi(s)
-	if err != nil || n < least || n > most {
-		return 0, playapi.BadRequest{Field: name, Problem: fmt.Sprintf("a whole number from %d is needed, not %.20q", least, s)}
+	if err != nil || n < minimum || n > maximum {
+		return 0, playapi.BadRequest{Field: name, Problem: fmt.Sprintf("must be an integer of at least %d, not %.20q", minimum, s)}
 	}
 	return n, nil
 }
 
-// first answers a request for a title, with or without a token of an earlier play.
-func (f *Front) first(w http.ResponseWriter, r *http.Request) {
-	req, err := ParseFirst(f.desk.Config, r.PathValue("title"), r.URL.Query())
+// serveTitle handles a request for a title, with or without the token of an earlier play.
+func (f *Front) serveTitle(w http.ResponseWriter, r *http.Request) {
+	req, err := ParseFirst(f.service.Config, r.PathValue("title"), r.URL.Query())
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	if raw, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
-		cl, ok := f.check(w, raw)
+		claims, ok := f.checkToken(w, raw)
 		if !ok {
 			return
 		}
-		if !playapi.TokenMatches(f.desk.Config, cl, req) {
-			refuse(w, http.StatusForbidden, "token: made for another title, viewer or product")
+		if !playapi.TokenMatches(f.service.Config, claims, req) {
+			writeError(w, http.StatusForbidden, "token: issued for another title, viewer or product")
 			return
 		}
-		req.Previous = &session.Previous{Play: cl.Play, NotDelivered: req.NotDelivered}
+		req.Previous = &session.Previous{Play: claims.Play, NotDelivered: req.NotDelivered}
 	}
-	f.ask(w, r, req)
+	f.requestPlay(w, r, req)
 }
 
-// again answers a request for the manifest of a play that its token names.
-func (f *Front) again(w http.ResponseWriter, r *http.Request) {
-	cl, ok := f.check(w, r.PathValue("token"))
+// servePlay handles a request for the manifest of the play that a token identifies.
+func (f *Front) servePlay(w http.ResponseWriter, r *http.Request) {
+	claims, ok := f.checkToken(w, r.PathValue("token"))
 	if !ok {
 		return
 	}
-	req, err := ParseReturn(f.desk.Config, cl, r.URL.Query())
+	req, err := ParseReturn(f.service.Config, claims, r.URL.Query())
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	f.ask(w, r, req)
+	f.requestPlay(w, r, req)
 }
 
-// leave ends a play whose viewer is done.
-func (f *Front) leave(w http.ResponseWriter, r *http.Request) {
-	if cl, ok := f.check(w, r.PathValue("token")); ok {
-		f.desk.EndPlay(cl.Play)
+// endPlay handles a viewer's request to end its play.
+func (f *Front) endPlay(w http.ResponseWriter, r *http.Request) {
+	if claims, ok := f.checkToken(w, r.PathValue("token")); ok {
+		f.service.EndPlay(claims.Play)
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// check checks a token and answers for one that does not hold.
-func (f *Front) check(w http.ResponseWriter, raw string) (token.Claims, bool) {
-	cl, err := f.desk.Tokens.Check(raw, time.Now())
+// checkToken verifies a token. If it is invalid, it writes the error response and returns false.
+func (f *Front) checkToken(w http.ResponseWriter, raw string) (token.Claims, bool) {
+	claims, err := f.service.Tokens.Check(raw, time.Now())
 	switch {
 	case err == nil:
-		return cl, true
+		return claims, true
 	case errors.Is(err, token.ErrWrongType):
-		refuse(w, http.StatusForbidden, err.Error())
+		writeError(w, http.StatusForbidden, err.Error())
 	default:
 		w.Header().Set("WWW-Authenticate", `Bearer error="invalid_token"`)
-		refuse(w, http.StatusUnauthorized, err.Error())
+		writeError(w, http.StatusUnauthorized, err.Error())
 	}
-	return cl, false
+	return claims, false
 }
 
-func refuse(w http.ResponseWriter, status int, line string) {
+func writeError(w http.ResponseWriter, status int, message string) {
 	w.Header().Set("Cache-Control", "no-store")
-	http.Error(w, line, status)
+	http.Error(w, message, status)
 }
 
-// ask asks and writes the one answer. A client that went away has its request withdrawn.
-func (f *Front) ask(w http.ResponseWriter, r *http.Request, req playapi.Request) {
-	began := time.Now()
-	got := make(chan session.Answer, 1)
-	pending := f.desk.RequestPlay(req, nil, func(ans session.Answer) { got <- ans })
-	var ans session.Answer
+// requestPlay requests a play and writes the answer. The request is withdrawn if the client disconnects.
+func (f *Front) requestPlay(w http.ResponseWriter, r *http.Request, req playapi.Request) {
+	start := time.Now()
+	answered := make(chan session.Answer, 1)
+	pending := f.service.RequestPlay(req, nil, func(answer session.Answer) { answered <- answer })
+	var answer session.Answer
 	select {
-	case ans = <-got:
+	case answer = <-answered:
 	case <-r.Context().Done():
 		pending.Withdraw()
-		ans = <-got
+		answer = <-answered
 	}
-	f.write(w, ans)
-	f.desk.Log(req, ans, "dash", time.Since(began))
+	f.writeAnswer(w, answer)
+	f.service.Log(req, answer, "dash", time.Since(start))
 }
 
-func (f *Front) write(w http.ResponseWriter, ans session.Answer) {
+func (f *Front) writeAnswer(w http.ResponseWriter, answer session.Answer) {
 	h := w.Header()
 	h.Set("Cache-Control", "no-store")
-	if ans.Play != "" {
-		h.Set(PlayHeader, ans.Play)
+	if answer.Play != "" {
+		h.Set(PlayHeader, answer.Play)
 	}
-	if ans.RetryAfter > 0 { // HTTP tells whole seconds; rounding down would bring viewers back too soon
-		h.Set("Retry-After", strconv.FormatInt((ans.RetryAfter+decision.Second-1)/decision.Second, 10))
+	if answer.RetryAfter > 0 { // in whole seconds, rounded up so that viewers don't return too early
+		h.Set("Retry-After", strconv.FormatInt((answer.RetryAfter+decision.Second-1)/decision.Second, 10))
 	}
-	switch ans.Verdict {
+	switch answer.Verdict {
 	case session.Declined:
-		refuse(w, http.StatusServiceUnavailable, "declined: "+ans.Reason)
+		writeError(w, http.StatusServiceUnavailable, "declined: "+answer.Reason)
 	case session.Failed:
 		status := http.StatusBadGateway
-		if ans.TimedOut {
+		if answer.TimedOut {
 			status = http.StatusGatewayTimeout
 		}
-		refuse(w, status, "failed: "+ans.Reason)
+		writeError(w, status, "failed: "+answer.Reason)
 	case session.Denied:
 		status := http.StatusForbidden
-		if ans.Busy {
+		if answer.Busy {
 			status = http.StatusConflict
 		}
-		refuse(w, status, "denied: "+ans.Reason)
+		writeError(w, status, "denied: "+answer.Reason)
 	case session.Plays:
-		body, err := f.manifest(ans)
+		body, err := f.manifest(answer)
 		if err == nil {
 			h.Set("Content-Type", "application/dash+xml")
 			_, err = w.Write(body)
 		}
-		if err != nil { // the viewer never learns of its play
-			f.log.Warn().Err(err).Str("play", ans.Play).Msg("answer not delivered")
-			f.desk.EndPlay(ans.Play)
+		if err != nil { // ended, as the viewer can't use the play without the manifest
+			f.log.Warn().Err(err).Str("play", answer.Play).Msg("delivering the manifest failed; ending the play")
+			f.service.EndPlay(answer.Play)
 		}
 	}
 }
 
-// manifest writes the MPD of what a viewer is granted. The Location is a path: it is resolved against
-// the address that the player asked, whatever stands between.
-func (f *Front) manifest(ans session.Answer) ([]byte, error) {
-	g, err := f.desk.Grant(ans)
+// manifest returns the MPD of a granted play. Its Location is a path, which the player resolves against the URL that it
+// requested, so that it is valid behind a proxy too.
+func (f *Front) manifest(answer session.Answer) ([]byte, error) {
+	grant, err := f.service.Grant(answer)
 	if err != nil {
 		return nil, err
 	}
-	m := Manifest{Location: "/v1/plays/" + g.Token + "/manifest.mpd", Base: g.Base, Seconds: g.Seconds, Segment: g.Segment, Refresh: g.Segment}
-	for _, r := range g.Rungs {
+	m := Manifest{Location: "/v1/plays/" + grant.Token + "/manifest.mpd", Base: grant.Base, Seconds: grant.Seconds, Segment: grant.Segment, Refresh: grant.Segment}
+	for _, r := range grant.Rungs {
 		m.Rungs, m.Bits = append(m.Rungs, r.Number), append(m.Bits, r.Bits)
 	}
 	return m.Encode()
--- a/dash/dash_test.go
+++ b/dash/dash_test.go
@@ -10,8 +10,8 @@
 	"gullrail/config"
 )
 
-func service() *config.Service {
-	doc, v, err := config.Parse("s", []byte(`{"fronts": 1, "rates_kb": [100, 200], "worth": [0.5, 1], "cells": 4, "racks": 2, "link_kb": 1000,
+func testService() *config.Service {
+	doc, value, err := config.Parse("s", []byte(`{"fronts": 1, "rates_kb": [100, 200], "worth": [0.5, 1], "cells": 4, "racks": 2, "link_kb": 1000,
     "kinds": [{"name": "std", "streams": 10}], "zones": ["z"],
     "products": [{"name": "p", "importance": 1, "target_ms": 1000, "limit_ms": 4000, "floor": 1}],
     "titles": [{"name": "t", "home": 0, "copies": 2}], "reports": {"how": "probe"},
@@ -19,14 +19,14 @@
 	if err != nil {
 		panic(err)
 	}
-	s := config.ReadService(v)
+	service := config.ReadService(value)
 	if doc.Err() != nil {
 		panic(doc.Err())
 	}
-	return &s
+	return &service
 }
 
-func TestManifestRound(t *testing.T) {
+func TestManifestRoundTrip(t *testing.T) {
 	m := Manifest{Location: "/v1/plays/a.b.c/manifest.mpd", Base: "http://n:1/v1/media/a.b.c/t%20x/", Rungs: []int{1, 2},
 		Bits: []float64{800000, 1600000}, Seconds: 60.5, Segment: 2000, Refresh: 2000}
 	text, err := m.Encode()
@@ -36,7 +36,7 @@
 	for _, want := range []string{`xmlns="urn:mpeg:dash:schema:mpd:2011"`, `type="dynamic"`, `minimumUpdatePeriod="PT2S"`,
 		`mediaPresentationDuration="PT60.5S"`, `<Location>`, `<SegmentTemplate`, `$RepresentationID$/$Number$.m4s`, `bandwidth="1600000"`} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("no %s in %s", want, text)
+			t.Errorf("%s is missing in %s", want, text)
 		}
 	}
 	got, err := Decode(text)
@@ -47,15 +47,15 @@
 
 func TestTimeLimitCanOnlyBeShortened(t *testing.T) {
 	for q, want := range map[string]time.Duration{"": 4 * time.Second, "limit_ms=9999": 4 * time.Second, "limit_ms=300": 300 * time.Millisecond} {
-		v, _ := url.ParseQuery("product=p&viewer=v&" + q)
-		if r, err := ParseFirst(service(), "t", v); err != nil || r.Timeout != want || r.MaxRung != 1 {
+		values, _ := url.ParseQuery("product=p&viewer=v&" + q)
+		if r, err := ParseFirst(testService(), "t", values); err != nil || r.Timeout != want || r.MaxRung != 1 {
 			t.Errorf("%q: %+v %v", q, r, err)
 		}
 	}
 }
 
 func FuzzParseFirst(f *testing.F) {
-	set := service()
+	service := testService()
 	f.Add("t", "product=p&viewer=v&top=1&limit_ms=5&length_ms=9&broken=1")
 	f.Add("t", "viewer=%00")
 	f.Fuzz(func(t *testing.T, title, query string) {
@@ -63,12 +63,12 @@
 		if err != nil {
 			return
 		}
-		r, err := ParseFirst(set, title, q)
+		r, err := ParseFirst(service, title, q)
 		if err == nil && (r.Title != "t" || r.Product != 0 || r.MaxRung != 1 || r.Timeout <= 0 || r.Timeout > 4*time.Second || r.Viewer == "" || r.Length < 0) {
-			t.Fatalf("taken: %+v", r)
+			t.Fatalf("accepted: %+v", r)
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Fatalf("more than a line: %q", err)
+			t.Fatalf("the error has several lines: %q", err)
 		}
 	})
 }
@@ -78,7 +78,7 @@
 	f.Add(string(text))
 	f.Fuzz(func(t *testing.T, s string) {
 		if m, err := Decode([]byte(s)); err == nil && (len(m.Rungs) == 0 || m.Base == "" || len(m.Rungs) != len(m.Bits)) {
-			t.Fatalf("taken: %+v", m)
+			t.Fatalf("accepted: %+v", m)
 		}
 	})
 }
--- a/dash/mpd.go
+++ b/dash/mpd.go
@@ -1,6 +1,5 @@
-// Package dash is the protocol front for DASH players: it decodes a request for a manifest, asks the
-// core once, and encodes the one answer as an MPD of ISO/IEC 23009-1 with a session token in it. It
-// decides nothing about plays.
+// Package dash serves DASH players: it parses a request for a manifest, requests a play from the core, and encodes the
+// answer as an MPD (ISO/IEC 23009-1) that contains a session token. It makes no decisions about plays.
 package dash
 
 import (
@@ -12,20 +11,20 @@
 	"gullrail/playapi"
 )
 
-// Manifest is what an MPD is made of.
+// Manifest is the variable content of an MPD.
 type Manifest struct {
-	Location string    // where this MPD is asked for again
-	Base     string    // where the segments lie; ends in a slash
-	Rungs    []int     // representations allowed
-	Bits     []float64 // bit/s of each of them
-	Seconds  float64   // length; 0 is not told
+	Location string    // URL for updates of the MPD
+	Base     string    // base URL of the segments, with a trailing slash
+	Rungs    []int     // rungs that the player may fetch, a Representation each
+	Bits     []float64 // bit rate of each rung, bit/s
+	Seconds  float64   // length of the title; 0 if unknown
 	Segment  float64   // length of a segment, milliseconds
-	Refresh  float64   // the MPD is asked for again so often, milliseconds
+	Refresh  float64   // minimum time between updates of the MPD, milliseconds
 }
 
-// The elements of ISO/IEC 23009-1 that are used. The presentation is 'dynamic' though the clip is
-// recorded: only then may a player be told to ask for its MPD again (5.3.1.2, minimumUpdatePeriod), which
-// is how a changed rung reaches it. All segments are available from the start.
+// mpd has the elements of ISO/IEC 23009-1 that are used. The presentation is 'dynamic' although the title is recorded,
+// because only dynamic presentations have updates of the MPD (5.3.1.2, minimumUpdatePeriod), by which a player learns of
+// rung changes. All segments are available from the start.
 type mpd struct {
 	XMLName   xml.Name `xml:"urn:mpeg:dash:schema:mpd:2011 MPD"`
 	Profiles  string   `xml:"profiles,attr"`
@@ -68,24 +67,24 @@
 	Codecs    string `xml:"codecs,attr"`
 }
 
-// RepresentationID is the id of a rung's Representation.
+// RepresentationID returns the id of a rung's Representation.
 func RepresentationID(rung int) string { return playapi.RungID(rung) }
 
-// ParseRepresentationID reads a Representation's id.
+// ParseRepresentationID returns the rung of a Representation's id.
 func ParseRepresentationID(id string) (int, error) {
 	if len(id) < 2 || id[0] != 'r' {
-		return 0, fmt.Errorf("representation %.20q: not one of ours", id)
+		return 0, fmt.Errorf("representation %.20q: not of the form r0 to r1000", id)
 	}
 	n, err := strconv.Atoi(id[1:])
 	if err != nil || n < 0 || n > 1000 || RepresentationID(n) != id {
-		return 0, fmt.Errorf("representation %.20q: not one of ours", id)
+		return 0, fmt.Errorf("representation %.20q: not of the form r0 to r1000", id)
 	}
 	return n, nil
 }
 
 func duration(ms float64) string { return "PT" + strconv.FormatFloat(ms/1000, 'f', -1, 64) + "S" }
 
-// Encode writes the MPD.
+// Encode returns the MPD as XML.
 func (m Manifest) Encode() ([]byte, error) {
 	doc := mpd{Profiles: "urn:mpeg:dash:profile:isoff-live:2011", Type: "dynamic", Available: "1970-01-01T00:00:00Z",
 		Refresh: duration(m.Refresh), Buffer: duration(m.Segment), Location: m.Location, BaseURL: m.Base,
@@ -106,7 +105,7 @@
 	return append([]byte(xml.Header), out...), nil
 }
 
-// Decode reads back what a player needs of an MPD that Encode wrote.
+// Decode parses an MPD that was written by Encode.
 func Decode(text []byte) (Manifest, error) {
 	var doc mpd
 	if err := xml.Unmarshal(text, &doc); err != nil {
@@ -122,13 +121,13 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(field.text, "PT%gS", field.into); err != nil {
-			return Manifest{}, fmt.Errorf("MPD: %s: %.20q is no duration in seconds", field.name, field.text)
+			return Manifest{}, fmt.Errorf("MPD: %s: %.20q is not a duration in seconds", field.name, field.text)
 		}
 		*field.into *= field.scale
 	}
 	for _, u := range []string{m.Location, m.Base} {
 		if _, err := url.Parse(u); err != nil || u == "" {
-			return Manifest{}, fmt.Errorf("MPD: address %.60q", u)
+			return Manifest{}, fmt.Errorf("MPD: invalid URL %.60q", u)
 		}
 	}
 	for _, r := range doc.Period.Set.Representations {
