--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,7 @@
-// Package client is the players' side of gullrail: a viewer who asks for plays, is told rung changes and moves, and
-// comes back after breaks, over one WebSocket (docs/wire-session.md) or by DASH manifests. It does what a front
-// expects of a player: one request for a title at a time, pauses as advised and moved by chance, resuming by cursor.
+// Package client is a client for players. A viewer requests plays over one WebSocket (docs/wire-session.md), receives rung
+// changes and moves to other nodes, and resumes its plays after a disconnect; for DASH there are functions that request a
+// manifest. As the protocol requires, the client has one pending request per title and product, honors retry delays and adds
+// jitter to them, and resumes by cursor.
 package client
 
 import (
@@ -24,62 +25,62 @@
 )
 
 const (
-	pauseLeast   = 200 * time.Millisecond // before the second dial; doubled, and drawn between half and all of it
-	pauseMost    = 5 * time.Second
-	herd         = 2 * time.Second  // after a break the first dial elsewhere is drawn from this: whole fronts break at once
-	dialFor      = 3 * time.Second  // for a handshake
-	answerSlack  = 2 * time.Second  // past the time limit: then the front has died without a word
-	quietFor     = 40 * time.Second // without a message or ping the socket is dead: a front pings each 15 s
-	eventsHeld   = 32               // events not yet taken; past it the oldest change of rung goes
-	messageLimit = 64 << 10
+	minRetryDelay          = 200 * time.Millisecond // before the first retry; doubled for each further one, with jitter
+	maxRetryDelay          = 5 * time.Second
+	defaultReconnectSpread = 2 * time.Second  // the first reconnection is delayed by a random part of this, as a failed front disconnects all its players at once
+	ioTimeout              = 3 * time.Second  // of a handshake or a write
+	answerGrace            = 2 * time.Second  // a front that has not answered this long after the time limit is taken for failed
+	idleTimeout            = 40 * time.Second // a socket without messages or pings for this long is dead, as fronts ping every 15 s; currently unused
+	eventBuffer            = 32               // events kept for the application; when full, the oldest is dropped
+	maxMessageBytes        = 64 << 10
 )
 
-// Options say who the viewer is and where it asks. Fronts must not be empty.
+// Options are the settings of a client. Fronts must not be empty.
 type Options struct {
-	Fronts          []string // addresses, host:port; the first one is asked first
+	Fronts          []string // addresses as host:port, in the order in which they are tried
 	TLS             bool
 	Viewer          string
-	HTTP            *http.Client   // nil is http.DefaultClient
-	OnExchange      func(Exchange) // told of each request and answer, on the client's goroutine; may be nil
-	ReconnectSpread time.Duration
+	HTTP            *http.Client   // if nil, http.DefaultClient is used
+	OnExchange      func(Exchange) // if not nil, called with each request and answer while a lock is held: it must not call the client
+	ReconnectSpread time.Duration  // the first reconnection is delayed by a random part of this; if 0, of 2 s
 }
 
-// Exchange is a request or answer as it crossed the socket.
+// Exchange is a request sent by the client, its answer, or the failure to receive one.
 type Exchange struct {
 	Ticket, Front string
-	Request       Request // of a request
-	PreviousPlay  string  // the play that its token names
+	Request       Request // set for a request, like the next two fields
+	PreviousPlay  string  // play of the token that was sent with it
 	NotDelivered  bool
 	Answer        *wsapi.Message // nil for a request
-	Err           error          // the request has no answer: its front is gone
+	Err           error          // why there is no answer to the request
 }
 
-// Request is what a viewer asks for. Top below 0 is not told; Limit and Length 0 are not.
+// Request describes the play that a viewer requests. MaxRung below 0, Timeout 0 and Length 0 are not sent.
 type Request struct {
 	Title, Product  string
 	MaxRung         int
 	Timeout, Length time.Duration
-	MaxRetries      int // further tries after a decline or a failure
+	MaxRetries      int // after a decline or a failure
 }
 
-// EventKind an event tells.
+// EventKind is the type of an event.
 type EventKind uint8
 
 const (
-	Rung        EventKind = iota // other rungs may be fetched from now on
-	Moved                        // it plays elsewhere from now on
-	Interrupted                  // it plays nowhere; another place is being asked for
-	Ended                        // it is over
+	Rung        EventKind = iota // the rungs that may be fetched have changed
+	Moved                        // the play continues at another node
+	Interrupted                  // the play has no node; the client requests another one
+	Ended                        // the play has ended
 )
 
 // Event is a change of a play.
 type Event struct {
 	Kind   EventKind
-	Grant  playapi.Grant // with Rung and Moved
+	Grant  playapi.Grant // set for Rung and Moved
 	Reason string
 }
 
-// RefusedError is the error of a request that was answered otherwise than with a play.
+// RefusedError is the error of a request that was answered without a play.
 type RefusedError struct {
 	Verdict    string // declined, failed or denied
 	Reason     string
@@ -88,38 +89,38 @@
 
 func (r *RefusedError) Error() string { return r.Verdict + ": " + r.Reason }
 
-// Why a request or play is over without the front's doing.
+// Errors of requests that the application has ended.
 var (
 	ErrClosed = errors.New("client: closed")
 	ErrLeft   = errors.New("client: the viewer left")
 )
 
-// Client is one viewer with one socket, which is opened when something is asked. It is safe for use by many goroutines.
+// Client is one viewer with one socket, which is opened when a play is requested. It is safe for concurrent use.
 type Client struct {
-	o      Options
-	cancel context.CancelFunc
-	ctx    context.Context
-	done   chan struct{}
-	kick   chan struct{}
-
-	mu    sync.Mutex
-	plays []*Play
-	out   []wsapi.Message
-	at    int // the front that is asked now
+	options Options
+	cancel  context.CancelFunc
+	ctx     context.Context
+	done    chan struct{}
+	wakeup  chan struct{}
+
+	mu       sync.Mutex
+	plays    []*Play
+	outgoing []wsapi.Message
+	front    int // index in options.Fronts of the current front
 }
 
-// New makes a client. Close ends it.
-func New(o Options) *Client {
-	if o.ReconnectSpread == 0 {
-		o.ReconnectSpread = herd
+// New returns a client. Call Close to stop it.
+func New(options Options) *Client {
+	if options.ReconnectSpread == 0 {
+		options.ReconnectSpread = defaultReconnectSpread
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Client{o: o, ctx: ctx, cancel: cancel, done: make(chan struct{}), kick: make(chan struct{}, 1)}
+	c := &Client{options: options, ctx: ctx, cancel: cancel, done: make(chan struct{}), wakeup: make(chan struct{}, 1)}
 	go c.run()
 	return c
 }
 
-// Close leaves all plays and ends the client.
+// Close ends all plays and stops the client.
 func (c *Client) Close() {
 	c.mu.Lock()
 	plays := append([]*Play(nil), c.plays...)
@@ -128,17 +129,17 @@
 		p.End()
 	}
 	if len(plays) > 0 {
-		c.settle()
+		c.waitForSends()
 	}
 	c.cancel()
 	<-c.done
 }
 
-// settle gives what was said last a moment to go out.
-func (c *Client) settle() {
+// waitForSends waits up to 100 ms for the queued messages to be sent.
+func (c *Client) waitForSends() {
 	for range 50 {
 		c.mu.Lock()
-		n := len(c.out)
+		n := len(c.outgoing)
 		c.mu.Unlock()
 		if n == 0 {
 			return
@@ -147,56 +148,55 @@
 	}
 }
 
-// state of a play.
-type state uint8
+type playState uint8
 
 const (
-	toAsk  state = iota // to be asked for, when its time comes
-	asked               // on its way
-	plays               // it plays
-	closed              // over, for whatever reason
+	stateWaiting playState = iota // to be requested at requestAt
+	statePending                  // requested, not yet answered
+	statePlaying
+	stateEnded // for whatever reason
 )
 
-// Play is one request and the play that comes of it.
+// Play is one request and the play that results from it.
 type Play struct {
-	c        *Client
-	want     Request
-	state    state
-	ticket   string
-	front    int // where it was asked
-	cursor   uint64
-	grant    playapi.Grant
-	broken   bool
-	tries    int
-	before   string // token of the play that it is to be placed again
-	askAt    time.Time
-	limitAt  time.Time
-	ever     bool // it has played
-	first    chan error
-	events   chan Event
-	playedBy string
+	client        *Client
+	request       Request
+	state         playState
+	ticket        string
+	front         int // index of the front to which the request was sent
+	cursor        uint64
+	grant         playapi.Grant
+	notDelivered  bool
+	retriesLeft   int
+	previousToken string // token of the play for which another node is requested
+	requestAt     time.Time
+	deadline      time.Time
+	started       bool // a node was granted at least once
+	result        chan error
+	events        chan Event
+	playID        string
 }
 
-// RequestPlay asks for a play and waits until it plays, is refused for good, or the context ends, which withdraws it. The error of
-// a refusal is a *RefusedError.
-func (c *Client) RequestPlay(ctx context.Context, w Request) (*Play, error) {
-	p := &Play{c: c, want: w, first: make(chan error, 1), events: make(chan Event, eventsHeld), tries: w.MaxRetries}
+// RequestPlay requests a play and waits until it is granted or finally refused. The error is a *RefusedError if it was refused.
+// If ctx is done first, the request is withdrawn.
+func (c *Client) RequestPlay(ctx context.Context, request Request) (*Play, error) {
+	p := &Play{client: c, request: request, result: make(chan error, 1), events: make(chan Event, eventBuffer), retriesLeft: request.MaxRetries}
 	c.mu.Lock()
 	if c.ctx.Err() != nil {
 		c.mu.Unlock()
 		return nil, ErrClosed
 	}
-	for _, o := range c.plays {
-		if o.state <= asked && o.want.Title == w.Title && o.want.Product == w.Product {
+	for _, other := range c.plays {
+		if other.state <= statePending && other.request.Title == request.Title && other.request.Product == request.Product {
 			c.mu.Unlock()
-			return nil, &RefusedError{Verdict: "denied", Reason: "the same is being asked for"}
+			return nil, &RefusedError{Verdict: "denied", Reason: "a request for the same title and product is pending"}
 		}
 	}
 	c.plays = append(c.plays, p)
 	c.mu.Unlock()
 	c.wake()
 	select {
-	case err := <-p.first:
+	case err := <-p.result:
 		if err != nil {
 			return nil, err
 		}
@@ -209,70 +209,71 @@
 	}
 }
 
-// Events brings the play's changes. It is closed when the play is over. One who doesn't take them misses changes
-// of rung first; Grant always is the present state.
+// Events returns the channel of the play's events, which is closed when the play has ended. If the application does not
+// receive from it, the oldest events are dropped; Grant always returns the current state.
 func (p *Play) Events() <-chan Event { return p.events }
 
-// Grant is what may be fetched now.
+// Grant returns what may be fetched now.
 func (p *Play) Grant() playapi.Grant {
-	p.c.mu.Lock()
-	defer p.c.mu.Unlock()
+	p.client.mu.Lock()
+	defer p.client.mu.Unlock()
 	return p.grant
 }
 
-// ReportNotDelivered says that the node does not deliver; the play is placed elsewhere, which Moved tells.
+// ReportNotDelivered reports to the front that the node does not deliver. The play is moved to another node; a Moved event
+// follows.
 func (p *Play) ReportNotDelivered() {
-	p.c.mu.Lock()
-	if p.state == plays {
-		p.c.say(wsapi.Message{Type: "report", Ticket: p.ticket, Broken: true})
+	p.client.mu.Lock()
+	if p.state == statePlaying {
+		p.client.send(wsapi.Message{Type: "report", Ticket: p.ticket, Broken: true})
 	}
-	p.c.mu.Unlock()
-	p.c.wake()
+	p.client.mu.Unlock()
+	p.client.wake()
 }
 
-// End ends the play, or the request for it.
+// End ends the play or withdraws the request for it.
 func (p *Play) End() {
-	p.c.mu.Lock()
-	if p.state == asked || p.state == plays {
-		p.c.say(wsapi.Message{Type: "bye", Ticket: p.ticket})
+	p.client.mu.Lock()
+	if p.state == statePending || p.state == statePlaying {
+		p.client.send(wsapi.Message{Type: "bye", Ticket: p.ticket})
 	}
-	p.c.end(p, Event{Kind: Ended, Reason: "left"}, ErrLeft)
-	p.c.mu.Unlock()
-	p.c.wake()
+	p.client.end(p, Event{Kind: Ended, Reason: "left"}, ErrLeft)
+	p.client.mu.Unlock()
+	p.client.wake()
 }
 
 func (c *Client) wake() {
 	select {
-	case c.kick <- struct{}{}:
+	case c.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-func (c *Client) say(m wsapi.Message) { c.out = append(c.out, m) }
+func (c *Client) send(m wsapi.Message) { c.outgoing = append(c.outgoing, m) }
 
-// end closes a play; the caller holds the lock.
+// end ends a play. The caller holds c.mu.
 func (c *Client) end(p *Play, e Event, err error) {
-	if p.state == closed {
+	if p.state == stateEnded {
 		return
 	}
-	if p.state == asked {
-		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Err: err})
+	if p.state == statePending {
+		c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[p.front], Err: err})
 	}
-	p.state = closed
-	if !p.ever {
-		p.first <- err
+	p.state = stateEnded
+	if !p.started {
+		p.result <- err
 	}
 	p.emit(e)
 	close(p.events)
-	for i, o := range c.plays {
-		if o == p {
+	for i, other := range c.plays {
+		if other == p {
 			c.plays = append(c.plays[:i], c.plays[i+1:]...)
 			break
 		}
 	}
 }
 
-// emit tells of a change, leaving the oldest one out where nobody takes them.
+// emit adds an event to the channel and drops the oldest ones while it is full.
 func (p *Play) emit(e Event) {
 	for {
 		select {
@@ -287,18 +288,18 @@
 	}
 }
 
-func ticket() string {
+func newTicketID() string {
 	var b [18]byte
-	rand.Read(b[:]) // never fails
+	rand.Read(b[:]) // never returns an error
 	return base64.RawURLEncoding.EncodeToString(b[:])
 }
 
-// drawn is a pause between half and all of a time.
-func drawn(d time.Duration) time.Duration {
+// jitter returns a random duration between d/2 and d.
+func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(mathrand.Float64()*float64(d/2))
 }
 
-// run keeps a socket open while there is anything to ask or to hear.
+// run keeps a socket open while there are plays or requests.
 func (c *Client) run() {
 	defer close(c.done)
 	defer func() {
@@ -313,67 +314,67 @@
 		c.mu.Lock()
 		idle := len(c.plays) == 0
 		if idle {
-			c.out = nil
+			c.outgoing = nil
 		}
-		at := c.at
+		front := c.front
 		c.mu.Unlock()
 		if idle {
 			select {
-			case <-c.kick:
+			case <-c.wakeup:
 				continue
 			case <-c.ctx.Done():
 				return
 			}
 		}
-		pause, served := c.connect(at)
+		delay, connected := c.connect(front)
 		if c.ctx.Err() != nil {
 			return
 		}
-		if served {
+		if connected {
 			failures = 0
 		}
 		c.mu.Lock()
-		c.at = (at + 1) % len(c.o.Fronts)
-		if pause == 0 {
-			pause = drawn(min(pauseMost, pauseLeast<<min(failures, 8)))
-			if served && len(c.plays) > 0 { // it broke: others broke with it
-				pause = time.Duration(mathrand.Float64() * float64(c.o.ReconnectSpread))
+		c.front = (front + 1) % len(c.options.Fronts)
+		if delay == 0 {
+			delay = jitter(min(maxRetryDelay, minRetryDelay<<min(failures, 8)))
+			if connected && len(c.plays) > 0 { // the front may have failed, so that many players reconnect at once
+				delay = time.Duration(mathrand.Float64() * float64(c.options.ReconnectSpread))
 			}
 		}
 		c.mu.Unlock()
 		failures++
 		select {
-		case <-time.After(pause):
+		case <-time.After(delay):
 		case <-c.ctx.Done():
 			return
 		}
 	}
 }
 
-// connect opens a socket to a front and serves it until it ends. It returns the front's advice when to come
-// back, 0 for none, and whether the socket was open at all.
-func (c *Client) connect(at int) (advice time.Duration, served bool) {
+// connect opens a socket to a front and serves it until it is closed. It returns the reconnection delay that the front
+// advises, 0 if none, and whether the handshake succeeded.
+func (c *Client) connect(front int) (retryAfter time.Duration, connected bool) {
 	scheme := "ws"
-	if c.o.TLS {
+	if c.options.TLS {
 		scheme = "wss"
 	}
-	target := scheme + "://" + c.o.Fronts[at] + wsapi.Path + "?viewer=" + url.QueryEscape(c.o.Viewer)
-	ctx, cancel := context.WithTimeout(c.ctx, dialFor)
-	conn, resp, err := websocket.Dial(ctx, target, &websocket.DialOptions{HTTPClient: c.o.HTTP, Subprotocols: []string{wsapi.Subprotocol}})
+	target := scheme + "://" + c.options.Fronts[front] + wsapi.Path + "?viewer=" + url.QueryEscape(c.options.Viewer)
+	ctx, cancel := context.WithTimeout(c.ctx, ioTimeout)
+	conn, resp, err := websocket.Dial(ctx, target, &websocket.DialOptions{HTTPClient: c.options.HTTP, Subprotocols: []string{wsapi.Subprotocol}})
 	cancel()
 	if err != nil {
 		if resp != nil {
-			return comeBack(resp.Header), false
+			return parseRetryAfter(resp.Header), false
 		}
 		return 0, false
 	}
 	defer conn.CloseNow()
-	conn.SetReadLimit(messageLimit)
-	return c.serve(conn, at), true
+	conn.SetReadLimit(maxMessageBytes)
+	return c.serveSocket(conn, front), true
 }
 
-// comeBack reads a front's advice, in milliseconds where it is told, and in whole seconds else.
-func comeBack(h http.Header) time.Duration {
+// parseRetryAfter returns the delay that a front advises: of the header in milliseconds if present, else of Retry-After.
+func parseRetryAfter(h http.Header) time.Duration {
 	if ms, err := strconv.Atoi(h.Get(wsapi.RetryAfterMsHeader)); err == nil && ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
@@ -383,60 +384,62 @@
 	return 0
 }
 
-func (c *Client) serve(conn *websocket.Conn, at int) (advice time.Duration) {
+// serveSocket exchanges messages until the socket is closed. It returns the reconnection delay that the front advises, 0 if
+// none.
+func (c *Client) serveSocket(conn *websocket.Conn, front int) (retryAfter time.Duration) {
 	ctx, cancel := context.WithCancel(c.ctx)
-	in := make(chan wsapi.Message)
-	read := make(chan struct{})
+	incoming := make(chan wsapi.Message)
+	readDone := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(readDone)
 		for {
 			_, text, err := conn.Read(ctx)
 			if err != nil {
 				return
 			}
 			var m wsapi.Message
-			if json.Unmarshal(text, &m) != nil { // a later version's: not for us
+			if json.Unmarshal(text, &m) != nil { // ignored: may be of a later version
 				continue
 			}
 			select {
-			case in <- m:
+			case incoming <- m:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	defer func() { cancel(); <-read }()
+	defer func() { cancel(); <-readDone }()
 	c.mu.Lock()
 	for _, p := range c.plays {
-		c.takeUp(p, at)
+		c.resume(p, front)
 	}
 	c.mu.Unlock()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		next, late := c.due(at)
-		if late { // asked, and past its limit without a word: this front does not answer
-			c.lost(at, errors.New("no answer within the time limit"))
-			return advice
+		next, overdue := c.requestDue(front)
+		if overdue { // the front is taken for failed
+			c.handleDisconnect(front, errors.New("no answer within the time limit"))
+			return retryAfter
 		}
 		timer.Reset(next)
-		if !c.send(ctx, conn) {
-			c.lost(at, errors.New("the socket broke"))
-			return advice
+		if !c.sendQueued(ctx, conn) {
+			c.handleDisconnect(front, errors.New("the connection was lost"))
+			return retryAfter
 		}
 		select {
-		case m := <-in:
+		case m := <-incoming:
 			if m.Type == "bye" {
-				advice = time.Duration(m.ComeBack) * time.Millisecond
-				continue // the close follows
+				retryAfter = time.Duration(m.ComeBack) * time.Millisecond
+				continue // the front closes the socket next
 			}
-			c.take(m, at)
-		case <-read:
-			c.lost(at, errors.New("the socket broke"))
-			return advice
-		case <-c.kick:
+			c.handle(m, front)
+		case <-readDone:
+			c.handleDisconnect(front, errors.New("the connection was lost"))
+			return retryAfter
+		case <-c.wakeup:
 			c.mu.Lock()
-			done := len(c.plays) == 0 && len(c.out) == 0
+			done := len(c.plays) == 0 && len(c.outgoing) == 0
 			c.mu.Unlock()
 			if done {
 				conn.Close(websocket.StatusNormalClosure, "")
@@ -450,115 +453,116 @@
 	}
 }
 
-// takeUp says what a new socket needs to hear of a play.
-func (c *Client) takeUp(p *Play, at int) {
+// resume queues the message by which a play or request continues on a new socket.
+func (c *Client) resume(p *Play, front int) {
 	switch p.state {
-	case plays:
-		c.say(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor, Token: p.grant.Token})
-	case asked:
-		if p.front == at { // its answer may wait there
-			c.say(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor})
+	case statePlaying:
+		c.send(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor, Token: p.grant.Token})
+	case statePending:
+		if p.front == front { // the front may have the answer
+			c.send(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor})
 			return
 		}
-		c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[p.front], Err: errors.New("its front is gone")})
-		p.state, p.askAt = toAsk, time.Now()
+		c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[p.front], Err: errors.New("the connection to the front of the request was lost")})
+		p.state, p.requestAt = stateWaiting, time.Now()
 	}
 }
 
-// lost drops what was to be said on a socket that broke, but for goodbyes: they are owed by ticket.
-func (c *Client) lost(at int, err error) {
+// handleDisconnect discards the messages queued for a lost socket, and retries or ends requests whose time limit has passed.
+func (c *Client) handleDisconnect(front int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.out = nil
+	c.outgoing = nil
 	for _, p := range c.plays {
-		if p.state == asked && p.front == at && time.Now().After(p.limitAt) {
-			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Err: err})
+		if p.state == statePending && p.front == front && time.Now().After(p.deadline) {
+			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Err: err})
 			c.retry(p, &RefusedError{Verdict: "failed", Reason: err.Error()})
 		}
 	}
 }
 
-// due asks for what is due, and returns when to look again; late, that an answer is overdue.
-func (c *Client) due(at int) (next time.Duration, late bool) {
+// requestDue sends the requests whose time has come. It returns the time until the next call is needed, and whether an
+// answer is overdue.
+func (c *Client) requestDue(front int) (next time.Duration, overdue bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	next = time.Minute
 	for _, p := range c.plays {
-		if p.state == toAsk && !now.Before(p.askAt) {
-			c.ask(p, at, now)
+		if p.state == stateWaiting && !now.Before(p.requestAt) {
+			c.requestNow(p, front, now)
 		}
 		switch {
-		case p.state == toAsk:
-			next = min(next, p.askAt.Sub(now))
-		case p.state == asked && !p.limitAt.IsZero():
-			if now.After(p.limitAt.Add(answerSlack)) {
+		case p.state == stateWaiting:
+			next = min(next, p.requestAt.Sub(now))
+		case p.state == statePending && !p.deadline.IsZero():
+			if now.After(p.deadline.Add(answerGrace)) {
 				return 0, true
 			}
-			next = min(next, p.limitAt.Add(answerSlack).Sub(now)+time.Millisecond)
+			next = min(next, p.deadline.Add(answerGrace).Sub(now)+time.Millisecond)
 		}
 	}
 	return next, false
 }
 
-func (c *Client) ask(p *Play, at int, now time.Time) {
-	p.ticket, p.front, p.state, p.cursor = ticket(), at, asked, 0
-	m := wsapi.Message{Type: "ask", Ticket: p.ticket, Title: p.want.Title, Product: p.want.Product, Viewer: c.o.Viewer,
-		LimitMs: int(p.want.Timeout.Milliseconds()), LengthMs: int(p.want.Length.Milliseconds()), Token: p.before, Broken: p.broken && p.before != ""}
-	if p.want.MaxRung >= 0 {
-		top := p.want.MaxRung
-		m.Top = &top
-	}
-	limit := p.want.Timeout
-	if limit == 0 {
-		limit = 30 * time.Second
-	}
-	p.limitAt = now.Add(limit)
-	c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Request: p.want, PreviousPlay: p.playedBy, NotDelivered: m.Broken})
-	c.say(m)
+func (c *Client) requestNow(p *Play, front int, now time.Time) {
+	p.ticket, p.front, p.state, p.cursor = newTicketID(), front, statePending, 0
+	m := wsapi.Message{Type: "ask", Ticket: p.ticket, Title: p.request.Title, Product: p.request.Product, Viewer: c.options.Viewer,
+		LimitMs: int(p.request.Timeout.Milliseconds()), LengthMs: int(p.request.Length.Milliseconds()), Token: p.previousToken, Broken: p.notDelivered && p.previousToken != ""}
+	if p.request.MaxRung >= 0 {
+		maxRung := p.request.MaxRung
+		m.Top = &maxRung
+	}
+	timeout := p.request.Timeout
+	if timeout == 0 {
+		timeout = 30 * time.Second
+	}
+	p.deadline = now.Add(timeout)
+	c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Request: p.request, PreviousPlay: p.playID, NotDelivered: m.Broken})
+	c.send(m)
 }
 
-func (c *Client) trace(t Exchange) {
-	if c.o.OnExchange != nil {
-		c.o.OnExchange(t)
+func (c *Client) onExchange(exchange Exchange) {
+	if c.options.OnExchange != nil {
+		c.options.OnExchange(exchange)
 	}
 }
 
-func (c *Client) send(ctx context.Context, conn *websocket.Conn) bool {
+func (c *Client) sendQueued(ctx context.Context, conn *websocket.Conn) bool {
 	for {
 		c.mu.Lock()
-		if len(c.out) == 0 {
+		if len(c.outgoing) == 0 {
 			c.mu.Unlock()
 			return true
 		}
-		m := c.out[0]
+		m := c.outgoing[0]
 		c.mu.Unlock()
 		text, err := json.Marshal(m)
 		if err != nil {
-			panic(fmt.Sprintf("client: %v", err)) // strings and numbers always encode
+			panic(fmt.Sprintf("client: %v", err)) // can't happen: a Message can always be encoded
 		}
-		write, cancel := context.WithTimeout(ctx, dialFor)
-		err = conn.Write(write, websocket.MessageText, text)
+		writeCtx, cancel := context.WithTimeout(ctx, ioTimeout)
+		err = conn.Write(writeCtx, websocket.MessageText, text)
 		cancel()
 		if err != nil {
 			return false
 		}
 		c.mu.Lock()
-		if len(c.out) > 0 {
-			c.out = c.out[1:]
+		if len(c.outgoing) > 0 {
+			c.outgoing = c.outgoing[1:]
 		}
 		c.mu.Unlock()
 	}
 }
 
-// take acts upon a front's message.
-func (c *Client) take(m wsapi.Message, at int) {
+// handle processes a front's message.
+func (c *Client) handle(m wsapi.Message, front int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var p *Play
-	for _, o := range c.plays {
-		if o.ticket == m.Ticket && m.Ticket != "" {
-			p = o
+	for _, other := range c.plays {
+		if other.ticket == m.Ticket && m.Ticket != "" {
+			p = other
 		}
 	}
 	if p == nil {
@@ -566,23 +570,23 @@
 	}
 	if m.Cursor > 0 {
 		if m.Cursor <= p.cursor {
-			return // had it
+			return // a duplicate
 		}
 		p.cursor = m.Cursor
-		c.say(wsapi.Message{Type: "ack", Ticket: p.ticket, Cursor: m.Cursor})
+		c.send(wsapi.Message{Type: "ack", Ticket: p.ticket, Cursor: m.Cursor})
 	}
 	switch m.Type {
 	case "answer":
-		if p.state == asked {
-			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &m})
+		if p.state == statePending {
+			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Answer: &m})
 		}
 		if m.Grant != nil {
-			moved := p.ever && m.Grant.Play != p.playedBy
-			p.grant, p.state, p.before, p.broken, p.playedBy, p.tries = *m.Grant, plays, "", false, m.Grant.Play, p.want.MaxRetries
+			moved := p.started && m.Grant.Play != p.playID
+			p.grant, p.state, p.previousToken, p.notDelivered, p.playID, p.retriesLeft = *m.Grant, statePlaying, "", false, m.Grant.Play, p.request.MaxRetries
 			switch {
-			case !p.ever:
-				p.ever = true
-				p.first <- nil
+			case !p.started:
+				p.started = true
+				p.result <- nil
 			case moved:
 				p.emit(Event{Kind: Moved, Grant: p.grant})
 			default:
@@ -596,38 +600,39 @@
 		p.emit(Event{Kind: Rung, Grant: p.grant})
 	case "moved":
 		p.emit(Event{Kind: Interrupted, Reason: m.Why})
-		p.before, p.state, p.askAt = p.grant.Token, toAsk, time.Now()
+		p.previousToken, p.state, p.requestAt = p.grant.Token, stateWaiting, time.Now()
 	case "ended":
 		c.end(p, Event{Kind: Ended, Reason: m.Why}, &RefusedError{Verdict: "failed", Reason: "ended"})
 	case "taken":
 		c.end(p, Event{Kind: Ended, Reason: "taken over by another socket"}, errors.New("client: taken over by another socket"))
 	case "unknown":
-		if p.state == plays { // its front died: another place, by its token
-			p.before = p.grant.Token
-			p.emit(Event{Kind: Interrupted, Reason: "its front is gone"})
-		} else if p.state == asked {
-			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Err: errors.New("its request is not known any more")})
+		if p.state == statePlaying { // the front has failed: request another node with the token
+			p.previousToken = p.grant.Token
+			p.emit(Event{Kind: Interrupted, Reason: "the front of the play was lost"})
+		} else if p.state == statePending {
+			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Err: errors.New("the front no longer knows the request")})
 		}
-		p.state, p.askAt = toAsk, time.Now()
+		p.state, p.requestAt = stateWaiting, time.Now()
 	case "error":
-		if p.state == asked {
-			c.trace(Exchange{Ticket: p.ticket, Front: c.o.Fronts[at], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
-			p.before = "" // a token that is not taken
+		if p.state == statePending {
+			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
+			p.previousToken = "" // the token may have been rejected
 			c.retry(p, &RefusedError{Verdict: "denied", Reason: m.Why})
 		}
 	}
 }
 
-// retry asks again later, as advised, or gives up; the caller holds the lock.
-func (c *Client) retry(p *Play, r *RefusedError) {
-	p.state = toAsk // answered: nothing is on its way
-	if p.tries--; p.tries < 0 {
-		c.end(p, Event{Kind: Ended, Reason: r.Error()}, r)
+// retry schedules the next request, after the advised delay if there is one, or ends the play if no retries are left. The
+// caller holds c.mu.
+func (c *Client) retry(p *Play, refusal *RefusedError) {
+	p.state = stateWaiting // before end, which reports a pending request as unanswered
+	if p.retriesLeft--; p.retriesLeft < 0 {
+		c.end(p, Event{Kind: Ended, Reason: refusal.Error()}, refusal)
 		return
 	}
-	pause := drawn(min(pauseMost, pauseLeast<<min(p.want.MaxRetries-p.tries, 8)))
-	if r.RetryAfter > 0 {
-		pause = r.RetryAfter + time.Duration(mathrand.Float64()*float64(r.RetryAfter)/4)
+	delay := jitter(min(maxRetryDelay, minRetryDelay<<min(p.request.MaxRetries-p.retriesLeft, 8)))
+	if refusal.RetryAfter > 0 {
+		delay = refusal.RetryAfter + time.Duration(mathrand.Float64()*float64(refusal.RetryAfter)/4)
 	}
-	p.askAt = time.Now().Add(pause)
+	p.requestAt = time.Now().Add(delay)
 }
--- a/client/example/main.go
+++ b/client/example/main.go
@@ -1,4 +1,4 @@
-// Command example plays one title on a socket and prints what happens.
+// Command example plays one title over a WebSocket and prints the segments and events that it receives.
 package main
 
 import (
@@ -17,48 +17,48 @@
 )
 
 type arguments struct {
-	Front   []string      `help:"Fronts, host:port." required:""`
-	Title   string        `help:"What to play." required:""`
-	Product string        `help:"As which product." required:""`
-	Viewer  string        `help:"The viewer's name." default:"example"`
-	For     time.Duration `help:"Leave after this." default:"20s"`
+	Front   []string      `help:"Addresses of fronts, as host:port." required:""`
+	Title   string        `help:"Title to play." required:""`
+	Product string        `help:"Product to play it as." required:""`
+	Viewer  string        `help:"Name of the viewer." default:"example"`
+	For     time.Duration `help:"End the play after this time." default:"20s"`
 }
 
 func main() {
-	var a arguments
-	kong.Parse(&a)
+	var args arguments
+	kong.Parse(&args)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	if err := run(ctx, a); err != nil {
+	if err := run(ctx, args); err != nil {
 		fmt.Fprintln(os.Stderr, "example:", err)
 		os.Exit(1)
 	}
 }
 
-func run(ctx context.Context, a arguments) error {
-	ctx, cancel := context.WithTimeout(ctx, a.For)
+func run(ctx context.Context, args arguments) error {
+	ctx, cancel := context.WithTimeout(ctx, args.For)
 	defer cancel()
-	c := client.New(client.Options{Fronts: a.Front, Viewer: a.Viewer})
+	c := client.New(client.Options{Fronts: args.Front, Viewer: args.Viewer})
 	defer c.Close()
-	play, err := c.RequestPlay(ctx, client.Request{Title: a.Title, Product: a.Product, MaxRung: -1, MaxRetries: 5})
+	play, err := c.RequestPlay(ctx, client.Request{Title: args.Title, Product: args.Product, MaxRung: -1, MaxRetries: 5})
 	if err != nil {
 		return err
 	}
 	fmt.Println("plays", play.Grant().Base)
-	for n := 1; ctx.Err() == nil; n++ {
-		g := play.Grant()
-		if err := segment(ctx, g, n); err != nil {
-			fmt.Println("segment", n, err)
+	for number := 1; ctx.Err() == nil; number++ {
+		grant := play.Grant()
+		if err := fetchSegment(ctx, grant, number); err != nil {
+			fmt.Println("segment", number, err)
 		}
-		tick := time.After(time.Duration(g.Segment) * time.Millisecond)
+		tick := time.After(time.Duration(grant.Segment) * time.Millisecond)
 	wait:
 		for {
 			select {
-			case e, ok := <-play.Events():
+			case event, ok := <-play.Events():
 				if !ok {
-					return fmt.Errorf("the play ended")
+					return fmt.Errorf("the play has ended")
 				}
-				fmt.Println("event", e.Kind, e.Reason, len(e.Grant.Rungs), "rungs")
+				fmt.Println("event", event.Kind, event.Reason, len(event.Grant.Rungs), "rungs")
 			case <-tick:
 				break wait
 			case <-ctx.Done():
@@ -69,8 +69,8 @@
 	return nil
 }
 
-func segment(ctx context.Context, g playapi.Grant, n int) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s%s/%d.m4s", g.Base, g.Rungs[len(g.Rungs)-1].ID, n), nil)
+func fetchSegment(ctx context.Context, grant playapi.Grant, number int) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("%s%s/%d.m4s", grant.Base, grant.Rungs[len(grant.Rungs)-1].ID, number), nil)
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	got, err := io.Copy(io.Discard, resp.Body)
-	fmt.Println("segment", n, resp.Status, got, "bytes")
+	size, err := io.Copy(io.Discard, resp.Body)
+	fmt.Println("segment", number, resp.Status, size, "bytes")
 	return err
 }
--- a/client/manifest.go
+++ b/client/manifest.go
@@ -13,58 +13,59 @@
 	"gullrail/dash"
 )
 
-const manifestMost = 1 << 20 // bytes
+const maxManifestBytes = 1 << 20 // bytes
 
-// FirstManifestURL is the address of a title's manifest at a front, for a first request.
-func FirstManifestURL(scheme, front, viewer string, w Request) string {
-	q := url.Values{"product": {w.Product}, "viewer": {viewer}}
-	if w.MaxRung >= 0 {
-		q.Set("top", strconv.Itoa(w.MaxRung))
+// FirstManifestURL returns the URL by which a play of a title is requested without a token.
+func FirstManifestURL(scheme, front, viewer string, request Request) string {
+	query := url.Values{"product": {request.Product}, "viewer": {viewer}}
+	if request.MaxRung >= 0 {
+		query.Set("top", strconv.Itoa(request.MaxRung))
 	}
-	if w.Timeout > 0 {
-		q.Set("limit_ms", strconv.FormatInt(w.Timeout.Milliseconds(), 10))
+	if request.Timeout > 0 {
+		query.Set("limit_ms", strconv.FormatInt(request.Timeout.Milliseconds(), 10))
 	}
-	if w.Length > 0 {
-		q.Set("length_ms", strconv.FormatInt(w.Length.Milliseconds(), 10))
+	if request.Length > 0 {
+		query.Set("length_ms", strconv.FormatInt(request.Length.Milliseconds(), 10))
 	}
-	return scheme + "://" + front + "/v1/titles/" + url.PathEscape(w.Title) + "/manifest.mpd?" + q.Encode()
+	return scheme + "://" + front + "/v1/titles/" + url.PathEscape(request.Title) + "/manifest.mpd?" + query.Encode()
 }
 
-// ManifestAnswer is what a request for a manifest came to.
+// ManifestAnswer is the answer to a request for a manifest.
 type ManifestAnswer struct {
 	Status     int
 	Play       string
-	Reason     string        // of a refusal, or what is wrong with the answer
-	RetryAfter time.Duration // advice; 0 is none
-	Manifest   dash.Manifest // with Status 200; its Location is absolute
+	Reason     string        // why the request was refused, or why the manifest is invalid
+	RetryAfter time.Duration // advised delay before a retry; 0 if none
+	Manifest   dash.Manifest // set if Status is 200; its Location is absolute
 }
 
-// RequestManifest asks for a manifest once. The error says that no answer came; an answer that is no manifest comes with Status 0.
-func RequestManifest(ctx context.Context, h *http.Client, target string) (ManifestAnswer, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+// RequestManifest requests a manifest, without retries. It returns an error if no answer is received. If the manifest in the
+// answer is invalid, Status is 0.
+func RequestManifest(ctx context.Context, httpClient *http.Client, manifestURL string) (ManifestAnswer, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, manifestURL, nil)
 	if err != nil {
 		return ManifestAnswer{}, fmt.Errorf("manifest: %w", err)
 	}
-	resp, err := h.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return ManifestAnswer{}, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, manifestMost))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxManifestBytes))
 	if err != nil {
 		return ManifestAnswer{}, err
 	}
-	a := ManifestAnswer{Status: resp.StatusCode, Play: resp.Header.Get(dash.PlayHeader)}
-	a.RetryAfter = comeBack(resp.Header)
+	answer := ManifestAnswer{Status: resp.StatusCode, Play: resp.Header.Get(dash.PlayHeader)}
+	answer.RetryAfter = parseRetryAfter(resp.Header)
 	if resp.StatusCode != http.StatusOK {
-		a.Reason = strings.TrimSpace(string(body))
-		return a, nil
+		answer.Reason = strings.TrimSpace(string(body))
+		return answer, nil
 	}
-	if a.Manifest, err = dash.Decode(body); err != nil {
+	if answer.Manifest, err = dash.Decode(body); err != nil {
 		return ManifestAnswer{Reason: err.Error()}, nil
 	}
-	if loc, err := resp.Request.URL.Parse(a.Manifest.Location); err == nil {
-		a.Manifest.Location = loc.String()
+	if location, err := resp.Request.URL.Parse(answer.Manifest.Location); err == nil {
+		answer.Manifest.Location = location.String()
 	}
-	return a, nil
+	return answer, nil
 }
