--- a/clients/ts/test/browser.test.mjs
+++ b/clients/ts/test/browser.test.mjs
@@ -1,4 +1,5 @@
-// The example page in headless Chromium against the kit: it plays, its node's rack is killed, its front is killed.
+// Tests the example page in headless Chromium with the processes of a kit: the page plays, then the rack of its node is
+// killed, then its front.
 import { test } from "node:test";
 import assert from "node:assert/strict";
 import { execFileSync } from "node:child_process";
@@ -12,10 +13,10 @@
 const program = process.env.GULLRAIL ?? join(repo, "bin/gullrail");
 const chromium = process.env.CHROMIUM ?? "/usr/bin/chromium";
 
-test("the page plays, is moved off a dead node and comes back after its front's death", { timeout: 120000 }, async () => {
+test("the page continues its play after the failure of its node and of its front", { timeout: 120000 }, async () => {
   const folder = mkdtempSync(join(tmpdir(), "gullrail-ts-")), dir = join(folder, "run");
-  const up = execFileSync(program, ["kit", "up", join(repo, "days/short.jsonc"), "--dir", dir], { encoding: "utf8" });
-  const fronts = [...up.matchAll(/^(f\d+) at http:\/\/(\S+)$/gm)].map(m => ({ name: m[1], address: m[2] }));
+  const output = execFileSync(program, ["kit", "up", join(repo, "days/short.jsonc"), "--dir", dir], { encoding: "utf8" });
+  const fronts = [...output.matchAll(/^(f\d+) at http:\/\/(\S+)$/gm)].map(m => ({ name: m[1], address: m[2] }));
   const processes = new Map([...execFileSync(program, ["kit", "status", "--dir", dir], { encoding: "utf8" })
     .matchAll(/^\s+(\S+)\s+process (\d+)/gm)].map(m => [m[1], Number(m[2])]));
   const nodes = JSON.parse(readFileSync(join(dir, "nodes.json"), "utf8"));
@@ -25,18 +26,18 @@
     const page = await browser.newPage();
     const q = new URLSearchParams({ fronts: fronts.map(f => "ws://" + f.address).join(","), title: "clip-00", product: "help", viewer: "page" });
     await page.goto(`http://127.0.0.1:${server.address().port}/example/index.html?${q}`);
-    const text = id => page.$eval("#" + id, e => e.textContent);
-    const until = (f, arg) => page.waitForFunction(f, { timeout: 40000 }, arg);
-    await until(() => document.title === "plays" && Number(document.getElementById("segments").textContent) >= 2);
-    const was = await text("node");
-    process.kill(processes.get(rackOf(nodes, was)), "SIGKILL");
-    await until(() => Number(document.getElementById("moves").textContent) >= 1 && document.getElementById("state").textContent === "plays");
-    assert.notEqual(await text("node"), was);
-    const moves = Number(await text("moves"));
+    const textOf = id => page.$eval("#" + id, e => e.textContent);
+    const waitFor = (condition, arg) => page.waitForFunction(condition, { timeout: 40000 }, arg);
+    await waitFor(() => document.title === "plays" && Number(document.getElementById("segments").textContent) >= 2);
+    const failedNode = await textOf("node");
+    process.kill(processes.get(rackOf(nodes, failedNode)), "SIGKILL");
+    await waitFor(() => Number(document.getElementById("moves").textContent) >= 1 && document.getElementById("state").textContent === "plays");
+    assert.notEqual(await textOf("node"), failedNode);
+    const moves = Number(await textOf("moves"));
     process.kill(processes.get(fronts[0].name), "SIGKILL");
-    await until(n => Number(document.getElementById("moves").textContent) > n && document.getElementById("state").textContent === "plays", moves);
-    const segments = Number(await text("segments"));
-    await until(n => Number(document.getElementById("segments").textContent) >= n + 2, segments);
+    await waitFor(n => Number(document.getElementById("moves").textContent) > n && document.getElementById("state").textContent === "plays", moves);
+    const segments = Number(await textOf("segments"));
+    await waitFor(n => Number(document.getElementById("segments").textContent) >= n + 2, segments);
   } finally {
     await browser.close();
     server.close();
@@ -45,7 +46,7 @@
   }
 });
 
-/** The rack process that runs the node at an address: the day has four racks. */
+/** Returns the name of the rack process that runs the node at an address. The test day has four racks, and cell n is in rack n mod 4. */
 function rackOf(nodes, address) {
   const node = nodes.find(n => n.address === address);
   assert.ok(node, "no node at " + address);
