--- a/wsapi/many_test.go
+++ b/wsapi/many_test.go
@@ -55,15 +55,15 @@
 			defer wg.Done()
 			current := 0
 			ticket := fmt.Sprintf("%020d", i)
-			for attempt := 0; ; attempt++ {
-				if attempt == 0 {
+			for dials := 0; ; dials++ {
+				if dials == 0 {
 					firstDials <- struct{}{}
 				}
 				ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 				conn, resp, err := websocket.Dial(ctx, fronts[current]+"?viewer="+ticket, &websocket.DialOptions{Subprotocols: []string{Subprotocol}})
 				cancel()
 				if err != nil {
-					if attempt == 0 {
+					if dials == 0 {
 						<-firstDials
 					}
 					pause := 20 * time.Millisecond
@@ -79,11 +79,11 @@
 						}
 					}
 					time.Sleep(pause)
-					attempt = max(attempt, 0)
+					dials = max(dials, 0)
 					continue
 				}
-				conn.Write(context.Background(), websocket.MessageText, fmt.Appendf(nil, `{"type":"ask","ticket":"%s-%d","title":"t","product":"p","viewer":"v%d"}`, ticket, attempt, i))
-				if attempt == 0 {
+				conn.Write(context.Background(), websocket.MessageText, fmt.Appendf(nil, `{"type":"ask","ticket":"%s-%d","title":"t","product":"p","viewer":"v%d"}`, ticket, dials, i))
+				if dials == 0 {
 					<-firstDials
 				}
 				for {
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -435,7 +435,7 @@
 	for {
 		messageType, text, err := s.conn.Read(s.ctx)
 		if err != nil {
-			return // closed, broken, or a message above the size limit, for which the library closes with code 1009
+			return // closed, lost, or a message above the size limit, for which the library closes with code 1009
 		}
 		switch s.behavior.Message(s.front.now()) {
 		case sockets.Disconnect:
@@ -528,7 +528,7 @@
 	return nil
 }
 
-// addTicket attributes a ticket to the socket. If the socket has too many or belongs to another viewer, it returns the
+// addTicket adds a ticket to the socket. If the socket has too many or belongs to another viewer, it returns the
 // reason, else "".
 func (s *socket) addTicket(t *ticket, viewer string) string {
 	s.mu.Lock()
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -506,7 +506,7 @@
 	kept := ticket.outbox.Len()
 	ticket.mu.Unlock()
 	if kept > sockets.MaxOutbox {
-		t.Fatalf("%d messages are kept, more than the limit", kept)
+		t.Fatalf("%d messages are kept, more than sockets.MaxOutbox", kept)
 	}
 	// After a resume the messages tell how many were omitted.
 	q := f.dial(t)
