--- a/store/disk_test.go
+++ b/store/disk_test.go
@@ -9,41 +9,42 @@
 	"sort"
 )
 
-// disk is a folder in memory that records every operation, and can be rebuilt as a crash would leave it.
-type disk struct {
-	files map[string]*content
-	ops   []op
-	fail  func(o op) error // asked before each operation
+// memDir is an in-memory directory that records every operation. stateAfterCrash rebuilds it from the operations as a
+// crash would leave it.
+type memDir struct {
+	files       map[string]*memFile
+	ops         []op
+	injectError func(o op) error // if set, called before each operation; an error fails the operation
 }
 
-type content struct{ data []byte }
+type memFile struct{ data []byte }
 
-type kind int
+type opKind int
 
 const (
-	opWrite kind = iota
+	opWrite opKind = iota
 	opTruncate
 	opSync
 	opCreate
 	opRename
 	opRemove
 	opSyncNames
-	opAck // a mark of the test's: an Append returned
+	opAck // not a file operation: notes that a call of Append or Compact was acknowledged
 )
 
 type op struct {
-	kind kind
-	name string
-	to   string
-	at   int64
-	data []byte
+	kind    opKind
+	name    string
+	newName string
+	offset  int64
+	data    []byte
 }
 
-func newDisk() *disk { return &disk{files: map[string]*content{}} }
+func newMemDir() *memDir { return &memDir{files: map[string]*memFile{}} }
 
-func (d *disk) do(o op) error {
-	if d.fail != nil {
-		if err := d.fail(o); err != nil {
+func (d *memDir) apply(o op) error {
+	if d.injectError != nil {
+		if err := d.injectError(o); err != nil {
 			return err
 		}
 	}
@@ -51,14 +52,14 @@
 	return nil
 }
 
-func (d *disk) Read(name string) ([]byte, error) {
+func (d *memDir) Read(name string) ([]byte, error) {
 	if f := d.files[name]; f != nil {
 		return slices.Clone(f.data), nil
 	}
 	return nil, fmt.Errorf("%s: %w", name, os.ErrNotExist)
 }
 
-func (d *disk) Names() (names []string, _ error) {
+func (d *memDir) Names() (names []string, _ error) {
 	for n := range d.files {
 		names = append(names, n)
 	}
@@ -66,20 +67,20 @@
 	return names, nil
 }
 
-func (d *disk) Open(name string) (File, error) {
+func (d *memDir) Open(name string) (File, error) {
 	f := d.files[name]
 	if f == nil {
-		if err := d.do(op{kind: opCreate, name: name}); err != nil {
+		if err := d.apply(op{kind: opCreate, name: name}); err != nil {
 			return nil, err
 		}
-		f = &content{}
+		f = &memFile{}
 		d.files[name] = f
 	}
-	return &handle{d, name, f}, nil
+	return &memHandle{d, name, f}, nil
 }
 
-func (d *disk) Rename(from, to string) error {
-	if err := d.do(op{kind: opRename, name: from, to: to}); err != nil {
+func (d *memDir) Rename(from, to string) error {
+	if err := d.apply(op{kind: opRename, name: from, newName: to}); err != nil {
 		return err
 	}
 	d.files[to] = d.files[from]
@@ -87,33 +88,33 @@
 	return nil
 }
 
-func (d *disk) Remove(name string) error {
-	if err := d.do(op{kind: opRemove, name: name}); err != nil {
+func (d *memDir) Remove(name string) error {
+	if err := d.apply(op{kind: opRemove, name: name}); err != nil {
 		return err
 	}
 	delete(d.files, name)
 	return nil
 }
 
-func (d *disk) SyncNames() error { return d.do(op{kind: opSyncNames}) }
+func (d *memDir) SyncNames() error { return d.apply(op{kind: opSyncNames}) }
 
-type handle struct {
-	d    *disk
+type memHandle struct {
+	dir  *memDir
 	name string
-	f    *content
+	file *memFile
 }
 
-// current is the file's name now: it may have been renamed since it was opened.
-func (h *handle) current() string {
-	for n, f := range h.d.files {
-		if f == h.f {
+// current returns the present name of the file, which may have been renamed since it was opened.
+func (h *memHandle) current() string {
+	for n, f := range h.dir.files {
+		if f == h.file {
 			return n
 		}
 	}
 	return h.name
 }
 
-func put(data []byte, b []byte, at int64) []byte {
+func writeBytes(data []byte, b []byte, at int64) []byte {
 	if need := int(at) + len(b); need > len(data) {
 		data = append(data, make([]byte, need-len(data))...)
 	}
@@ -121,93 +122,94 @@
 	return data
 }
 
-func (h *handle) WriteAt(b []byte, at int64) (int, error) {
-	if err := h.d.do(op{kind: opWrite, name: h.current(), at: at, data: slices.Clone(b)}); err != nil {
+func (h *memHandle) WriteAt(b []byte, at int64) (int, error) {
+	if err := h.dir.apply(op{kind: opWrite, name: h.current(), offset: at, data: slices.Clone(b)}); err != nil {
 		return 0, err
 	}
-	h.f.data = put(h.f.data, b, at)
+	h.file.data = writeBytes(h.file.data, b, at)
 	return len(b), nil
 }
 
-func (h *handle) Truncate(size int64) error {
-	if err := h.d.do(op{kind: opTruncate, name: h.current(), at: size}); err != nil {
+func (h *memHandle) Truncate(size int64) error {
+	if err := h.dir.apply(op{kind: opTruncate, name: h.current(), offset: size}); err != nil {
 		return err
 	}
-	for int64(len(h.f.data)) < size {
-		h.f.data = append(h.f.data, 0)
+	for int64(len(h.file.data)) < size {
+		h.file.data = append(h.file.data, 0)
 	}
-	h.f.data = h.f.data[:size]
+	h.file.data = h.file.data[:size]
 	return nil
 }
 
-func (h *handle) Sync() error  { return h.d.do(op{kind: opSync, name: h.current()}) }
-func (h *handle) Close() error { return nil }
+func (h *memHandle) Sync() error  { return h.dir.apply(op{kind: opSync, name: h.current()}) }
+func (h *memHandle) Close() error { return nil }
 
-// how much of what was not synced a crash leaves.
-type loss int
+// crashMode says which writes that were not synced survive a crash.
+type crashMode int
 
 const (
-	loseAll    loss = iota // only what was synced
-	keepAll                // all that was written so far
-	torn                   // of the last write a part, after all before it
-	zeroed                 // of the last write a part, and zeros in the rest's place
-	namesFirst             // names as they are, contents only as synced
+	syncedOnly          crashMode = iota // none
+	everythingWritten                    // all
+	tornWrite                            // all but the end of the last write
+	zeroFilledWrite                      // the same, with zeros in place of the end of the last write
+	namesWithSyncedData                  // all changes of names, but no data
 )
 
-// crash is the disk after so many operations, with the last one cut after so many bytes where it is a write.
-func crash(ops []op, n, cut int, l loss) *disk {
-	type file struct{ durable, now []byte }
-	now, durable := map[string]*file{}, map[string]*file{}
+// stateAfterCrash returns the directory as a crash after n operations leaves it. With tornWrite and zeroFilledWrite the
+// last operation is a write of which only the first cut bytes survive.
+func stateAfterCrash(ops []op, n, cut int, mode crashMode) *memDir {
+	type file struct{ synced, written []byte }
+	current, durable := map[string]*file{}, map[string]*file{}
 	for i, o := range ops[:n] {
 		last := i == n-1
 		switch o.kind {
 		case opCreate:
-			now[o.name] = &file{}
+			current[o.name] = &file{}
 		case opWrite:
 			b := o.data
-			if last && (l == torn || l == zeroed) {
+			if last && (mode == tornWrite || mode == zeroFilledWrite) {
 				b = b[:cut]
-				if l == zeroed {
+				if mode == zeroFilledWrite {
 					b = append(slices.Clone(b), make([]byte, len(o.data)-cut)...)
 				}
 			}
-			now[o.name].now = put(now[o.name].now, b, o.at)
+			current[o.name].written = writeBytes(current[o.name].written, b, o.offset)
 		case opTruncate:
-			f := now[o.name]
-			for int64(len(f.now)) < o.at {
-				f.now = append(f.now, 0)
+			f := current[o.name]
+			for int64(len(f.written)) < o.offset {
+				f.written = append(f.written, 0)
 			}
-			f.now = f.now[:o.at]
+			f.written = f.written[:o.offset]
 		case opSync:
-			now[o.name].durable = slices.Clone(now[o.name].now)
+			current[o.name].synced = slices.Clone(current[o.name].written)
 		case opRename:
-			now[o.to] = now[o.name]
-			delete(now, o.name)
+			current[o.newName] = current[o.name]
+			delete(current, o.name)
 		case opRemove:
-			delete(now, o.name)
+			delete(current, o.name)
 		case opSyncNames:
 			durable = map[string]*file{}
-			for name, f := range now {
+			for name, f := range current {
 				durable[name] = f
 			}
 		}
 	}
-	names := durable
-	if l != loseAll {
-		names = now
+	dir := durable
+	if mode != syncedOnly {
+		dir = current
 	}
-	d := newDisk()
-	for name, f := range names {
-		data := f.now
-		if l == loseAll || l == namesFirst {
-			data = f.durable
+	d := newMemDir()
+	for name, f := range dir {
+		data := f.written
+		if mode == syncedOnly || mode == namesWithSyncedData {
+			data = f.synced
 		}
-		d.files[name] = &content{slices.Clone(data)}
+		d.files[name] = &memFile{slices.Clone(data)}
 	}
 	return d
 }
 
-// resum mends the checksum of a mark's slot.
-func resum(b []byte) {
-	binary.LittleEndian.PutUint32(b[28:], crc32.Checksum(b[:28], table))
+// updateChecksum recomputes the checksum of an encoded checkpoint.
+func updateChecksum(b []byte) {
+	binary.LittleEndian.PutUint32(b[28:], crc32.Checksum(b[:28], castagnoli))
 }
--- a/store/fs.go
+++ b/store/fs.go
@@ -6,13 +6,13 @@
 	"sort"
 )
 
-// Files is the folder that a store lives in. The operating system's is Folder; tests bring one that loses
-// what a crash would lose. A file's writes are durable once its Sync returned, a name's coming, change or
-// removal once SyncNames did.
+// Files is the directory of a store. Folder implements it for the operating system; tests use one that simulates
+// crashes. Writes to a file are durable once its Sync has returned, and creating, renaming or removing a file once
+// SyncNames has.
 type Files interface {
-	Read(name string) ([]byte, error) // os.ErrNotExist where there is none
-	Names() ([]string, error)         // sorted
-	Open(name string) (File, error)   // for writing, made where there is none
+	Read(name string) ([]byte, error) // os.ErrNotExist if there is no such file
+	Names() ([]string, error)         // file names, sorted
+	Open(name string) (File, error)   // opens for writing, creating the file if needed
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncNames() error
@@ -20,21 +20,21 @@
 
 // File is a file open for writing.
 type File interface {
-	WriteAt(b []byte, at int64) (int, error)
+	WriteAt(b []byte, offset int64) (int, error)
 	Truncate(size int64) error
 	Sync() error
 	Close() error
 }
 
-// Folder is a folder of the operating system.
+// Folder is the path of a directory of the operating system.
 type Folder string
 
 func (f Folder) path(name string) string { return filepath.Join(string(f), name) }
 
-// Read returns a file's bytes.
+// Read returns the contents of a file.
 func (f Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
 
-// Names lists the folder's files.
+// Names returns the names of the files in the directory, without those of subdirectories.
 func (f Folder) Names() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	if err != nil {
@@ -50,7 +50,7 @@
 	return names, nil
 }
 
-// Open opens a file for writing.
+// Open opens a file for writing and creates it if needed.
 func (f Folder) Open(name string) (File, error) {
 	return os.OpenFile(f.path(name), os.O_CREATE|os.O_WRONLY, 0o600)
 }
@@ -61,7 +61,7 @@
 // Remove removes a file.
 func (f Folder) Remove(name string) error { return os.Remove(f.path(name)) }
 
-// SyncNames makes the folder's names durable.
+// SyncNames syncs the directory.
 func (f Folder) SyncNames() error {
 	d, err := os.Open(string(f))
 	if err != nil {
--- a/store/log.go
+++ b/store/log.go
@@ -1,16 +1,17 @@
-// Package store keeps records over a crash: a log of checksummed frames, compacted into a new segment now
-// and then, and a mark that says how far the log was durable when that was last acknowledged.
+// Package store is a crash-safe, append-only record log. It consists of segment files of checksummed frames, of
+// which one is current, and a checkpoint in the file "mark" that holds the number of the last acknowledged record.
+// Compaction replaces the current segment.
 //
-// What it promises. A record whose Append returned nil is there after any crash that loses what was not
-// synced, torn or zeroed tails included. Records come back in their order, with none left out between. Where
-// files were cut or changed otherwise, so that an acknowledged record can't be had, Open says so, with the
-// place, and never hands out what is left as if it were whole. After a sync that failed nothing
-// more is acknowledged: what the kernel dropped can't be known.
+// Guarantees: a record whose Append returned nil survives any crash that loses unsynced writes, including torn or
+// zero-filled tails. Records are returned in order and without gaps. If files were truncated or altered otherwise, so
+// that an acknowledged record can't be read, Open returns a *Damage with the position and never returns the remaining
+// records as if they were complete. After a failed write or sync nothing more is acknowledged, as it is unknown which
+// pages the kernel dropped.
 //
-// Invariants. Segment N holds frames with numbers that follow one another. The mark names the segment in force
-// and the number of the last acknowledged frame, in one of two slots written in turn, so that a torn mark
-// leaves the one before. A segment is in force only once a mark names it; others are left over from a
-// compaction that a crash cut short, and are removed.
+// Invariants: a segment holds frames with consecutive numbers. The checkpoint names the current segment and the
+// number of the last acknowledged record. It is written alternately to two slots, so that a torn write leaves the
+// previous checkpoint intact. A segment becomes current only when a checkpoint names it; other segments are
+// leftovers of an interrupted compaction and are removed.
 package store
 
 import (
@@ -27,28 +28,28 @@
 )
 
 const (
-	headSize  = 4 + 4 + 8         // length, checksum, number
-	recordMax = 1 << 20           // bytes of one record
-	markSize  = 8 + 8 + 8 + 4 + 4 // segment, its first number, last acknowledged, version of the format, checksum
-	slotSize  = 512               // of a mark's slot: a sector of its own, so that a torn write harms one only
-	format    = 1
-	queueMost = 4096 // appends that wait for the next sync; more wait to be let in
-	markFile  = "mark"
+	headerSize     = 4 + 4 + 8         // length, checksum, number
+	maxRecordSize  = 1 << 20           // bytes of one record
+	checkpointSize = 8 + 8 + 8 + 4 + 4 // segment, its first record number, last acknowledged number, format version, checksum
+	slotSize       = 512               // bytes of a checkpoint slot: one sector each, so that a torn write damages one slot only
+	formatVersion  = 1
+	maxQueued      = 4096 // capacity of the queue of pending appends, and entries per write at most
+	checkpointName = "mark"
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of a store, for errors.Is.
+// Errors to test for with errors.Is.
 var (
 	ErrBroken = errors.New("store: a write or sync failed; nothing more is acknowledged")
 	ErrClosed = errors.New("store: closed")
 	ErrDamage = errors.New("store: damaged")
-	ErrFormat = errors.New("store: of another format")
+	ErrFormat = errors.New("store: unsupported format version")
 	ErrTooBig = errors.New("store: record too large")
-	ErrBehind = errors.New("store: the disk does not keep up")
+	ErrBehind = errors.New("store: write queue is full; the disk can't keep up")
 )
 
-// Damage is a place where acknowledged records can't be had.
+// Damage is an error that gives the position from which acknowledged records can't be read.
 type Damage struct {
 	File   string
 	Offset int64
@@ -59,35 +60,36 @@
 	return fmt.Sprintf("store: damaged: %s at byte %d: %s", d.File, d.Offset, d.What)
 }
 
-// Unwrap makes a Damage an ErrDamage.
+// Unwrap makes errors.Is(d, ErrDamage) true.
 func (d *Damage) Unwrap() error { return ErrDamage }
 
 func segmentName(n uint64) string { return fmt.Sprintf("log-%016d", n) }
 
-// Contents is what a store's files hold.
+// Contents is the data read from a store.
 type Contents struct {
 	Segment uint64
 	First   uint64 // number of the first record, from 1
 	Records [][]byte
-	Acked   uint64 // number of the last record known to have been acknowledged
-	Bytes   int64  // of the segment that are whole
-	slot    int    // of the mark in force
+	Acked   uint64 // number of the last record that the checkpoint lists as acknowledged
+	Bytes   int64  // length of the valid part of the segment
+	slot    int    // slot of the current checkpoint
 }
 
-// Last is the number of the last record.
+// Last returns the number of the last record, First-1 if there are none.
 func (c *Contents) Last() uint64 { return c.First + uint64(len(c.Records)) - 1 }
 
-// Inspect reads a store without changing it. A *Damage comes with what stands before the place.
+// Inspect reads a store without changing it. If acknowledged records can't be read from the segment, it returns the
+// records before that position along with the *Damage.
 func Inspect(files Files) (*Contents, error) {
-	mark, err := files.Read(markFile)
+	checkpoint, err := files.Read(checkpointName)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	c, err := readMark(mark)
+	c, err := decodeCheckpoint(checkpoint)
 	if errors.Is(err, ErrDamage) {
-		if unborn, e := neverBegan(files); e != nil {
+		if uninitialized, e := isUninitialized(files); e != nil {
 			return nil, e
-		} else if unborn {
+		} else if uninitialized {
 			return &Contents{First: 1}, nil
 		}
 	}
@@ -95,34 +97,34 @@
 		return nil, err
 	}
 	name := segmentName(c.Segment)
-	text, err := files.Read(name)
+	data, err := files.Read(name)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, &Damage{name, 0, "the segment that the mark names is missing"}
+		return nil, &Damage{name, 0, "the segment named by the checkpoint is missing"}
 	} else if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	at := int64(0)
+	offset := int64(0)
 	for {
-		number, record, size, why := frame(text[at:])
+		number, record, size, problem := decodeFrame(data[offset:])
 		switch {
-		case why == "" && number != c.Last()+1:
-			why = fmt.Sprintf("record %d follows record %d", number, c.Last())
+		case problem == "" && number != c.Last()+1:
+			problem = fmt.Sprintf("record %d follows record %d", number, c.Last())
 		}
-		if why != "" {
+		if problem != "" {
 			if c.Last() < c.Acked {
-				return c, &Damage{name, at, fmt.Sprintf("%s, and record %d was acknowledged", why, c.Acked)}
+				return c, &Damage{name, offset, fmt.Sprintf("%s, and record %d was acknowledged", problem, c.Acked)}
 			}
-			return c, nil // the rest was never acknowledged
+			return c, nil // the remaining bytes were never acknowledged
 		}
 		c.Records = append(c.Records, record)
-		at += size
-		c.Bytes = at
+		offset += size
+		c.Bytes = offset
 	}
 }
 
-// neverBegan tells that nothing can have been acknowledged: the first mark is durable before the first record
-// is written, so that without one there is no byte in any segment.
-func neverBegan(files Files) (bool, error) {
+// isUninitialized reports whether the store was never written to, so that no record can have been acknowledged. The
+// first checkpoint is durable before the first record is written: a store without one has an empty segment or none.
+func isUninitialized(files Files) (bool, error) {
 	names, err := files.Names()
 	if err != nil {
 		return false, fmt.Errorf("store: %w", err)
@@ -131,146 +133,147 @@
 		if !strings.HasPrefix(n, "log-") {
 			continue
 		}
-		text, err := files.Read(n)
+		data, err := files.Read(n)
 		if err != nil {
 			return false, fmt.Errorf("store: %w", err)
 		}
-		if n != segmentName(1) || len(text) > 0 {
+		if n != segmentName(1) || len(data) > 0 {
 			return false, nil
 		}
 	}
 	return true, nil
 }
 
-func readMark(text []byte) (*Contents, error) {
-	best := (*Contents)(nil)
+func decodeCheckpoint(data []byte) (*Contents, error) {
+	newest := (*Contents)(nil)
 	for slot := range 2 {
-		if len(text) < slot*slotSize+markSize {
+		if len(data) < slot*slotSize+checkpointSize {
 			continue
 		}
-		b := text[slot*slotSize:][:markSize]
-		if crc32.Checksum(b[:28], table) != binary.LittleEndian.Uint32(b[28:]) {
+		b := data[slot*slotSize:][:checkpointSize]
+		if crc32.Checksum(b[:28], castagnoli) != binary.LittleEndian.Uint32(b[28:]) {
 			continue
 		}
-		if v := binary.LittleEndian.Uint32(b[24:]); v != format {
-			return nil, fmt.Errorf("%w: %d, this program knows %d", ErrFormat, v, format)
+		if v := binary.LittleEndian.Uint32(b[24:]); v != formatVersion {
+			return nil, fmt.Errorf("%w: %d, want %d", ErrFormat, v, formatVersion)
 		}
 		m := &Contents{Segment: binary.LittleEndian.Uint64(b), First: binary.LittleEndian.Uint64(b[8:]),
 			Acked: binary.LittleEndian.Uint64(b[16:]), slot: slot}
-		if best == nil || m.Segment > best.Segment || m.Segment == best.Segment && m.Acked > best.Acked {
-			best = m
+		if newest == nil || m.Segment > newest.Segment || m.Segment == newest.Segment && m.Acked > newest.Acked {
+			newest = m
 		}
 	}
-	if best == nil || best.Segment == 0 || best.First == 0 || best.Acked+1 < best.First {
-		return nil, &Damage{markFile, 0, "no slot of it holds"}
+	if newest == nil || newest.Segment == 0 || newest.First == 0 || newest.Acked+1 < newest.First {
+		return nil, &Damage{checkpointName, 0, "neither slot holds a valid checkpoint"}
 	}
-	return best, nil
+	return newest, nil
 }
 
-func putMark(segment, first, acked uint64) []byte {
-	b := make([]byte, markSize)
+func encodeCheckpoint(segment, first, acked uint64) []byte {
+	b := make([]byte, checkpointSize)
 	binary.LittleEndian.PutUint64(b, segment)
 	binary.LittleEndian.PutUint64(b[8:], first)
 	binary.LittleEndian.PutUint64(b[16:], acked)
-	binary.LittleEndian.PutUint32(b[24:], format)
-	binary.LittleEndian.PutUint32(b[28:], crc32.Checksum(b[:28], table))
+	binary.LittleEndian.PutUint32(b[24:], formatVersion)
+	binary.LittleEndian.PutUint32(b[28:], crc32.Checksum(b[:28], castagnoli))
 	return b
 }
 
-// frame reads one frame; why tells what is wrong with it, or that there is none.
-func frame(text []byte) (number uint64, record []byte, size int64, why string) {
-	if len(text) == 0 {
+// decodeFrame decodes the frame at the start of data. Problem is empty if it is valid, and otherwise says what is wrong.
+func decodeFrame(data []byte) (number uint64, record []byte, size int64, problem string) {
+	if len(data) == 0 {
 		return 0, nil, 0, "the file ends"
 	}
-	if len(text) < headSize {
-		return 0, nil, 0, "the file ends within a record's head"
+	if len(data) < headerSize {
+		return 0, nil, 0, "the file ends within a record header"
 	}
-	n := binary.LittleEndian.Uint32(text)
-	if n > recordMax {
-		return 0, nil, 0, "a record's length is out of range"
+	n := binary.LittleEndian.Uint32(data)
+	if n > maxRecordSize {
+		return 0, nil, 0, "record length is out of range"
 	}
-	if len(text) < headSize+int(n) {
+	if len(data) < headerSize+int(n) {
 		return 0, nil, 0, "the file ends within a record"
 	}
-	number, record = binary.LittleEndian.Uint64(text[8:]), text[headSize:headSize+int(n)]
-	if sum(text[:4], text[8:headSize+int(n)]) != binary.LittleEndian.Uint32(text[4:]) || number == 0 {
-		return 0, nil, 0, "a record's checksum is wrong"
+	number, record = binary.LittleEndian.Uint64(data[8:]), data[headerSize:headerSize+int(n)]
+	if checksum(data[:4], data[8:headerSize+int(n)]) != binary.LittleEndian.Uint32(data[4:]) || number == 0 {
+		return 0, nil, 0, "record checksum mismatch"
 	}
-	return number, record, int64(headSize) + int64(n), ""
+	return number, record, int64(headerSize) + int64(n), ""
 }
 
-func sum(parts ...[]byte) (c uint32) {
+func checksum(parts ...[]byte) (c uint32) {
 	for _, p := range parts {
-		c = crc32.Update(c, table, p)
+		c = crc32.Update(c, castagnoli, p)
 	}
 	return c
 }
 
-func putFrame(out []byte, number uint64, record []byte) []byte {
-	at := len(out)
-	out = append(out, make([]byte, headSize)...)
+// appendFrame appends the frame of a record to out.
+func appendFrame(out []byte, number uint64, record []byte) []byte {
+	start := len(out)
+	out = append(out, make([]byte, headerSize)...)
 	out = append(out, record...)
-	head := out[at:]
-	binary.LittleEndian.PutUint32(head, uint32(len(record)))
-	binary.LittleEndian.PutUint64(head[8:], number)
-	binary.LittleEndian.PutUint32(head[4:], sum(head[:4], head[8:]))
+	header := out[start:]
+	binary.LittleEndian.PutUint32(header, uint32(len(record)))
+	binary.LittleEndian.PutUint64(header[8:], number)
+	binary.LittleEndian.PutUint32(header[4:], checksum(header[:4], header[8:]))
 	return out
 }
 
-// Log is an open store. Append may be called by many goroutines.
+// Log is an open store. Its methods may be called by many goroutines.
 type Log struct {
-	files   Files
-	log     File
-	at      int64 // where the log's next byte goes
-	mark    File
-	slot    int // of the mark in force
-	segment uint64
-	first   uint64
-	next    uint64
-	queue   chan *entry
-	done    chan struct{}
-	syncs   atomic.Uint64
-
-	mu     sync.RWMutex // Close against appends
+	files          Files
+	segmentFile    File
+	offset         int64 // of the next frame in segmentFile
+	checkpointFile File
+	slot           int // slot of the current checkpoint
+	segment        uint64
+	firstNumber    uint64
+	nextNumber     uint64
+	queue          chan *entry
+	done           chan struct{}
+	syncs          atomic.Uint64
+
+	mu     sync.RWMutex // held for reading while sending to queue, so that Close doesn't close it meanwhile
 	closed bool
 }
 
 type entry struct {
 	record  []byte
-	compact [][]byte // in place of a record: what a new segment begins with
+	compact [][]byte // if not nil, a compaction in place of a record: the records of the new segment
 	done    chan error
 }
 
-// Open opens a store and returns what it holds. The caller closes the log. Nothing is opened that is damaged:
-// the error then is a *Damage.
+// Open opens a store and returns its contents. A damaged store is not opened; the error is then a *Damage. The caller
+// closes the log.
 func Open(files Files) (*Log, *Contents, error) {
 	c, err := Inspect(files)
 	if err != nil {
 		return nil, nil, err
 	}
-	l := &Log{files: files, queue: make(chan *entry, queueMost), done: make(chan struct{}), slot: c.slot, segment: max(1, c.Segment),
-		first: c.First, next: c.Last() + 1, at: c.Bytes}
-	if l.log, err = files.Open(segmentName(l.segment)); err != nil {
+	l := &Log{files: files, queue: make(chan *entry, maxQueued), done: make(chan struct{}), slot: c.slot, segment: max(1, c.Segment),
+		firstNumber: c.First, nextNumber: c.Last() + 1, offset: c.Bytes}
+	if l.segmentFile, err = files.Open(segmentName(l.segment)); err != nil {
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
-	if l.mark, err = files.Open(markFile); err != nil {
-		l.log.Close()
+	if l.checkpointFile, err = files.Open(checkpointName); err != nil {
+		l.segmentFile.Close()
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
-	// What follows the whole records was never acknowledged; it goes before anything is written after it.
-	err = errors.Join(l.log.Truncate(c.Bytes), l.log.Sync())
+	// Bytes after the last valid record were never acknowledged. They are removed before new records are written.
+	err = errors.Join(l.segmentFile.Truncate(c.Bytes), l.segmentFile.Sync())
 	if err == nil {
-		err = l.acknowledge()
+		err = l.writeCheckpoint()
 	}
 	if err == nil {
 		err = files.SyncNames()
 	}
 	if err == nil {
-		err = l.tidy()
+		err = l.removeStaleSegments()
 	}
 	if err != nil {
-		l.log.Close()
-		l.mark.Close()
+		l.segmentFile.Close()
+		l.checkpointFile.Close()
 		return nil, nil, fmt.Errorf("store: %w", err)
 	}
 	c.Segment = l.segment
@@ -278,21 +281,21 @@
 	return l, c, nil
 }
 
-// acknowledge makes the mark durable in the slot that is not in force.
-func (l *Log) acknowledge() error {
+// writeCheckpoint writes and syncs a checkpoint of the last record to the slot that is not current.
+func (l *Log) writeCheckpoint() error {
 	slot := 1 - l.slot
-	if _, err := l.mark.WriteAt(putMark(l.segment, l.first, l.next-1), int64(slot*slotSize)); err != nil {
+	if _, err := l.checkpointFile.WriteAt(encodeCheckpoint(l.segment, l.firstNumber, l.nextNumber-1), int64(slot*slotSize)); err != nil {
 		return err
 	}
-	if err := l.mark.Sync(); err != nil {
+	if err := l.checkpointFile.Sync(); err != nil {
 		return err
 	}
 	l.slot = slot
 	return nil
 }
 
-// tidy removes segments that no mark names.
-func (l *Log) tidy() error {
+// removeStaleSegments removes all segments but the current one.
+func (l *Log) removeStaleSegments() error {
 	names, err := l.files.Names()
 	if err != nil {
 		return err
@@ -309,74 +312,75 @@
 	return nil
 }
 
-// Append writes a record and returns once it is durable, together with all that were appended meanwhile.
+// Append writes a record and returns once it is durable. Concurrent appends share a sync.
 func (l *Log) Append(record []byte) error { return <-l.Begin(record) }
 
-// Begin puts a record into the log's order and returns at once but where very many wait; the channel brings, once,
-// whether it is durable. Who must keep an order of its own in step with the log's calls Begin under its lock.
+// Begin queues a record and returns a channel that delivers the result once: nil when the record is durable. It blocks
+// only while the queue is full. Records are written in the order of the calls, so a caller that has to keep its own
+// order in step with the log's calls Begin with its lock held.
 func (l *Log) Begin(record []byte) <-chan error {
-	return l.send(true, &entry{record: record}, record)
+	return l.enqueue(true, &entry{record: record}, record)
 }
 
-// TryBegin is Begin for those who must not wait, not even where very many do: then the record is not taken, and
-// the error is ErrBehind. The channel is nil if and only if there is an error.
+// TryBegin is like Begin but never blocks: if the queue is full it returns ErrBehind and the record is not written. The
+// channel is nil if and only if there is an error.
 func (l *Log) TryBegin(record []byte) (<-chan error, error) {
-	return tried(l.send(false, &entry{record: record}, record))
+	return orErrBehind(l.enqueue(false, &entry{record: record}, record))
 }
 
-// TryCompact is Compact likewise.
+// TryCompact is like Compact but never blocks: if the queue is full it returns ErrBehind and changes nothing.
 func (l *Log) TryCompact(records [][]byte) (<-chan error, error) {
-	return tried(l.send(false, &entry{compact: append([][]byte{}, records...)}, records...))
+	return orErrBehind(l.enqueue(false, &entry{compact: append([][]byte{}, records...)}, records...))
 }
 
-func tried(done <-chan error) (<-chan error, error) {
+func orErrBehind(done <-chan error) (<-chan error, error) {
 	if done == nil {
 		return nil, ErrBehind
 	}
 	return done, nil
 }
 
-// Compact replaces all records by others, in their order, as one step: after a crash the store holds either
-// all of the old or all of the new. Records begun after Compact come after them, those begun before are
-// replaced.
+// Compact atomically replaces all records queued before the call with the given ones: after a crash the store holds
+// either all of the old records or all of the new. Records queued later follow the new ones. The channel delivers the
+// result once.
 func (l *Log) Compact(records [][]byte) <-chan error {
 	if records == nil {
 		records = [][]byte{}
 	}
-	return l.send(true, &entry{compact: records}, records...)
+	return l.enqueue(true, &entry{compact: records}, records...)
 }
 
-// send puts an entry into the queue; nil says that the queue is full and nobody waited.
-func (l *Log) send(wait bool, a *entry, records ...[]byte) <-chan error {
-	a.done = make(chan error, 1)
+// enqueue puts an entry into the queue. It returns nil if the queue is full and wait is false.
+func (l *Log) enqueue(wait bool, e *entry, records ...[]byte) <-chan error {
+	e.done = make(chan error, 1)
 	for _, r := range records {
-		if len(r) > recordMax {
-			a.done <- fmt.Errorf("%w: %d bytes", ErrTooBig, len(r))
-			return a.done
+		if len(r) > maxRecordSize {
+			e.done <- fmt.Errorf("%w: %d bytes", ErrTooBig, len(r))
+			return e.done
 		}
 	}
-	l.mu.RLock() // held over the send: Close closes the queue only once nobody sends
+	l.mu.RLock() // held while sending: Close closes the queue only when no send is in progress
 	defer l.mu.RUnlock()
 	if l.closed {
-		a.done <- ErrClosed
-		return a.done
+		e.done <- ErrClosed
+		return e.done
 	}
 	if wait {
-		l.queue <- a
-		return a.done
+		l.queue <- e
+		return e.done
 	}
 	select {
-	case l.queue <- a:
-		return a.done
+	case l.queue <- e:
+		return e.done
 	default:
 		return nil
 	}
 }
 
-// Syncs counts the groups that were made durable.
+// Syncs returns the number of groups of appended records that were written and synced.
 func (l *Log) Syncs() uint64 { return l.syncs.Load() }
 
-// Close ends the log; appends under way are finished.
+// Close finishes queued appends and closes the log.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -387,31 +391,31 @@
 	close(l.queue)
 	l.mu.Unlock()
 	<-l.done
-	return errors.Join(l.log.Close(), l.mark.Close())
+	return errors.Join(l.segmentFile.Close(), l.checkpointFile.Close())
 }
 
-// run writes groups: all that waits goes out in one write and is made durable by one sync.
+// run writes queued entries in groups, each with one write and one sync. A compaction ends its group.
 func (l *Log) run() {
 	defer close(l.done)
 	var failed error
-	for a := range l.queue {
-		group := []*entry{a}
-		for len(group) < queueMost && a.compact == nil {
-			var more *entry
+	for e := range l.queue {
+		group := []*entry{e}
+		for len(group) < maxQueued && e.compact == nil {
+			var next *entry
 			select {
-			case more = <-l.queue:
+			case next = <-l.queue:
 			default:
 			}
-			if more == nil {
+			if next == nil {
 				break
 			}
-			group = append(group, more)
-			if more.compact != nil {
+			group = append(group, next)
+			if next.compact != nil {
 				break
 			}
 		}
 		if failed == nil {
-			if err := l.write(group); err != nil {
+			if err := l.writeGroup(group); err != nil {
 				failed = fmt.Errorf("%w: %w", ErrBroken, err)
 			}
 		}
@@ -421,41 +425,41 @@
 	}
 }
 
-func (l *Log) write(group []*entry) error {
-	var out []byte
+func (l *Log) writeGroup(group []*entry) error {
+	var data []byte
 	for _, g := range group {
 		if g.compact == nil {
-			out = putFrame(out, l.next, g.record)
-			l.next++
+			data = appendFrame(data, l.nextNumber, g.record)
+			l.nextNumber++
 		}
 	}
-	if len(out) > 0 {
-		if _, err := l.log.WriteAt(out, l.at); err != nil {
+	if len(data) > 0 {
+		if _, err := l.segmentFile.WriteAt(data, l.offset); err != nil {
 			return err
 		}
-		if err := l.log.Sync(); err != nil {
+		if err := l.segmentFile.Sync(); err != nil {
 			return err
 		}
-		if err := l.acknowledge(); err != nil {
+		if err := l.writeCheckpoint(); err != nil {
 			return err
 		}
-		l.at += int64(len(out))
+		l.offset += int64(len(data))
 		l.syncs.Add(1)
 	}
 	if last := group[len(group)-1]; last.compact != nil {
-		return l.compact(last.compact)
+		return l.writeSegment(last.compact)
 	}
 	return nil
 }
 
-// compact writes a new segment beside the old one, makes it durable under its own name, and only then lets
-// the mark name it.
-func (l *Log) compact(records [][]byte) error {
-	first := l.next
-	var out []byte
+// writeSegment writes and syncs the records as a new segment, makes its name durable, and only then makes it current
+// by writing a checkpoint that names it.
+func (l *Log) writeSegment(records [][]byte) error {
+	first := l.nextNumber
+	var data []byte
 	for _, r := range records {
-		out = putFrame(out, l.next, r)
-		l.next++
+		data = appendFrame(data, l.nextNumber, r)
+		l.nextNumber++
 	}
 	name := segmentName(l.segment + 1)
 	f, err := l.files.Open(name + ".new")
@@ -464,7 +468,7 @@
 	}
 	err = f.Truncate(0)
 	if err == nil {
-		_, err = f.WriteAt(out, 0)
+		_, err = f.WriteAt(data, 0)
 	}
 	if err == nil {
 		err = f.Sync()
@@ -479,20 +483,20 @@
 		f.Close()
 		return err
 	}
-	old, segment := l.log, l.segment
-	l.log, l.segment, l.first, l.at = f, l.segment+1, first, int64(len(out))
-	err = l.acknowledge()
-	old.Close()
+	oldFile, oldSegment := l.segmentFile, l.segment
+	l.segmentFile, l.segment, l.firstNumber, l.offset = f, l.segment+1, first, int64(len(data))
+	err = l.writeCheckpoint()
+	oldFile.Close()
 	if err != nil {
 		return err
 	}
-	if err := l.files.Remove(segmentName(segment)); err != nil {
+	if err := l.files.Remove(segmentName(oldSegment)); err != nil {
 		return err
 	}
 	return l.files.SyncNames()
 }
 
-// Clone copies records out of a store's contents, which otherwise share memory with what was read.
+// Clone returns copies of the records, which otherwise share memory with the segment data.
 func (c *Contents) Clone() [][]byte {
 	out := make([][]byte, len(c.Records))
 	for i, r := range c.Records {
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func open(t testing.TB, f Files) (*Log, *Contents) {
+func openLog(t testing.TB, f Files) (*Log, *Contents) {
 	t.Helper()
 	l, c, err := Open(f)
 	if err != nil {
@@ -20,37 +20,37 @@
 	return l, c
 }
 
-// workload appends, compacts, closes and opens again, and marks each acknowledgement among the operations.
-// It returns what the store must hold after each: the records, by the number of acknowledgements.
-func workload(t testing.TB, d *disk) (states [][]string) {
+// workload appends records to a store, compacts, closes and reopens it, and notes each acknowledgement among the
+// operations. It returns the records that the store must hold after each acknowledgement.
+func workload(t testing.TB, d *memDir) (states [][]string) {
 	t.Helper()
-	var held []string
-	ack := func() { d.ops = append(d.ops, op{kind: opAck}); states = append(states, slices.Clone(held)) }
-	for life := range 3 {
-		l, c := open(t, d)
-		if len(c.Records) != len(held) {
-			t.Fatalf("life %d begins with %d records of %d", life, len(c.Records), len(held))
+	var want []string
+	noteAck := func() { d.ops = append(d.ops, op{kind: opAck}); states = append(states, slices.Clone(want)) }
+	for pass := range 3 {
+		l, c := openLog(t, d)
+		if len(c.Records) != len(want) {
+			t.Fatalf("pass %d: got %d records after opening, want %d", pass, len(c.Records), len(want))
 		}
 		for i := range 4 {
-			r := fmt.Sprintf("record %d of life %d", i, life)
+			r := fmt.Sprintf("record %d of pass %d", i, pass)
 			if err := l.Append([]byte(r)); err != nil {
 				t.Fatal(err)
 			}
-			held = append(held, r)
-			ack()
+			want = append(want, r)
+			noteAck()
 			if i == 2 {
-				held = held[len(held)/2:]
-				if life == 1 {
-					held = nil // a compaction to nothing
+				want = want[len(want)/2:]
+				if pass == 1 {
+					want = nil // covers compaction to an empty segment
 				}
 				var all [][]byte
-				for _, h := range held {
-					all = append(all, []byte(h))
+				for _, r := range want {
+					all = append(all, []byte(r))
 				}
 				if err := <-l.Compact(all); err != nil {
 					t.Fatal(err)
 				}
-				ack()
+				noteAck()
 			}
 		}
 		if err := l.Close(); err != nil {
@@ -60,15 +60,16 @@
 	return states
 }
 
-func texts(c *Contents) (out []string) {
+func recordStrings(c *Contents) (out []string) {
 	for _, r := range c.Records {
 		out = append(out, string(r))
 	}
 	return out
 }
 
-// holds tells that a store holds what was acknowledged, or that and what came next, and nothing else.
-func holds(states [][]string, acks int, got []string) bool {
+// isValidState reports whether got is the state after the last acknowledgement or the one after it, as the operation in
+// progress at the crash may have taken effect.
+func isValidState(states [][]string, acks int, got []string) bool {
 	for _, k := range []int{acks, acks + 1} {
 		var want []string
 		if k > 0 && k <= len(states) {
@@ -82,32 +83,32 @@
 }
 
 func TestCrashAtEveryByteOfEveryWrite(t *testing.T) {
-	d := newDisk()
+	d := newMemDir()
 	states := workload(t, d)
 	crashes := 0
-	try := func(n, cut int, l loss, acks int) {
+	checkCrash := func(n, cut int, mode crashMode, acks int) {
 		crashes++
-		left := crash(d.ops, n, cut, l)
-		log, c, err := Open(left)
+		survivor := stateAfterCrash(d.ops, n, cut, mode)
+		log, c, err := Open(survivor)
 		if err != nil {
-			t.Fatalf("after operation %d of %d, cut %d, loss %d: %v", n, len(d.ops), cut, l, err)
+			t.Fatalf("after operation %d of %d, cut %d, mode %d: %v", n, len(d.ops), cut, mode, err)
 		}
-		got := texts(c)
-		if !holds(states, acks, got) {
-			t.Fatalf("after operation %d, cut %d, loss %d, %d acknowledged: %q", n, cut, l, acks, got)
+		got := recordStrings(c)
+		if !isValidState(states, acks, got) {
+			t.Fatalf("after operation %d, cut %d, mode %d, %d acknowledged: got records %q", n, cut, mode, acks, got)
 		}
-		// And a crash during the recovery from it, at each of its operations.
-		recovery := left.ops
+		// Crash again after each operation of the recovery.
+		recovery := survivor.ops
 		if err := log.Append([]byte("after")); err != nil {
 			t.Fatal(err)
 		}
 		log.Close()
 		if cut%7 == 0 {
 			for k := range recovery {
-				again := crash(append(replay(crash(d.ops, n, cut, l)), recovery...), len(replay(crash(d.ops, n, cut, l)))+k+1, 0, loseAll)
-				c, err := Inspect(again)
-				if err != nil || !holds(states, acks, texts(c)) {
-					t.Fatalf("crash in recovery: after operation %d, cut %d, loss %d, then %d: %v %q", n, cut, l, k, err, texts(c))
+				second := stateAfterCrash(append(asDurableOps(stateAfterCrash(d.ops, n, cut, mode)), recovery...), len(asDurableOps(stateAfterCrash(d.ops, n, cut, mode)))+k+1, 0, syncedOnly)
+				c, err := Inspect(second)
+				if err != nil || !isValidState(states, acks, recordStrings(c)) {
+					t.Fatalf("crash after operation %d, cut %d, mode %d, then after operation %d of the recovery: %v, records %q", n, cut, mode, k, err, recordStrings(c))
 				}
 			}
 		}
@@ -118,127 +119,127 @@
 		if o.kind == opAck {
 			acks++
 		}
-		for _, l := range []loss{loseAll, keepAll, namesFirst} {
-			try(n, 0, l, acks)
+		for _, mode := range []crashMode{syncedOnly, everythingWritten, namesWithSyncedData} {
+			checkCrash(n, 0, mode, acks)
 		}
 		if o.kind == opWrite {
 			for cut := range o.data {
-				try(n, cut, torn, acks)
-				try(n, cut, zeroed, acks)
+				checkCrash(n, cut, tornWrite, acks)
+				checkCrash(n, cut, zeroFilledWrite, acks)
 			}
 		}
 	}
 	if crashes < 1000 {
-		t.Fatalf("only %d crashes", crashes)
+		t.Fatalf("only %d crashes simulated, want at least 1000", crashes)
 	}
-	t.Logf("%d crashes", crashes)
+	t.Logf("%d crashes simulated", crashes)
 }
 
-// replay is a disk's contents as operations, all durable.
-func replay(d *disk) (ops []op) {
-	names, _ := d.Names()
+// asDurableOps returns operations that create the files of dir and sync them.
+func asDurableOps(dir *memDir) (ops []op) {
+	names, _ := dir.Names()
 	for _, n := range names {
-		ops = append(ops, op{kind: opCreate, name: n}, op{kind: opWrite, name: n, data: d.files[n].data}, op{kind: opSync, name: n})
+		ops = append(ops, op{kind: opCreate, name: n}, op{kind: opWrite, name: n, data: dir.files[n].data}, op{kind: opSync, name: n})
 	}
 	return append(ops, op{kind: opSyncNames})
 }
 
-func TestEveryFileCutAtEveryOffsetAndEveryByteFlipped(t *testing.T) {
-	d := newDisk()
+func TestDamageIsDetectedAtEveryOffset(t *testing.T) {
+	d := newMemDir()
 	states := workload(t, d)
 	want := states[len(states)-1]
-	damaged, whole := 0, 0
-	check := func(what string, bad *disk) {
+	damaged, intact := 0, 0
+	check := func(what string, bad *memDir) {
 		c, err := Inspect(bad)
 		switch {
-		case err == nil && slices.Equal(texts(c), want):
-			whole++ // only what nobody needs was hit: the older slot of the mark, or what stands between the slots
+		case err == nil && slices.Equal(recordStrings(c), want):
+			intact++ // the damage hit only the older checkpoint slot or the padding between the slots
 		case err == nil:
-			t.Errorf("%s: served as whole: %q", what, texts(c))
+			t.Errorf("%s: damage not detected; got records %q", what, recordStrings(c))
 		case !errors.Is(err, ErrDamage) && !errors.Is(err, ErrFormat):
 			t.Errorf("%s: %v", what, err)
 		default:
 			damaged++
 		}
 	}
-	copyOf := func() *disk { return crash(d.ops, len(d.ops), 0, keepAll) }
+	copyOf := func() *memDir { return stateAfterCrash(d.ops, len(d.ops), 0, everythingWritten) }
 	names, _ := d.Names()
 	for _, name := range names {
-		for at := range d.files[name].data {
+		for offset := range d.files[name].data {
 			b := copyOf()
-			b.files[name].data = b.files[name].data[:at]
-			check(fmt.Sprintf("%s cut at %d", name, at), b)
+			b.files[name].data = b.files[name].data[:offset]
+			check(fmt.Sprintf("%s truncated at %d", name, offset), b)
 			b = copyOf()
-			b.files[name].data[at] ^= 0x40
-			check(fmt.Sprintf("%s flipped at %d", name, at), b)
+			b.files[name].data[offset] ^= 0x40
+			check(fmt.Sprintf("%s with a bit flipped at %d", name, offset), b)
 		}
 		b := copyOf()
 		delete(b.files, name)
 		check(name+" removed", b)
 	}
 	if damaged < 100 {
-		t.Fatalf("only %d told as damaged, %d whole", damaged, whole)
+		t.Fatalf("%d cases reported as damaged, want at least 100; %d intact", damaged, intact)
 	}
 }
 
-// Each step that makes the store safe is left out once: the crash test must see it.
-func TestLeftOutStepsAreSeen(t *testing.T) {
+// Leaves out one kind of sync at a time and checks that simulated crashes reveal it.
+func TestCrashTestDetectsMissingSyncs(t *testing.T) {
 	for name, skip := range map[string]func(o op) bool{
-		"a log's sync":             func(o op) bool { return o.kind == opSync && o.name != markFile },
-		"the mark's sync":          func(o op) bool { return o.kind == opSync && o.name == markFile },
-		"the sync of a new name":   func(o op) bool { return o.kind == opSyncNames },
-		"the sync before a rename": func(o op) bool { return o.kind == opSync && len(o.name) > 4 && o.name[len(o.name)-4:] == ".new" },
+		"sync of a segment":      func(o op) bool { return o.kind == opSync && o.name != checkpointName },
+		"sync of the checkpoint": func(o op) bool { return o.kind == opSync && o.name == checkpointName },
+		"sync of the directory":  func(o op) bool { return o.kind == opSyncNames },
+		"sync before a rename":   func(o op) bool { return o.kind == opSync && len(o.name) > 4 && o.name[len(o.name)-4:] == ".new" },
 	} {
-		d := newDisk()
+		d := newMemDir()
 		states := workload(t, d)
 		ops := slices.DeleteFunc(slices.Clone(d.ops), skip)
-		seen, acks := false, 0
-		for n := 1; n <= len(ops) && !seen; n++ {
+		detected, acks := false, 0
+		for n := 1; n <= len(ops) && !detected; n++ {
 			if ops[n-1].kind == opAck {
 				acks++
 			}
-			for _, l := range []loss{loseAll, namesFirst} {
-				c, err := Inspect(crash(ops, n, 0, l))
-				seen = seen || err != nil || !holds(states, acks, texts(c))
+			for _, mode := range []crashMode{syncedOnly, namesWithSyncedData} {
+				c, err := Inspect(stateAfterCrash(ops, n, 0, mode))
+				detected = detected || err != nil || !isValidState(states, acks, recordStrings(c))
 			}
 		}
-		if !seen {
-			t.Errorf("%s was left out, and no crash showed it", name)
+		if !detected {
+			t.Errorf("no simulated crash revealed the missing %s", name)
 		}
 	}
 }
 
-func TestAfterAFailedSyncNothingIsAcknowledged(t *testing.T) {
-	for _, kind := range []kind{opWrite, opSync} {
-		d := newDisk()
-		l, _ := open(t, d)
+func TestNothingIsAcknowledgedAfterFailedWriteOrSync(t *testing.T) {
+	for _, kind := range []opKind{opWrite, opSync} {
+		d := newMemDir()
+		l, _ := openLog(t, d)
 		if err := l.Append([]byte("a")); err != nil {
 			t.Fatal(err)
 		}
-		broken := errors.New("input/output error")
-		d.fail = func(o op) error {
+		diskErr := errors.New("input/output error")
+		d.injectError = func(o op) error {
 			if o.kind == kind {
-				return broken
+				return diskErr
 			}
 			return nil
 		}
-		if err := l.Append([]byte("b")); !errors.Is(err, ErrBroken) || !errors.Is(err, broken) {
-			t.Fatalf("got %v", err)
+		if err := l.Append([]byte("b")); !errors.Is(err, ErrBroken) || !errors.Is(err, diskErr) {
+			t.Fatalf("got %v, want ErrBroken that wraps the disk's error", err)
 		}
-		d.fail = nil
+		d.injectError = nil
 		if err := l.Append([]byte("c")); !errors.Is(err, ErrBroken) {
-			t.Fatalf("acknowledged after it: %v", err)
+			t.Fatalf("append after a failed one: got %v, want ErrBroken", err)
 		}
 		l.Close()
-		if _, c := open(t, d); texts(c)[0] != "a" {
-			t.Fatalf("got %q", texts(c))
+		if _, c := openLog(t, d); recordStrings(c)[0] != "a" {
+			t.Fatalf("after reopening: got records %q, want the first to be \"a\"", recordStrings(c))
 		}
 	}
 }
 
-func TestFolderOfTheSystemAndGroups(t *testing.T) {
+func TestConcurrentAppendsShareSyncs(t *testing.T) {
 	dir := Folder(t.TempDir())
-	l, _ := open(t, dir)
+	l, _ := openLog(t, dir)
 	var wg sync.WaitGroup
 	for g := range 50 {
 		wg.Add(1)
@@ -253,77 +254,77 @@
 	}
 	wg.Wait()
 	if n := l.Syncs(); n == 0 || n >= 1000 {
-		t.Errorf("%d syncs for 1000 records: none were shared", n)
+		t.Errorf("%d syncs for 1000 concurrent records, want 1 to 999", n)
 	}
 	if err := l.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if err := l.Append([]byte("x")); !errors.Is(err, ErrClosed) {
-		t.Fatalf("after its end: %v", err)
+		t.Fatalf("append after Close: got %v, want ErrClosed", err)
 	}
-	l, c := open(t, dir)
+	l, c := openLog(t, dir)
 	defer l.Close()
-	last := map[string]int{}
+	next := map[string]int{}
 	for _, r := range c.Records {
 		var g, i int
 		fmt.Sscanf(string(r), "%d-%d", &g, &i)
 		key := fmt.Sprint(g)
-		if i != last[key] {
-			t.Fatalf("writer %d: record %d in place of %d", g, i, last[key])
+		if i != next[key] {
+			t.Fatalf("writer %d: got record %d, want %d", g, i, next[key])
 		}
-		last[key]++
+		next[key]++
 	}
 	if len(c.Records) != 1000 {
-		t.Fatalf("%d records", len(c.Records))
+		t.Fatalf("got %d records, want 1000", len(c.Records))
 	}
-	if err := l.Append(make([]byte, recordMax+1)); !errors.Is(err, ErrTooBig) {
-		t.Fatalf("got %v", err)
+	if err := l.Append(make([]byte, maxRecordSize+1)); !errors.Is(err, ErrTooBig) {
+		t.Fatalf("got %v, want ErrTooBig", err)
 	}
 }
 
-func TestOtherFormatAndOddFolders(t *testing.T) {
+func TestOpenRejectsUnknownFormatAndMissingFolder(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := open(t, Folder(dir))
+	l, _ := openLog(t, Folder(dir))
 	l.Append([]byte("a"))
 	l.Close()
-	file := filepath.Join(dir, markFile)
-	text, _ := os.ReadFile(file)
+	file := filepath.Join(dir, checkpointName)
+	data, _ := os.ReadFile(file)
 	for slot := range 2 {
-		b := text[slot*slotSize:]
-		if len(b) >= markSize {
+		b := data[slot*slotSize:]
+		if len(b) >= checkpointSize {
 			b[24] = 9
-			resum(b)
+			updateChecksum(b)
 		}
 	}
-	os.WriteFile(file, text, 0o600)
+	os.WriteFile(file, data, 0o600)
 	if _, _, err := Open(Folder(dir)); !errors.Is(err, ErrFormat) {
-		t.Fatalf("a newer format: %v", err)
+		t.Fatalf("format version 9: got %v, want ErrFormat", err)
 	}
 	if _, _, err := Open(Folder(filepath.Join(dir, "none"))); err == nil {
-		t.Fatal("a folder that is not there")
+		t.Fatal("opened a store in a missing folder")
 	}
 }
 
 func FuzzInspect(f *testing.F) {
-	d := newDisk()
+	d := newMemDir()
 	workload(f, d)
 	names, _ := d.Names()
-	f.Add(d.files[names[0]].data, d.files[markFile].data, names[0])
-	f.Fuzz(func(t *testing.T, log, mark []byte, name string) {
-		bad := newDisk()
-		bad.files[markFile] = &content{mark}
-		if name != markFile {
-			bad.files[name] = &content{log}
+	f.Add(d.files[names[0]].data, d.files[checkpointName].data, names[0])
+	f.Fuzz(func(t *testing.T, segment, checkpoint []byte, name string) {
+		bad := newMemDir()
+		bad.files[checkpointName] = &memFile{checkpoint}
+		if name != checkpointName {
+			bad.files[name] = &memFile{segment}
 		}
 		c, err := Inspect(bad)
 		if err == nil && c.Last() < c.Acked {
-			t.Fatalf("an acknowledged record is missing and nobody said so: %+v", c)
+			t.Fatalf("an acknowledged record is missing without an error: %+v", c)
 		}
 	})
 }
 
 func BenchmarkAppend(b *testing.B) {
-	l, _ := open(b, Folder(b.TempDir()))
+	l, _ := openLog(b, Folder(b.TempDir()))
 	defer l.Close()
 	r := make([]byte, 150)
 	b.SetParallelism(16)
@@ -337,20 +338,20 @@
 	b.ReportMetric(float64(l.Syncs())/float64(b.N), "syncs/record")
 }
 
-// BenchmarkPaced appends at a steady rate, as plays come, to one copy of the log and to two, and tells how long
-// a record takes to be durable and how many records share a sync.
+// BenchmarkPaced appends at a steady rate to one log and to two copies of it in parallel. It measures how long a record
+// takes to become durable, and the number of syncs per record.
 func BenchmarkPaced(b *testing.B) {
 	for _, rate := range []int{33, 1000} {
 		for _, copies := range []int{1, 2} {
 			b.Run(fmt.Sprintf("%d-a-second/copies-%d", rate, copies), func(b *testing.B) {
 				var logs []*Log
 				for range copies {
-					l, _ := open(b, Folder(b.TempDir()))
+					l, _ := openLog(b, Folder(b.TempDir()))
 					defer l.Close()
 					logs = append(logs, l)
 				}
 				r := make([]byte, 150)
-				took := make([]time.Duration, b.N)
+				latency := make([]time.Duration, b.N)
 				var wg sync.WaitGroup
 				tick := time.NewTicker(time.Second / time.Duration(rate))
 				defer tick.Stop()
@@ -369,14 +370,14 @@
 								b.Error(err)
 							}
 						}
-						took[i] = time.Since(began)
+						latency[i] = time.Since(began)
 					}()
 				}
 				wg.Wait()
-				slices.Sort(took)
+				slices.Sort(latency)
 				b.ReportMetric(float64(logs[0].Syncs())/float64(b.N), "groups/record")
-				b.ReportMetric(float64(took[b.N/2].Microseconds()), "p50-us")
-				b.ReportMetric(float64(took[b.N*99/100].Microseconds()), "p99-us")
+				b.ReportMetric(float64(latency[b.N/2].Microseconds()), "p50-us")
+				b.ReportMetric(float64(latency[b.N*99/100].Microseconds()), "p99-us")
 			})
 		}
 	}
--- a/store/salvage.go
+++ b/store/salvage.go
@@ -9,111 +9,112 @@
 	"strings"
 )
 
-// MissingRange is a place where records are missing.
+// MissingRange is a range of a file in which records are missing.
 type MissingRange struct {
 	File     string
-	From, To int64 // bytes that hold no whole record
-	Records  uint64
+	From, To int64  // byte range that holds no valid record in sequence
+	Records  uint64 // number of records missing
 	What     string
 }
 
-// Salvaged is what can be had of a store, whole or not.
+// Salvaged is the data recovered from a store, damaged or not.
 type Salvaged struct {
 	Records [][]byte
-	Gaps    []MissingRange // in their order
-	Lost    uint64         // records that were acknowledged, or must have been written, and are not there; at least
+	Gaps    []MissingRange // in file order
+	Lost    uint64         // lower bound of the records that were acknowledged, or must have been written, and are missing
 }
 
-// Salvage reads what can be had of a store without changing it. It never invents: each record that it returns
-// stands in the log with a checksum that holds and a number greater than those before it. Records after a gap
-// are found by looking at every byte for the next one that holds. Where the mark can't be read it is not known
-// how far the log was acknowledged, and one record at least counts as lost.
+// Salvage reads all records that can be recovered from a store, without changing it. Each record returned has a valid
+// checksum and a number greater than those before it. After a gap it searches byte by byte for the next valid frame. If
+// the checkpoint can't be read, it is unknown which records were acknowledged, and at least one counts as lost.
 func Salvage(files Files) (*Salvaged, error) {
 	s := &Salvaged{}
-	mark, err := files.Read(markFile)
+	checkpoint, err := files.Read(checkpointName)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	c, err := readMark(mark)
+	c, err := decodeCheckpoint(checkpoint)
 	if err != nil && !errors.Is(err, ErrDamage) {
 		return nil, err
 	}
 	if err != nil {
-		if unborn, e := neverBegan(files); e != nil {
+		if uninitialized, e := isUninitialized(files); e != nil {
 			return nil, e
-		} else if unborn {
+		} else if uninitialized {
 			return s, nil
 		}
-		s.lose(MissingRange{File: markFile, To: int64(len(mark)), Records: 1, What: "no slot of it holds: how far the log was acknowledged is not known"})
-		segment, err := lastSegment(files)
+		s.addGap(MissingRange{File: checkpointName, To: int64(len(checkpoint)), Records: 1, What: "neither slot holds a valid checkpoint; the last acknowledged record is unknown"})
+		segment, err := highestSegment(files)
 		if err != nil {
 			return nil, err
 		}
 		c = &Contents{Segment: segment}
 	}
 	name := segmentName(c.Segment)
-	text, err := files.Read(name)
+	data, err := files.Read(name)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		s.lose(MissingRange{File: name, Records: c.Acked + 1 - min(c.First, c.Acked), What: "the segment is missing"})
+		s.addGap(MissingRange{File: name, Records: c.Acked + 1 - min(c.First, c.Acked), What: "the segment is missing"})
 		return s, nil
 	case err != nil:
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	next := c.First // the number that is to come
-	for at := int64(0); at < int64(len(text)); {
-		number, record, size, why := frame(text[at:])
-		if why == "" && (number == next || next == 0) {
-			s.Records, next, at = append(s.Records, record), number+1, at+size
+	next := c.First // expected record number; 0 if unknown
+	for offset := int64(0); offset < int64(len(data)); {
+		number, record, size, problem := decodeFrame(data[offset:])
+		if problem == "" && (number == next || next == 0) {
+			s.Records, next, offset = append(s.Records, record), number+1, offset+size
 			continue
 		}
-		if why == "" {
-			why = fmt.Sprintf("record %d in place of %d", number, next)
+		if problem == "" {
+			problem = fmt.Sprintf("found record %d, want %d", number, next)
 		}
-		to, found := resume(text, at, next, c.Acked)
+		resumeAt, found := findNextFrame(data, offset, next, c.Acked)
 		if found == 0 {
 			if next <= c.Acked {
-				s.lose(MissingRange{name, at, int64(len(text)), c.Acked + 1 - next, why})
+				s.addGap(MissingRange{name, offset, int64(len(data)), c.Acked + 1 - next, problem})
 			}
-			return s, nil // the rest was never acknowledged
+			return s, nil // the remaining bytes were never acknowledged
 		}
-		s.lose(MissingRange{name, at, to, found - next, why})
-		next, at = found, to
+		s.addGap(MissingRange{name, offset, resumeAt, found - next, problem})
+		next, offset = found, resumeAt
 	}
 	if next <= c.Acked {
-		s.lose(MissingRange{name, int64(len(text)), int64(len(text)), c.Acked + 1 - next, "the file ends"})
+		s.addGap(MissingRange{name, int64(len(data)), int64(len(data)), c.Acked + 1 - next, "the file ends"})
 	}
 	return s, nil
 }
 
-func (s *Salvaged) lose(g MissingRange) {
-	s.Gaps = append(s.Gaps, g)
-	s.Lost += g.Records
+func (s *Salvaged) addGap(gap MissingRange) {
+	s.Gaps = append(s.Gaps, gap)
+	s.Lost += gap.Records
 }
 
-// resume looks for the next record that holds, with a number that can stand there.
-func resume(text []byte, from int64, next, acked uint64) (at int64, number uint64) {
-	for at = from; at+headSize <= int64(len(text)); at++ {
-		n, _, _, why := frame(text[at:])
-		if why == "" && n >= next && (acked == 0 || n <= acked+queueMost) {
-			return at, n
+// findNextFrame returns the offset and number of the first valid frame at or after start whose number can follow, or
+// zeros if there is none. Up to maxQueued records may have been written after the last acknowledged one.
+func findNextFrame(data []byte, start int64, next, acked uint64) (offset int64, number uint64) {
+	for offset = start; offset+headerSize <= int64(len(data)); offset++ {
+		n, _, _, problem := decodeFrame(data[offset:])
+		if problem == "" && n >= next && (acked == 0 || n <= acked+maxQueued) {
+			return offset, n
 		}
 	}
 	return 0, 0
 }
 
-// lastSegment is the segment with the highest number: one that was renamed into its place was whole.
-func lastSegment(files Files) (uint64, error) {
+// highestSegment returns the highest segment number, 0 if there is no segment. A segment is written completely before
+// it is renamed to its final name.
+func highestSegment(files Files) (uint64, error) {
 	names, err := files.Names()
 	if err != nil {
 		return 0, fmt.Errorf("store: %w", err)
 	}
 	sort.Strings(names)
-	last := uint64(0)
+	highest := uint64(0)
 	for _, n := range names {
-		if k, err := strconv.ParseUint(strings.TrimPrefix(n, "log-"), 10, 64); err == nil && strings.HasPrefix(n, "log-") {
-			last = max(last, k)
+		if number, err := strconv.ParseUint(strings.TrimPrefix(n, "log-"), 10, 64); err == nil && strings.HasPrefix(n, "log-") {
+			highest = max(highest, number)
 		}
 	}
-	return last, nil
+	return highest, nil
 }
--- a/store/weigh/weigh_test.go
+++ b/store/weigh/weigh_test.go
@@ -1,5 +1,5 @@
-// Package weigh runs stores from the registry through the demands that package store is held to. A module of its
-// own, so that the program does not carry them: cd store/weigh && go test -v
+// Package weigh tests third-party embedded stores against the guarantees of package store, as a comparison. It is a
+// separate module, so that the main module doesn't depend on them. Run it with: cd store/weigh && go test -v
 package weigh
 
 import (
@@ -16,22 +16,23 @@
 	"go.etcd.io/bbolt"
 )
 
-const records = 40
+const recordCount = 40
 
-func key(i int) []byte { return fmt.Appendf(nil, "%08d", i) }
-func value(i int) []byte {
+func recordKey(i int) []byte { return fmt.Appendf(nil, "%08d", i) }
+func recordValue(i int) []byte {
 	return fmt.Appendf(nil, "record %d of a play, of about the usual length of one hundred bytes or so, as JSON", i)
 }
 
-// verdicts of opening a store that was harmed.
-type verdicts struct{ whole, told, silent, crashed int }
+// tally counts the outcomes of opening damaged stores.
+type tally struct{ intact, reported, undetected, crashed int }
 
-func (v verdicts) String() string {
-	return fmt.Sprintf("whole %d, told as damaged %d, served with acknowledged records missing or changed %d, the process crashed %d",
-		v.whole, v.told, v.silent, v.crashed)
+func (v tally) String() string {
+	return fmt.Sprintf("intact %d, reported as damaged %d, opened with acknowledged records missing or changed %d, process crashed %d",
+		v.intact, v.reported, v.undetected, v.crashed)
 }
 
-// TestMain lets the test binary be the process that opens a harmed bbolt file, which may fault on its map.
+// TestMain makes the test binary usable as a child process that opens a damaged bbolt file, as bbolt may crash with a
+// fault in its memory map.
 func TestMain(m *testing.M) {
 	if file := os.Getenv("WEIGH_BOLT"); file != "" {
 		fmt.Print(readBolt(file))
@@ -42,39 +43,39 @@
 
 // ---- pebble ----
 
-func quiet(fs vfs.FS) *pebble.Options {
-	return &pebble.Options{FS: fs, Logger: silent{}, MemTableSize: 64 << 10}
+func pebbleOptions(fs vfs.FS) *pebble.Options {
+	return &pebble.Options{FS: fs, Logger: noLog{}, MemTableSize: 64 << 10}
 }
 
-type silent struct{}
+type noLog struct{}
 
-func (silent) Infof(string, ...any)  {}
-func (silent) Errorf(string, ...any) {}
-func (silent) Fatalf(f string, a ...any) {
+func (noLog) Infof(string, ...any)  {}
+func (noLog) Errorf(string, ...any) {}
+func (noLog) Fatalf(f string, a ...any) {
 	panic(fmt.Sprintf(f, a...))
 }
 
-// readPebble counts the records in their order that hold; the error is the store's own word.
+// readPebble returns the number of leading records that are intact, -1 after a panic, and the error that pebble reports.
 func readPebble(fs vfs.FS) (n int, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			n, err = -1, fmt.Errorf("panic: %v", r)
 		}
 	}()
-	db, err := pebble.Open("db", quiet(fs))
+	db, err := pebble.Open("db", pebbleOptions(fs))
 	if err != nil {
 		return 0, err
 	}
 	defer db.Close()
-	for ; n < records; n++ {
-		v, closer, err := db.Get(key(n))
+	for ; n < recordCount; n++ {
+		v, closer, err := db.Get(recordKey(n))
 		if err == pebble.ErrNotFound {
 			return n, nil
 		}
 		if err != nil {
 			return n, err
 		}
-		same := string(v) == string(value(n))
+		same := string(v) == string(recordValue(n))
 		closer.Close()
 		if !same {
 			return n, nil
@@ -85,49 +86,49 @@
 
 func TestPebbleCrashedAfterEveryRecord(t *testing.T) {
 	fs := vfs.NewCrashableMem()
-	db, err := pebble.Open("db", quiet(fs))
+	db, err := pebble.Open("db", pebbleOptions(fs))
 	if err != nil {
 		t.Fatal(err)
 	}
 	lost := 0
-	for i := range records {
-		if err := db.Set(key(i), value(i), pebble.Sync); err != nil {
+	for i := range recordCount {
+		if err := db.Set(recordKey(i), recordValue(i), pebble.Sync); err != nil {
 			t.Fatal(err)
 		}
-		for _, percent := range []int{0, 50, 100} { // of what was not synced
+		for _, percent := range []int{0, 50, 100} { // unsynced data that survives
 			if n, err := readPebble(fs.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: percent, RNG: rand.New(rand.NewPCG(1, uint64(i)))})); err != nil || n < i+1 {
 				lost++
 			}
 		}
 	}
 	db.Close()
-	t.Logf("pebble: %d crashes, %d with an acknowledged record lost", 3*records, lost)
+	t.Logf("pebble: %d simulated crashes, %d lost an acknowledged record", 3*recordCount, lost)
 }
 
-func TestPebbleCutAndFlipped(t *testing.T) {
+func TestPebbleTruncatedAndFlipped(t *testing.T) {
 	dir := t.TempDir()
-	db, err := pebble.Open(filepath.Join(dir, "db"), quiet(vfs.Default))
+	db, err := pebble.Open(filepath.Join(dir, "db"), pebbleOptions(vfs.Default))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range records {
-		if err := db.Set(key(i), value(i), pebble.Sync); err != nil {
+	for i := range recordCount {
+		if err := db.Set(recordKey(i), recordValue(i), pebble.Sync); err != nil {
 			t.Fatal(err)
 		}
 	}
-	// As a kill would leave it: closing would write the memory table out.
+	// Copy the files before closing the database, as a killed process would leave them: Close flushes the memtable.
 	files := map[string][]byte{}
 	entries, _ := os.ReadDir(filepath.Join(dir, "db"))
 	for _, e := range entries {
 		files[e.Name()], _ = os.ReadFile(filepath.Join(dir, "db", e.Name()))
 	}
 	db.Close()
-	load := func(harmed string, data []byte) vfs.FS {
+	copyWith := func(damaged string, data []byte) vfs.FS {
 		fs := vfs.NewMem()
 		fs.MkdirAll("db", 0o755)
-		for name, text := range files {
-			if name == harmed {
-				text = data
+		for name, contents := range files {
+			if name == damaged {
+				contents = data
 			}
 			if name == "LOCK" {
 				continue
@@ -136,36 +137,36 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Write(text)
+			f.Write(contents)
 			f.Close()
 		}
 		return fs
 	}
-	judge := func(v *verdicts, fs vfs.FS) {
+	count := func(v *tally, fs vfs.FS) {
 		switch n, err := readPebble(fs); {
 		case n < 0:
 			v.crashed++
 		case err != nil:
-			v.told++
-		case n == records:
-			v.whole++
+			v.reported++
+		case n == recordCount:
+			v.intact++
 		default:
-			v.silent++
+			v.undetected++
 		}
 	}
-	for name, text := range files {
+	for name, original := range files {
 		if name == "LOCK" {
 			continue
 		}
-		var cut, flip verdicts
-		step := max(1, len(text)/400)
-		for at := 0; at < len(text); at += step {
-			judge(&cut, load(name, text[:at]))
-			b := append([]byte{}, text...)
-			b[at] ^= 0x40
-			judge(&flip, load(name, b))
+		var cut, flip tally
+		step := max(1, len(original)/400)
+		for offset := 0; offset < len(original); offset += step {
+			count(&cut, copyWith(name, original[:offset]))
+			b := append([]byte{}, original...)
+			b[offset] ^= 0x40
+			count(&flip, copyWith(name, b))
 		}
-		t.Logf("pebble %s, %d bytes, each %d: cut: %v; flipped: %v", name, len(text), step, cut, flip)
+		t.Logf("pebble file %s, %d bytes, step %d: truncated: %v; bit flipped: %v", name, len(original), step, cut, flip)
 	}
 }
 
@@ -174,14 +175,14 @@
 func readBolt(file string) string {
 	db, err := bbolt.Open(file, 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
-		return "told"
+		return "reported"
 	}
 	defer db.Close()
 	n := 0
 	err = db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket([]byte("r"))
-		for ; b != nil && n < records; n++ {
-			if string(b.Get(key(n))) != string(value(n)) {
+		for ; b != nil && n < recordCount; n++ {
+			if string(b.Get(recordKey(n))) != string(recordValue(n)) {
 				return nil
 			}
 		}
@@ -189,63 +190,63 @@
 	})
 	switch {
 	case err != nil:
-		return "told"
-	case n == records:
-		return "whole"
+		return "reported"
+	case n == recordCount:
+		return "intact"
 	}
-	return "silent"
+	return "undetected"
 }
 
-func TestBoltCutAndFlipped(t *testing.T) {
+func TestBoltTruncatedAndFlipped(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "db")
 	db, err := bbolt.Open(file, 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i := range records {
+	for i := range recordCount {
 		if err := db.Update(func(tx *bbolt.Tx) error {
 			b, err := tx.CreateBucketIfNotExists([]byte("r"))
 			if err != nil {
 				return err
 			}
-			return b.Put(key(i), value(i))
+			return b.Put(recordKey(i), recordValue(i))
 		}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	stats := db.Stats().TxStats
-	t.Logf("bbolt: %d bytes of pages allocated for %d records of %d bytes", stats.GetPageAlloc(), records, len(key(0))+len(value(0)))
+	t.Logf("bbolt: allocated %d bytes of pages for %d records of %d bytes", stats.GetPageAlloc(), recordCount, len(recordKey(0))+len(recordValue(0)))
 	db.Close()
-	text, err := os.ReadFile(file)
+	original, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var cut, flip verdicts
-	judge := func(v *verdicts, data []byte) {
-		harmed := filepath.Join(t.TempDir(), "harmed")
-		if err := os.WriteFile(harmed, data, 0o600); err != nil {
+	var cut, flip tally
+	count := func(v *tally, data []byte) {
+		damaged := filepath.Join(t.TempDir(), "damaged")
+		if err := os.WriteFile(damaged, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		child := exec.Command(os.Args[0])
-		child.Env = append(os.Environ(), "WEIGH_BOLT="+harmed)
-		out, _ := child.Output()
+		cmd := exec.Command(os.Args[0])
+		cmd.Env = append(os.Environ(), "WEIGH_BOLT="+damaged)
+		out, _ := cmd.Output()
 		switch strings.TrimSpace(string(out)) {
-		case "whole":
-			v.whole++
-		case "told":
-			v.told++
-		case "silent":
-			v.silent++
+		case "intact":
+			v.intact++
+		case "reported":
+			v.reported++
+		case "undetected":
+			v.undetected++
 		default:
 			v.crashed++
 		}
 	}
-	step := max(1, len(text)/500)
-	for at := 0; at < len(text); at += step {
-		judge(&cut, text[:at])
-		b := append([]byte{}, text...)
-		b[at] ^= 0x40
-		judge(&flip, b)
+	step := max(1, len(original)/500)
+	for offset := 0; offset < len(original); offset += step {
+		count(&cut, original[:offset])
+		b := append([]byte{}, original...)
+		b[offset] ^= 0x40
+		count(&flip, b)
 	}
-	t.Logf("bbolt, %d bytes, each %d: cut: %v; flipped: %v", len(text), step, cut, flip)
+	t.Logf("bbolt, %d bytes, step %d: truncated: %v; bit flipped: %v", len(original), step, cut, flip)
 }
