--- a/playlog/playlog.go
+++ b/playlog/playlog.go
@@ -1,10 +1,11 @@
-// Package playlog decides which records of its plays a front end writes before and after it acts, and what a
-// restarted front end may conclude from them. No I/O: records come in and go out as bytes for a store.
+// Package playlog defines the log of plays that a front end keeps: which records it writes, which of them must be
+// durable before it acts, and the state that a restarted front end restores from them. It does no I/O; records are
+// encoded and decoded as bytes for package store.
 //
-// The rule is one line: before an allocation that must not be doubled, or that takes a seat, leaves the
-// front, its record is durable. Its end is written down afterwards, without waiting: an end that is lost in a
-// crash leaves a play open that has ended, which its node's word settles; the other way round a seat
-// would be given twice.
+// A seat is one of the limited number of concurrent plays of a title in a product. An allocation that must not be
+// repeated, or that takes a seat, is sent to its node only when its record is durable. The end of a play is recorded
+// afterwards, without waiting for the disk. If a crash loses the record of an end, the ended play stays open until its
+// node reports that it isn't running; if it could lose the record of an allocation, a seat could be assigned twice.
 package playlog
 
 import (
@@ -13,35 +14,35 @@
 	"sort"
 )
 
-// Kind is what a record tells.
+// Kind is the type of a record.
 type Kind string
 
 const (
 	Allocated Kind = "allocated" // an allocation is about to be sent
-	Started   Kind = "started"   // it plays, and its viewer was told so
-	Ended     Kind = "ended"     // the play is over, whatever became of its allocations
-	Token     Kind = "token"     // the play's token was used to come back: it is good no more
-	Lost      Kind = "lost"      // salvage found no records where acknowledged ones must have been
-	Recovered Kind = "whole"     // the nodes' words have made up for what was lost
+	Started   Kind = "started"   // the play is running and its viewer was answered
+	Ended     Kind = "ended"     // the play has ended, whatever the state of its allocations
+	Token     Kind = "token"     // the play's token was used to resume it and is no longer valid
+	Lost      Kind = "lost"      // a salvage of the store found acknowledged records missing
+	Recovered Kind = "whole"     // the reports of the nodes have replaced the missing records
 )
 
-// EndReason a play ended, for those who come back with its token. A play that never played has none.
+// EndReason is why a play ended, for requests that resume it with its token. It is empty for a play that never started.
 type EndReason string
 
 const (
 	Served   EndReason = "served"
-	Moved    EndReason = "moved"    // to be placed anew
+	Moved    EndReason = "moved"    // to be set up at another node
 	Broken   EndReason = "broken"   // its node was lost
-	Returned EndReason = "returned" // its viewer came back already
+	Returned EndReason = "returned" // its viewer has already resumed it with the token
 )
 
-var hows = map[EndReason]bool{"": true, Served: true, Moved: true, Broken: true, Returned: true}
+var endReasons = map[EndReason]bool{"": true, Served: true, Moved: true, Broken: true, Returned: true}
 
 // Record is one record of the play log.
 type Record struct {
 	Kind      Kind      `json:"kind"`
 	Play      string    `json:"play"`
-	Epoch     int64     `json:"epoch,omitempty"` // of the front's life that took the play
+	Epoch     int64     `json:"epoch,omitempty"` // of the front process that accepted the play
 	Attempt   int       `json:"try,omitempty"`
 	Product   string    `json:"product,omitempty"`
 	Title     string    `json:"title,omitempty"`
@@ -49,96 +50,97 @@
 	Node      string    `json:"node,omitempty"`
 	Rung      int       `json:"rung,omitempty"`
 	MaxRung   int       `json:"top,omitempty"`
-	Previous  string    `json:"back,omitempty"`  // the play whose token brought the viewer
-	EndReason EndReason `json:"how,omitempty"`   // it ended
-	At        int64     `json:"at,omitempty"`    // Unix milliseconds, of an end of a play that played
-	Count     uint64    `json:"count,omitempty"` // records lost
+	Previous  string    `json:"back,omitempty"` // the play that the viewer resumed with its token
+	EndReason EndReason `json:"how,omitempty"`
+	At        int64     `json:"at,omitempty"`    // Unix milliseconds of the end, if the play had started
+	Count     uint64    `json:"count,omitempty"` // number of records lost
 }
 
-// Encode writes a record for the store.
+// Encode returns the record as stored.
 func (r Record) Encode() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
-		panic(fmt.Sprintf("playlog: %v", err)) // strings and numbers always encode
+		panic(fmt.Sprintf("playlog: %v", err)) // not reached: strings and numbers can always be encoded
 	}
 	return b
 }
 
-// Decode reads a record. One that does not hold is an error: the store's checksums let no torn one pass.
+// Decode parses and checks a stored record. An invalid record is always an error, as the checksums of the store already
+// exclude torn writes.
 func Decode(b []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(b, &r); err != nil {
-		return Record{}, fmt.Errorf("ledger: %w", err)
+		return Record{}, fmt.Errorf("playlog: %w", err)
 	}
 	switch {
 	case r.Kind == Lost && r.Count > 0 || r.Kind == Recovered:
 	case r.Play == "":
-		return Record{}, fmt.Errorf("ledger: a record without a play")
-	case !hows[r.EndReason] || r.At < 0:
-		return Record{}, fmt.Errorf("ledger: end of %.40q is malformed", r.Play)
+		return Record{}, fmt.Errorf("playlog: record has no play")
+	case !endReasons[r.EndReason] || r.At < 0:
+		return Record{}, fmt.Errorf("playlog: end reason or time of play %.40q is invalid", r.Play)
 	case r.Kind == Ended || r.Kind == Started || r.Kind == Token:
 	case r.Kind != Allocated:
-		return Record{}, fmt.Errorf("ledger: kind %.20q is unknown", r.Kind)
+		return Record{}, fmt.Errorf("playlog: unknown record kind %.20q", r.Kind)
 	case r.Product == "" || r.Title == "" || r.Viewer == "" || r.Node == "" || r.Epoch <= 0 || r.Attempt < 0 || r.Rung < 0 || r.MaxRung < 0:
-		return Record{}, fmt.Errorf("ledger: allocation of %.40q is malformed", r.Play)
+		return Record{}, fmt.Errorf("playlog: allocation of play %.40q lacks a field or has one out of range", r.Play)
 	}
 	return r, nil
 }
 
-// LogFirst tells whether a product's allocations are written down before they are sent. Paid ones, as they must
-// not be doubled; those with seats, as a seat must not be given twice. Others may be set up again without
-// harm, so that they don't wait for a disk.
+// LogFirst reports whether the allocations of a product are recorded durably before they are sent. This holds for paid
+// products, whose plays must not be set up twice, and for those with a limit of seats, as a seat must not be assigned
+// twice. Plays of other products may be set up again without harm and don't wait for the disk.
 func LogFirst(paid bool, seats int) bool { return paid || seats > 0 }
 
-// TokenRetentionMs is how long the end of a play is kept for those who come back with its token, in milliseconds: no
-// token lives longer after its play's end, as it is made anew with each manifest.
+// TokenRetentionMs is how long the end of a play is kept for requests that resume it with its token, in milliseconds. No
+// token is valid longer than that after the end of its play, as a new one is issued with each manifest.
 const TokenRetentionMs = 600_000
 
-const pastMost = 1 << 16 // endings kept at most: 30 minutes at 33 recorded plays a second
+const maxEndedPlays = 1 << 16 // 30 minutes at 33 recorded plays a second
 
-// Play is a play that may still run.
+// Play is a play that may still be running.
 type Play struct {
 	Record        // its last allocation
-	Answered bool // its viewer was told that it plays
+	Answered bool // the viewer was told that it plays
 }
 
-// EndedPlay is a play that is over and whose token may still be shown.
+// EndedPlay is a play that has ended and whose token may still be presented.
 type EndedPlay struct {
 	Play      string
 	EndReason EndReason
 	At        int64 // Unix milliseconds
 }
 
-// State is what a play log's records come to: the plays that may still run, each with its last allocation; the
-// tokens that are good no more; and whether anything is missing.
+// State is the result of applying the records of a play log: the plays that may still be running, each with its last
+// allocation; the ended plays, whose tokens are no longer valid; and the number of records missing.
 type State struct {
-	open    map[string]Play
-	past    map[string]ended
-	order   []ended // in the order of their ends; one written over stands twice
-	ends    uint64
-	lost    uint64
-	records int // since the last compaction
+	open     map[string]Play
+	ended    map[string]numberedEnd
+	endOrder []numberedEnd // in the order they were recorded; a play whose end was replaced is in it twice
+	endCount uint64
+	lost     uint64
+	records  int // in the store
 }
 
-// ended is an end with its number among all ends, which tells the last of a play's.
-type ended struct {
+// numberedEnd is the end of a play with a sequence number, which tells it from an earlier end of the same play.
+type numberedEnd struct {
 	EndedPlay
 	number uint64
 }
 
-// NewState makes an empty state.
-func NewState() *State { return &State{open: map[string]Play{}, past: map[string]ended{}} }
+// NewState returns an empty state.
+func NewState() *State { return &State{open: map[string]Play{}, ended: map[string]numberedEnd{}} }
 
-// Apply takes a record in. Every record has its place in every state: an end of a play that is not open is
-// one written twice, and an allocation of an open play is its next one. The error tells of an order that a front
-// never writes; the safe side is kept: the play stays open, at the node of its latest allocation.
+// Apply adds a record to the state. An end of a play that is not open is a duplicate, and an allocation of an open play
+// is its next attempt. An error means that the records are in an order that no front writes. The play then stays open,
+// at the node of its latest attempt, so that its seat is not assigned again.
 func (s *State) Apply(r Record) error {
 	s.records++
 	switch r.Kind {
 	case Ended:
 		delete(s.open, r.Play)
 		if r.EndReason != "" {
-			s.remember(EndedPlay{r.Play, r.EndReason, r.At})
+			s.addEnd(EndedPlay{r.Play, r.EndReason, r.At})
 		}
 		return nil
 	case Started:
@@ -148,7 +150,7 @@
 		}
 		return nil
 	case Token:
-		s.remember(EndedPlay{r.Play, Returned, r.At})
+		s.addEnd(EndedPlay{r.Play, Returned, r.At})
 		return nil
 	case Lost:
 		s.lost += r.Count
@@ -159,49 +161,49 @@
 	}
 	last, ok := s.open[r.Play]
 	if ok && r.Attempt < last.Attempt {
-		return fmt.Errorf("ledger: allocation %d of %s follows allocation %d", r.Attempt, r.Play, last.Attempt)
+		return fmt.Errorf("playlog: attempt %d of play %s is recorded after attempt %d", r.Attempt, r.Play, last.Attempt)
 	}
 	s.open[r.Play] = Play{Record: r}
 	if ok && r.Attempt == last.Attempt && r.Node != last.Node {
-		return fmt.Errorf("ledger: allocation %d of %s is written at two nodes", r.Attempt, r.Play)
+		return fmt.Errorf("playlog: attempt %d of play %s is recorded for two nodes", r.Attempt, r.Play)
 	}
 	return nil
 }
 
-func (s *State) remember(p EndedPlay) {
-	if was, ok := s.past[p.Play]; ok && was.EndReason == Returned { // used up stays used up, whatever is told of its play
+func (s *State) addEnd(p EndedPlay) {
+	if previous, ok := s.ended[p.Play]; ok && previous.EndReason == Returned { // a used token stays invalid, however its play ends
 		return
 	}
-	s.ends++
-	s.past[p.Play] = ended{p, s.ends}
-	s.order = append(s.order, s.past[p.Play])
-	// The oldest go as new ones come, so that what is needed, by which a compaction is due, does not grow with
-	// every play that ever ended.
-	for len(s.order) > 1 && (p.At-s.order[0].At > TokenRetentionMs || len(s.order) > 2*pastMost) {
-		if first := s.order[0]; s.past[first.Play] == first {
-			delete(s.past, first.Play)
+	s.endCount++
+	s.ended[p.Play] = numberedEnd{p, s.endCount}
+	s.endOrder = append(s.endOrder, s.ended[p.Play])
+	// Expired ends are removed here too: NeedsCompaction depends on the number of ends kept, which would otherwise grow
+	// with every play until the next compaction.
+	for len(s.endOrder) > 1 && (p.At-s.endOrder[0].At > TokenRetentionMs || len(s.endOrder) > 2*maxEndedPlays) {
+		if first := s.endOrder[0]; s.ended[first.Play] == first {
+			delete(s.ended, first.Play)
 		}
-		s.order = s.order[1:]
+		s.endOrder = s.endOrder[1:]
 	}
 }
 
-// Expire forgets ends whose tokens can't be good any more.
+// Expire removes the ends of plays whose tokens have expired.
 func (s *State) Expire(nowMs int64) {
-	kept := s.order[:0]
-	for i, p := range s.order {
+	kept := s.endOrder[:0]
+	for i, p := range s.endOrder {
 		switch {
-		case s.past[p.Play] != p: // written over
-		case nowMs-p.At > TokenRetentionMs || len(s.order)-i > pastMost:
-			delete(s.past, p.Play)
+		case s.ended[p.Play] != p: // replaced by a later end
+		case nowMs-p.At > TokenRetentionMs || len(s.endOrder)-i > maxEndedPlays:
+			delete(s.ended, p.Play)
 		default:
 			kept = append(kept, p)
 		}
 	}
-	clear(s.order[len(kept):])
-	s.order = kept
+	clear(s.endOrder[len(kept):])
+	s.endOrder = kept
 }
 
-// OpenPlays lists the plays that may still run, by their ids.
+// OpenPlays returns the plays that may still be running, sorted by id.
 func (s *State) OpenPlays() []Play {
 	out := make([]Play, 0, len(s.open))
 	for _, r := range s.open {
@@ -211,21 +213,21 @@
 	return out
 }
 
-// EndedPlays lists the plays whose tokens are good no more, in the order of their ends.
+// EndedPlays returns the plays whose tokens are no longer valid, in the order of their ends.
 func (s *State) EndedPlays() (out []EndedPlay) {
-	for _, p := range s.order {
-		if s.past[p.Play] == p {
+	for _, p := range s.endOrder {
+		if s.ended[p.Play] == p {
 			out = append(out, p.EndedPlay)
 		}
 	}
 	return out
 }
 
-// Lost counts the records that were acknowledged and that a salvage did not find. While there are any, plays
-// that this state does not have may run: the front must wait until every node has told or its lease has passed.
+// Lost returns the number of acknowledged records that a salvage did not find. If there are any, plays that the state
+// lacks may be running, so the front has to wait until every node has reported its plays or its lease has expired.
 func (s *State) Lost() uint64 { return s.lost }
 
-// Records are the fewest records that come to the same state.
+// Records returns a minimal list of records that produces the same state.
 func (s *State) Records() (out []Record) {
 	if s.lost > 0 {
 		out = append(out, Record{Kind: Lost, Count: s.lost})
@@ -246,7 +248,7 @@
 	return out
 }
 
-// Seats counts the open plays of a title and product.
+// Seats returns the number of open plays of a title in a product.
 func (s *State) Seats(product, title string) (n int) {
 	for _, r := range s.open {
 		if r.Product == product && r.Title == title {
@@ -257,32 +259,32 @@
 }
 
 const (
-	compactLeast = 1000 // records: fewer are read in no time
-	compactTimes = 4    // as many records as are needed: then three in four are of no use
+	minRecordsToCompact = 1000 // reading fewer records takes negligible time
+	compactRatio        = 4    // records in the store per record needed; at 4, three in four are obsolete
 )
 
-// needed is how many records the state comes to, about.
-func (s *State) needed() int { return 2*len(s.open) + len(s.past) }
+// neededRecords returns an upper bound of len(s.Records()), not counting a Lost record.
+func (s *State) neededRecords() int { return 2*len(s.open) + len(s.ended) }
 
-// NeedsCompaction tells whether the store should be compacted to what is needed now.
+// NeedsCompaction reports whether the store should be compacted to s.Records().
 func (s *State) NeedsCompaction() bool {
-	return s.records >= compactLeast && s.records >= compactTimes*s.needed()
+	return s.records >= minRecordsToCompact && s.records >= compactRatio*s.neededRecords()
 }
 
-// Compacted says that the store now holds just so many records.
+// Compacted sets the number of records in the store after a compaction.
 func (s *State) Compacted(records int) { s.records = records }
 
-// Read makes a state of a store's records. It stops at the first that does not hold.
+// Read returns the state after the records of a store. It stops at the first invalid record.
 func Read(records [][]byte) (*State, error) {
-	b := NewState()
+	s := NewState()
 	for i, raw := range records {
 		r, err := Decode(raw)
 		if err == nil {
-			err = b.Apply(r)
+			err = s.Apply(r)
 		}
 		if err != nil {
-			return b, fmt.Errorf("record %d: %w", i+1, err)
+			return s, fmt.Errorf("record %d: %w", i+1, err)
 		}
 	}
-	return b, nil
+	return s, nil
 }
