--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -20,35 +20,37 @@
 	"gullrail/store"
 )
 
-// FleetFolder is where a front keeps the list of nodes as it last knew it, in its state folder.
+// FleetFolder is the name of the folder, in a front's state folder, with the store of the last known list of nodes.
 const FleetFolder = "fleet"
 
-const saveEvery = 2 * time.Second // the list is written down at most so often: what a crash loses is younger
+const saveInterval = 2 * time.Second // a crash loses only changes to the list that are more recent
 
-// savedFleet is the list as it is written down: one record of a store, which brings its checksum and its place in a crash.
-type savedFleet struct {
-	ListURL string       `json:"list_url"` // of the service that said so: another site's list is of no use
+// savedNodeList is the list as it is saved: a single record of a store, which protects it by a checksum and replaces it
+// atomically.
+type savedNodeList struct {
+	ListURL string       `json:"list_url"` // of the list service it comes from; the list of another site is not used
 	Version int64        `json:"version"`
 	At      int64        `json:"at"` // Unix milliseconds
 	Nodes   []nodes.Line `json:"nodes"`
 }
 
-// fleet keeps the saved list of one front.
-type fleet struct {
-	set    *config.Service
-	url    string
-	runner *session.Runner
-	say    zerolog.Logger
-	log    *store.Log // nil where nothing is kept
-	saved  *membership.Update
-	last   string
+// nodeListStore saves the list of nodes, for a start while the list service can't be reached.
+type nodeListStore struct {
+	service   *config.Service
+	listURL   string
+	runner    *session.Runner
+	logger    zerolog.Logger
+	log       *store.Log         // nil without a state folder
+	saved     *membership.Update // nil if there is no usable saved list
+	lastError string             // last error of saving, logged once
 }
 
-// openFleet reads what was saved. A saved list that is damaged or another site's is told and not used; it is no reason not to start.
-func openFleet(folder, url string, set *config.Service, r *session.Runner, say zerolog.Logger) (*fleet, error) {
-	f := &fleet{set: set, url: url, runner: r, say: say}
+// openNodeListStore opens the store and reads the saved list. A list that is damaged or from another site is logged and
+// not used, and doesn't keep the front from starting.
+func openNodeListStore(folder, listURL string, service *config.Service, r *session.Runner, logger zerolog.Logger) (*nodeListStore, error) {
+	nl := &nodeListStore{service: service, listURL: listURL, runner: r, logger: logger}
 	if folder == "" {
-		return f, nil
+		return nl, nil
 	}
 	dir := filepath.Join(folder, FleetFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -56,7 +58,7 @@
 	}
 	log, c, err := store.Open(store.Folder(dir))
 	if errors.Is(err, store.ErrDamage) || errors.Is(err, store.ErrFormat) {
-		say.Error().Err(err).Str("folder", dir).Msg("the saved list is not used")
+		logger.Error().Err(err).Str("folder", dir).Msg("discarding the store of the saved node list, which can't be read")
 		if err = os.RemoveAll(dir); err == nil {
 			err = os.MkdirAll(dir, 0o700)
 		}
@@ -67,58 +69,58 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	f.log = log
+	nl.log = log
 	if n := len(c.Records); n > 0 {
-		if f.saved, err = f.read(c.Records[n-1]); err != nil {
-			say.Error().Err(err).Str("folder", dir).Msg("the saved list is not used")
+		if nl.saved, err = nl.decode(c.Records[n-1]); err != nil {
+			logger.Error().Err(err).Str("folder", dir).Msg("saved node list can't be used")
 		}
 	}
-	return f, nil
+	return nl, nil
 }
 
-func (f *fleet) read(text []byte) (*membership.Update, error) {
-	var s savedFleet
-	if err := json.Unmarshal(text, &s); err != nil {
+func (nl *nodeListStore) decode(data []byte) (*membership.Update, error) {
+	var s savedNodeList
+	if err := json.Unmarshal(data, &s); err != nil {
 		return nil, fmt.Errorf("saved list: %w", err)
 	}
-	if s.ListURL != f.url {
-		return nil, fmt.Errorf("saved list: of the service at %.80s", s.ListURL)
+	if s.ListURL != nl.listURL {
+		return nil, fmt.Errorf("saved list: it comes from another list service, %.80s", s.ListURL)
 	}
-	lines, err := nodes.ParseLines(s.Nodes, f.set, f.runner.Clock())
+	lines, err := nodes.ParseLines(s.Nodes, nl.service, nl.runner.Clock())
 	if err != nil {
 		return nil, fmt.Errorf("saved %w", err)
 	}
 	return &membership.Update{Source: membership.Saved, Version: s.Version, Full: true, Age: session.Ticks(time.Since(time.UnixMilli(s.At))), Entries: lines}, nil
 }
 
-// run offers what was saved if the list service has not spoken in time, and writes the list down as it changes, until
-// the context ends.
-func (f *fleet) run(ctx context.Context) error {
-	if f.log != nil {
-		defer f.log.Close()
+// run gives the core the saved list if the list service has not responded in time, and then saves the list at regular
+// intervals until the context ends.
+func (nl *nodeListStore) run(ctx context.Context) error {
+	if nl.log != nil {
+		defer nl.log.Close()
 	}
-	if f.saved != nil {
+	if nl.saved != nil {
 		select {
 		case <-time.After(session.Duration(membership.SavedListDelay)):
 		case <-ctx.Done():
 			return nil
 		}
-		word := *f.saved
+		update := *nl.saved
 		used := make(chan bool, 1)
-		f.runner.Post(func(now int64, c *session.Core) { used <- c.UpdateMembership(now, word) })
+		nl.runner.Post(func(now int64, c *session.Core) { used <- c.UpdateMembership(now, update) })
 		select {
 		case ok := <-used:
 			if ok {
-				f.say.Warn().Int("nodes", len(word.Entries)).Dur("age", session.Duration(word.Age)).Msg("the list service has not spoken: the saved list is used")
+				nl.logger.Warn().Int("nodes", len(update.Entries)).Dur("age", session.Duration(update.Age)).Msg("no response from the list service; using the saved node list")
 			}
 		case <-ctx.Done():
 			return nil
 		}
 	}
-	if f.log == nil {
+	if nl.log == nil {
 		return nil
 	}
-	tick := time.NewTicker(saveEvery)
+	tick := time.NewTicker(saveInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -126,79 +128,79 @@
 		case <-ctx.Done():
 			return nil
 		}
-		f.save(ctx)
+		nl.save(ctx)
 	}
 }
 
-func (f *fleet) save(ctx context.Context) {
-	type kept struct {
-		version int64
-		lines   []membership.Entry
-		heard   bool
-	}
-	got := make(chan kept, 1)
-	f.runner.Post(func(_ int64, c *session.Core) {
-		v, lines := c.ListSnapshot()
-		got <- kept{v, lines, c.ListReceived()}
+func (nl *nodeListStore) save(ctx context.Context) {
+	type snapshot struct {
+		version  int64
+		entries  []membership.Entry
+		received bool
+	}
+	reply := make(chan snapshot, 1)
+	nl.runner.Post(func(_ int64, c *session.Core) {
+		v, entries := c.ListSnapshot()
+		reply <- snapshot{v, entries, c.ListReceived()}
 	})
-	var k kept
+	var list snapshot
 	select {
-	case k = <-got:
+	case list = <-reply:
 	case <-ctx.Done():
 		return
 	}
-	if !k.heard || len(k.lines) == 0 { // what was saved is not saved again as if it were new
+	if !list.received || len(list.entries) == 0 { // a list read from the store must not be saved again with a new time
 		return
 	}
-	s := savedFleet{ListURL: f.url, Version: k.version, At: time.Now().UnixMilli()}
-	for _, l := range k.lines {
-		s.Nodes = append(s.Nodes, nodes.FormatLine(l, f.set))
+	s := savedNodeList{ListURL: nl.listURL, Version: list.version, At: time.Now().UnixMilli()}
+	for _, l := range list.entries {
+		s.Nodes = append(s.Nodes, nodes.FormatLine(l, nl.service))
 	}
-	text, err := json.Marshal(s)
+	data, err := json.Marshal(s)
 	if err != nil {
-		f.say.Error().Err(err).Msg("saved list")
+		nl.logger.Error().Err(err).Msg("can't encode the node list")
 		return
 	}
-	if err := <-f.log.Compact([][]byte{text}); err != nil && f.last != err.Error() {
-		f.last = err.Error()
-		f.say.Error().Err(err).Msg("the list can't be written down: a start without the list service will not know the fleet")
+	if err := <-nl.log.Compact([][]byte{data}); err != nil && nl.lastError != err.Error() {
+		nl.lastError = err.Error()
+		nl.logger.Error().Err(err).Msg("can't save the node list; a start without the list service would have no current list")
 	}
 }
 
-// FleetPath is where a front tells what it believes of its fleet.
+// FleetPath is the HTTP path at which a front reports its view of the nodes.
 const FleetPath = "/v1/fleet"
 
-// FleetNode is what a front believes of one node, as told at FleetPath.
+// FleetNode is a front's view of one node, as reported at FleetPath.
 type FleetNode struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
-	Phase   string  `json:"phase"` // what it may be given: ready, draining (nothing new) or gone
-	Usable  bool    `json:"use"`   // it may be given new plays
+	Phase   string  `json:"phase"` // ready, draining (no new plays) or gone
+	Usable  bool    `json:"use"`   // new plays may be sent to it
 	Reason  string  `json:"why,omitempty"`
-	Source  string  `json:"by"` // whose word
-	AgeMs   int64   `json:"age_ms"`
-	Alive   bool    `json:"alive"` // its stream is open
+	Source  string  `json:"by"`     // where the phase was learned from
+	AgeMs   int64   `json:"age_ms"` // age of the last information about the node
+	Alive   bool    `json:"alive"`  // its stream is open
 	Zone    string  `json:"zone"`
 	Kind    string  `json:"kind"`
 	Cell    int     `json:"cell"`
 	Weight  float64 `json:"weight"`
 }
 
-// believed answers with what the front believes.
-func (f *Front) believed(w http.ResponseWriter, r *http.Request) {
-	got := make(chan []membership.NodeState, 1)
-	f.runner.Post(func(now int64, c *session.Core) { got <- c.NodeStates(now) })
+// serveFleet handles requests for FleetPath.
+func (f *Front) serveFleet(w http.ResponseWriter, r *http.Request) {
+	reply := make(chan []membership.NodeState, 1)
+	f.runner.Post(func(now int64, c *session.Core) { reply <- c.NodeStates(now) })
 	select {
-	case all := <-got:
+	case all := <-reply:
 		out := []FleetNode{}
 		for _, b := range all {
-			l := nodes.FormatLine(b.Entry, &f.set.Service)
+			l := nodes.FormatLine(b.Entry, &f.settings.Service)
 			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Usable: b.Usable, Reason: b.Reason, Source: b.Source.String(),
 				AgeMs: b.Age / decision.Millisecond, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(out); err != nil {
-			f.log.Warn().Err(err).Msg("fleet not told")
+			f.logger.Warn().Err(err).Msg("can't send the fleet report")
 		}
 	case <-r.Context().Done():
 	}
--- a/frontend/life.go
+++ b/frontend/folderlock.go
@@ -12,18 +12,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLocked says that another process runs on the same state folder.
+// ErrLocked means that another process has locked the state folder.
 var ErrLocked = errors.New("another front runs on this state folder")
 
-// FolderLock is a front's hold on its state folder, for one life.
+// FolderLock is the lock on a state folder that a front holds while it runs.
 type FolderLock struct {
-	Epoch int64 // greater than that of any life before, whatever became of the wall clock
+	Epoch int64 // greater than that of any earlier run, even if the wall clock was set back
 	lock  *os.File
 }
 
-// LockFolder takes a state folder for this process and begins a life. The kernel lets go of the folder
-// when the process ends, however it ends. Without a folder there is no claim on anything, and the
-// epoch is the wall clock's.
+// LockFolder locks a state folder for this process, creating the folder if needed, and determines the epoch of this run.
+// The kernel releases the lock when the process ends, even if it is killed. If folder is empty, nothing is locked and the
+// epoch is the wall clock time.
 func LockFolder(folder string) (*FolderLock, error) {
 	now := time.Now().UnixNano()
 	if folder == "" {
@@ -32,20 +32,20 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	lock, err := hold(folder)
+	lock, err := lockFile(folder)
 	if err != nil {
 		return nil, err
 	}
-	c := &FolderLock{lock: lock}
-	if c.Epoch, err = nextEpoch(filepath.Join(folder, "epoch"), now); err != nil {
-		c.Release()
+	l := &FolderLock{lock: lock}
+	if l.Epoch, err = nextEpoch(filepath.Join(folder, "epoch"), now); err != nil {
+		l.Release()
 		return nil, err
 	}
-	return c, nil
+	return l, nil
 }
 
-// hold locks a state folder for as long as the file is open.
-func hold(folder string) (*os.File, error) {
+// lockFile opens and locks the lock file of a state folder. The lock lasts until the file is closed.
+func lockFile(folder string) (*os.File, error) {
 	lock, err := os.OpenFile(filepath.Join(folder, "lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
@@ -60,17 +60,17 @@
 	return lock, nil
 }
 
-// nextEpoch reads the last life's epoch, writes the next and makes it durable before it is used.
+// nextEpoch reads the epoch of the previous run from a file, and writes and syncs the next before returning it.
 func nextEpoch(file string, now int64) (int64, error) {
-	text, err := os.ReadFile(file)
+	data, err := os.ReadFile(file)
 	last := int64(0)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 	case err != nil:
 		return 0, fmt.Errorf("state folder: %w", err)
 	default:
-		if last, err = strconv.ParseInt(strings.TrimSpace(string(text)), 10, 64); err != nil || last <= 0 {
-			return 0, fmt.Errorf("%s:1: not an epoch: %.40q", file, text)
+		if last, err = strconv.ParseInt(strings.TrimSpace(string(data)), 10, 64); err != nil || last <= 0 {
+			return 0, fmt.Errorf("%s:1: not an epoch: %.40q", file, data)
 		}
 	}
 	epoch := max(now, last+1)
@@ -89,7 +89,7 @@
 		err = os.Rename(file+".new", file)
 	}
 	if err == nil {
-		err = syncFolder(filepath.Dir(file))
+		err = syncDir(filepath.Dir(file))
 	}
 	if err != nil {
 		return 0, fmt.Errorf("state folder: %w", err)
@@ -97,7 +97,7 @@
 	return epoch, nil
 }
 
-func syncFolder(folder string) error {
+func syncDir(folder string) error {
 	d, err := os.Open(folder)
 	if err != nil {
 		return err
@@ -106,7 +106,7 @@
 	return d.Sync()
 }
 
-// Release lets go of the folder.
+// Release unlocks the folder.
 func (l *FolderLock) Release() {
 	if l.lock != nil {
 		l.lock.Close()
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -1,5 +1,5 @@
-// Package frontend puts a front end together from its settings and runs it: the core, the client of the
-// playout nodes, the follower of the list, and the players' side.
+// Package frontend assembles a front end from its settings and runs it: the core, the client of the playout nodes, the
+// client of the list service, and the HTTP and WebSocket servers for viewers.
 package frontend
 
 import (
@@ -29,96 +29,96 @@
 	"gullrail/wsapi"
 )
 
-// Front is a front end that listens but does not run yet.
+// Front is a front end that listens. Run serves.
 type Front struct {
-	set     config.Front
-	log     zerolog.Logger
-	listen  net.Listener
-	runner  *session.Runner
-	core    *session.Core
-	client  *nodes.Client
-	journal *journal // nil where no records are kept
-	server  *http.Server
-	sockets *wsapi.Front
-	fleet   *fleet
-	peers   *peers.Conn // nil where fronts send each other nothing
+	settings config.Front
+	logger   zerolog.Logger
+	listener net.Listener
+	runner   *session.Runner
+	core     *session.Core
+	client   *nodes.Client
+	journal  *journal // nil without a state folder
+	server   *http.Server
+	sockets  *wsapi.Front
+	nodeList *nodeListStore
+	peers    *peers.Conn // nil if fronts exchange no messages
 }
 
-// Listen makes a front end and opens its socket, so that a port that is taken shows at once. Epoch
-// tells the lives of the front apart: it must be greater than that of any earlier one.
-func Listen(set config.Front, epoch int64, log zerolog.Logger) (*Front, error) {
-	minter, err := NewMinter(set.Keys)
+// Listen returns a front end whose socket is open, so that a port in use is reported at once. Epoch identifies the run
+// of the front and must be greater than that of any earlier run.
+func Listen(settings config.Front, epoch int64, logger zerolog.Logger) (*Front, error) {
+	minter, err := NewMinter(settings.Keys)
 	if err != nil {
 		return nil, err
 	}
-	var shown *certificate
-	if set.Cert != "" {
-		if shown, err = newCertificate(set.Cert, set.CertKey, log); err != nil {
+	var cert *certificate
+	if settings.Cert != "" {
+		if cert, err = newCertificate(settings.Cert, settings.CertKey, logger); err != nil {
 			return nil, err
 		}
 	}
-	var secure func() (*tls.Config, error)
-	media := "http"
-	if set.NodesCA != "" {
-		ca, err := newAuthorities(set.NodesCA, log)
+	var nodesTLS func() (*tls.Config, error)
+	mediaScheme := "http"
+	if settings.NodesCA != "" {
+		ca, err := newNodeCAs(settings.NodesCA, logger)
 		if err != nil {
 			return nil, err
 		}
-		secure, media = ca.config, "https"
+		nodesTLS, mediaScheme = ca.config, "https"
 	}
-	listen, err := net.Listen("tcp", set.Listen)
+	listener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("front %s: %w", set.Name, err)
+		return nil, fmt.Errorf("front %s: %w", settings.Name, err)
 	}
-	listen = netutil.LimitListener(listen, set.MaxSockets)
-	if shown != nil {
-		listen = tls.NewListener(listen, &tls.Config{GetCertificate: shown.get, MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}})
+	listener = netutil.LimitListener(listener, settings.MaxSockets)
+	if cert != nil {
+		listener = tls.NewListener(listener, &tls.Config{GetCertificate: cert.get, MinVersion: tls.VersionTLS12, NextProtos: []string{"http/1.1"}})
 	}
 	clock := session.NewClock()
-	seed := set.Seed + uint64(set.Number)*1_000_003 // fronts that share a settings file still draw apart
-	f := &Front{set: set, log: log, listen: listen, runner: session.NewRunner(clock, admission.New(set.MaxWaiting, seed))}
-	service := &f.set.Service
-	f.client = nodes.NewClient(set.Name, epoch, service.ReportMode == "answers",
-		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, secure, log)
-	module := placement.New(set.PolicySettings(), seed)
-	carrier := session.Transport(f.client)
-	var was earlier
-	if set.StateFolder != "" {
-		if f.journal, was, err = openJournal(set.StateFolder, service, epoch, f.client, f.runner, log); err != nil {
-			listen.Close()
+	seed := settings.Seed + uint64(settings.Number)*1_000_003 // different for fronts with the same seed in their settings
+	f := &Front{settings: settings, logger: logger, listener: listener, runner: session.NewRunner(clock, admission.New(settings.MaxWaiting, seed))}
+	service := &f.settings.Service
+	f.client = nodes.NewClient(settings.Name, epoch, service.ReportMode == "answers",
+		time.Duration(service.DrainGraceMs*float64(time.Millisecond)), service, f.runner, nodesTLS, logger)
+	module := placement.New(settings.PolicySettings(), seed)
+	transport := session.Transport(f.client)
+	var previous previousRuns
+	if settings.StateFolder != "" {
+		if f.journal, previous, err = openJournal(settings.StateFolder, service, epoch, f.client, f.runner, logger); err != nil {
+			listener.Close()
 			return nil, err
 		}
-		carrier = f.journal
+		transport = f.journal
 	}
-	f.core = session.NewCore(clock.Now(), set.Name, epoch, module, carrier, service, seed)
+	f.core = session.NewCore(clock.Now(), settings.Name, epoch, module, transport, service, seed)
 	if f.journal != nil {
-		f.core.Recover(clock.Now(), was.open, was.past, was.lost)
+		f.core.Recover(clock.Now(), previous.open, previous.ended, previous.lost)
 	}
-	if set.Peers.Listen != "" {
-		f.peers, err = peers.Listen(set.Peers.Listen, set.Number, set.Peers.Fronts, set.Peers.Secret, func(from int, b []byte) {
+	if settings.Peers.Listen != "" {
+		f.peers, err = peers.Listen(settings.Peers.Listen, settings.Number, settings.Peers.Fronts, settings.Peers.Secret, func(from int, b []byte) {
 			f.runner.TryPost(func(now int64, c *session.Core) { c.MessageReceived(now, from, b) })
-		}, log)
+		}, logger)
 		if err != nil {
-			listen.Close()
-			return nil, fmt.Errorf("front %s: %w", set.Name, err)
+			listener.Close()
+			return nil, fmt.Errorf("front %s: %w", settings.Name, err)
 		}
 		f.core.SetSender(f.peers.Send)
 	}
 	mux := http.NewServeMux()
-	life := time.Duration(set.TokenMs * float64(time.Millisecond))
-	d := playapi.New(set.Name, media, service, minter, life, f.runner, log)
-	mux.Handle("/v1/", dash.NewFront(d, log))
-	f.sockets = wsapi.New(d, clock, set.MaxSockets, seed+1, log)
+	tokenLifetime := time.Duration(settings.TokenMs * float64(time.Millisecond))
+	plays := playapi.New(settings.Name, mediaScheme, service, minter, tokenLifetime, f.runner, logger)
+	mux.Handle("/v1/", dash.NewFront(plays, logger))
+	f.sockets = wsapi.New(plays, clock, settings.MaxSockets, seed+1, logger)
 	mux.Handle("GET "+wsapi.Path, f.sockets)
-	if f.fleet, err = openFleet(set.StateFolder, set.ListURL, service, f.runner, log); err != nil {
-		listen.Close()
+	if f.nodeList, err = openNodeListStore(settings.StateFolder, settings.ListURL, service, f.runner, logger); err != nil {
+		listener.Close()
 		if f.peers != nil {
 			f.peers.Close()
 		}
 		return nil, err
 	}
-	mux.HandleFunc("GET /readyz", f.ready)
-	mux.HandleFunc("GET "+FleetPath, f.believed)
+	mux.HandleFunc("GET /readyz", f.serveReady)
+	mux.HandleFunc("GET "+FleetPath, f.serveFleet)
 	mux.Handle("GET /metrics", f.metrics())
 	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(admission.HeaderTimeout),
 		IdleTimeout: session.Duration(admission.IdleTimeout), MaxHeaderBytes: 16 << 10,
@@ -126,29 +126,29 @@
 	return f, nil
 }
 
-// NewMinter makes the minter of session tokens from the keys in the settings.
+// NewMinter returns a minter of session tokens with the keys in the settings.
 func NewMinter(keys []config.Key) (*token.Minter, error) {
 	var signing token.Key
-	older := map[string]ed25519.PublicKey{}
+	verifying := map[string]ed25519.PublicKey{}
 	for _, k := range keys {
 		if k.Signs {
 			signing = token.Key{ID: k.ID, Private: ed25519.NewKeyFromSeed(k.Seed)}
 		} else {
-			older[k.ID] = k.Public
+			verifying[k.ID] = k.Public
 		}
 	}
-	return token.NewMinter(signing, older)
+	return token.NewMinter(signing, verifying)
 }
 
-// Addr is where players reach the front.
-func (f *Front) Addr() string { return f.listen.Addr().String() }
+// Addr returns the address at which the front serves viewers.
+func (f *Front) Addr() string { return f.listener.Addr().String() }
 
-// ready answers 200 once the front may take plays.
-func (f *Front) ready(w http.ResponseWriter, r *http.Request) {
-	got := make(chan bool, 1)
-	f.runner.Post(func(now int64, c *session.Core) { got <- c.Ready(now) })
+// serveReady responds with status 200 once the front accepts plays, and 503 before.
+func (f *Front) serveReady(w http.ResponseWriter, r *http.Request) {
+	reply := make(chan bool, 1)
+	f.runner.Post(func(now int64, c *session.Core) { reply <- c.Ready(now) })
 	select {
-	case ok := <-got:
+	case ok := <-reply:
 		if !ok {
 			http.Error(w, "starting", http.StatusServiceUnavailable)
 		}
@@ -156,67 +156,66 @@
 	}
 }
 
-// Counts asks the running core what it has seen, or returns zeros if the context ends first.
+// Counts returns the counters of the running core, or zeros if the context ends first.
 func (f *Front) Counts(ctx context.Context) session.Counts {
-	got := make(chan session.Counts, 1)
-	f.runner.Post(func(_ int64, c *session.Core) { got <- c.Counts() })
+	reply := make(chan session.Counts, 1)
+	f.runner.Post(func(_ int64, c *session.Core) { reply <- c.Counts() })
 	select {
-	case n := <-got:
+	case n := <-reply:
 		return n
 	case <-ctx.Done():
 		return session.Counts{}
 	}
 }
 
-// Stall runs do on the core's goroutine, which does nothing else meanwhile: for rehearsing a front that
-// stands still.
+// Stall runs do on the core's goroutine, which is blocked meanwhile. It simulates a front that hangs.
 func (f *Front) Stall(do func()) { f.runner.Post(func(int64, *session.Core) { do() }) }
 
-// part ends the front in order, within the time that its settings give.
-func (f *Front) part() {
-	within := time.Duration(f.set.ShutdownMs * float64(time.Millisecond))
-	f.log.Info().Dur("within", within).Bool("retire", f.set.ReleasePlays).Msg("front is ending")
-	end := f.runner.Clock().Now() + session.Ticks(within)
-	owed, cancel := context.WithTimeout(context.Background(), within)
+// shutDown shuts the front down gracefully within the time limit in its settings.
+func (f *Front) shutDown() {
+	timeout := time.Duration(f.settings.ShutdownMs * float64(time.Millisecond))
+	f.logger.Info().Dur("within", timeout).Bool("retire", f.settings.ReleasePlays).Msg("front is shutting down")
+	end := f.runner.Clock().Now() + session.Ticks(timeout)
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	f.runner.RejectAll()
 	f.runner.Post(func(now int64, c *session.Core) { c.BeginShutdown(now, end) })
 	f.sockets.Shut()
-	last := time.AfterFunc(session.Duration(shutdown.Deadline(end)-f.runner.Clock().Now()), func() {
+	expire := time.AfterFunc(session.Duration(shutdown.Deadline(end)-f.runner.Clock().Now()), func() {
 		f.runner.Post(func(now int64, c *session.Core) { c.Close(now) })
 	})
-	defer last.Stop()
-	if f.set.ReleasePlays {
+	defer expire.Stop()
+	if f.settings.ReleasePlays {
 		f.runner.Post(func(now int64, c *session.Core) { c.ReleasePlays(now, end) })
 	}
-	if err := f.server.Shutdown(owed); err != nil {
+	if err := f.server.Shutdown(shutdownCtx); err != nil {
 		f.server.Close()
 	}
-	f.sockets.Drain(owed)
-	for f.set.ReleasePlays && owed.Err() == nil && f.Counts(owed).InHand > 0 {
+	f.sockets.Drain(shutdownCtx)
+	for f.settings.ReleasePlays && shutdownCtx.Err() == nil && f.Counts(shutdownCtx).InHand > 0 {
 		select {
 		case <-time.After(20 * time.Millisecond):
-		case <-owed.Done():
+		case <-shutdownCtx.Done():
 		}
 	}
 }
 
-// Run serves until the context ends: then it takes no more requests, gives the answers that are owed,
-// and returns once nothing of it runs any more.
+// Run serves until the context ends. It then accepts no more requests, completes those in progress, and returns once all
+// its goroutines have ended.
 func (f *Front) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	inner, stop := context.WithCancel(context.Background()) // outlives ctx until what is owed was answered
+	runCtx, stop := context.WithCancel(context.Background()) // ends after ctx, when requests in progress are complete
 	defer stop()
-	list := &nodes.ListClient{Front: f.set.Name, URL: f.set.ListURL, Set: &f.set.Service, Runner: f.runner, Log: f.log, Seed: f.set.Seed + uint64(f.set.Number)}
-	g.Go(func() error { return f.runner.Run(inner, f.core) })
-	g.Go(func() error { return list.Run(inner) })
-	g.Go(func() error { return f.fleet.run(inner) })
+	list := &nodes.ListClient{Front: f.settings.Name, URL: f.settings.ListURL, Set: &f.settings.Service, Runner: f.runner, Log: f.logger, Seed: f.settings.Seed + uint64(f.settings.Number)}
+	g.Go(func() error { return f.runner.Run(runCtx, f.core) })
+	g.Go(func() error { return list.Run(runCtx) })
+	g.Go(func() error { return f.nodeList.run(runCtx) })
 	if f.peers != nil {
-		g.Go(func() error { return f.peers.Run(inner) })
+		g.Go(func() error { return f.peers.Run(runCtx) })
 	}
 	g.Go(func() error {
-		if err := f.server.Serve(f.listen); !errors.Is(err, http.ErrServerClosed) {
-			return fmt.Errorf("front %s: %w", f.set.Name, err)
+		if err := f.server.Serve(f.listener); !errors.Is(err, http.ErrServerClosed) {
+			return fmt.Errorf("front %s: %w", f.settings.Name, err)
 		}
 		return nil
 	})
@@ -224,16 +223,16 @@
 		<-ctx.Done()
 		defer stop()
 		defer f.sockets.Close()
-		f.part()
+		f.shutDown()
 		return nil
 	})
-	f.log.Info().Str("front", f.set.Name).Str("listen", f.Addr()).Msg("front runs")
+	f.logger.Info().Str("front", f.settings.Name).Str("listen", f.Addr()).Msg("front is running")
 	err := g.Wait()
 	if f.journal != nil {
 		err = errors.Join(err, f.journal.Close())
 	} else {
 		f.client.Close()
 	}
-	f.log.Info().Str("front", f.set.Name).Msg("front ended")
+	f.logger.Info().Str("front", f.settings.Name).Msg("front has shut down")
 	return err
 }
--- a/frontend/history_test.go
+++ b/frontend/history_test.go
@@ -21,15 +21,15 @@
 	"gullrail/store"
 )
 
-// historyKills asks for the long form: go test ./frontend -run History -kills 200 -v
-var historyKills = flag.Int("kills", 40, "times that the journal's process is killed in the history test")
+// historyKills is the length of the history test. For a longer run: go test ./frontend -run History -kills 200 -v
+var historyKills = flag.Int("kills", 40, "number of times the history test kills the journal's process")
 
 const (
 	historyEnv   = "GULLRAIL_HISTORY_FOLDER"
 	historyPlays = 6
 )
 
-// TestMain lets the test binary be the process that is killed.
+// TestMain makes the test binary usable as the child process that the history test kills.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if dir := os.Getenv(historyEnv); dir != "" {
@@ -39,34 +39,35 @@
 	os.Exit(m.Run())
 }
 
-// slow is a folder whose disk takes its time, so that kills also come between a write and its sync.
-type slow struct{ store.Folder }
+// slowDir is a directory with delayed writes and renames, so that a kill may also occur between a write and its sync.
+type slowDir struct{ store.Folder }
 
 type slowFile struct{ store.File }
 
-func (s slow) Open(name string) (store.File, error) {
+func (s slowDir) Open(name string) (store.File, error) {
 	f, err := s.Folder.Open(name)
 	return slowFile{f}, err
 }
 
-func (s slow) Rename(from, to string) error {
+func (s slowDir) Rename(from, to string) error {
 	time.Sleep(100 * time.Microsecond)
 	return s.Folder.Rename(from, to)
 }
 
-func (f slowFile) WriteAt(b []byte, at int64) (int, error) {
+func (f slowFile) WriteAt(b []byte, offset int64) (int, error) {
 	time.Sleep(time.Duration(rand.IntN(400)) * time.Microsecond)
-	return f.File.WriteAt(b, at)
+	return f.File.WriteAt(b, offset)
 }
 
-// writeHistory allocates and ends a few plays through a journal from several goroutines at once, and tells
-// each call before it is made and after it returned, until it is killed.
+// writeHistory records allocations and ends of a few plays through a journal from several goroutines. It prints a line
+// before each call ("c" with its id, the play, and 1 for an allocation) and after its acknowledgement ("r" with the id),
+// until it is killed.
 func writeHistory(dir string) {
 	folder := filepath.Join(dir, PlaysFolder)
 	err := os.MkdirAll(folder, 0o700)
 	var j *journal
 	if err == nil {
-		j, _, err = newJournal(slow{store.Folder(folder)}, &config.Service{}, 1, nil, nil, zerolog.Nop())
+		j, _, err = newJournal(slowDir{store.Folder(folder)}, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	}
 	if err != nil {
 		fmt.Println("x", err)
@@ -82,148 +83,148 @@
 			for {
 				mu.Lock()
 				id++
-				n := id
+				callID := id
 				mu.Unlock()
-				play, open := rand.IntN(historyPlays), rand.IntN(2)
+				play, isOpen := rand.IntN(historyPlays), rand.IntN(2)
 				r := playlog.Record{Kind: playlog.Ended, Play: fmt.Sprint(play)}
-				if open == 1 {
+				if isOpen == 1 {
 					r = playlog.Record{Kind: playlog.Allocated, Play: r.Play, Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
 				}
-				fmt.Fprintf(os.Stdout, "c %d %d %d\n", n, play, open)
-				if err := j.wait(j.write(r)); err != nil {
+				fmt.Fprintf(os.Stdout, "c %d %d %d\n", callID, play, isOpen)
+				if err := j.await(j.write(r)); err != nil {
 					continue // not acknowledged
 				}
-				if n%15 == 0 {
+				if callID%15 == 0 {
 					j.mu.Lock()
 					j.compact()
 					j.mu.Unlock()
 				}
-				fmt.Fprintf(os.Stdout, "r %d 0 0\n", n)
+				fmt.Fprintf(os.Stdout, "r %d 0 0\n", callID)
 			}
 		}()
 	}
 	wg.Wait()
 }
 
-// call is an operation on one play's record.
-type call struct {
-	play, open int
-	read       bool
+// operation is a read or write of whether a play is open.
+type operation struct {
+	play, isOpen int
+	read         bool
 }
 
-// outcome of a call: what was read, or whether the write was acknowledged.
-type outcome struct {
-	open  int
-	acked bool
+// result is the value that an operation read, or whether its write was acknowledged.
+type result struct {
+	isOpen int
+	acked  bool
 }
 
 var recordModel = porcupine.NondeterministicModel{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, historyPlays)
 		for _, o := range history {
-			p := o.Input.(call).play
+			p := o.Input.(operation).play
 			parts[p] = append(parts[p], o)
 		}
 		return parts
 	},
 	Init: func() []any { return []any{0} },
 	Step: func(state, input, output any) []any {
-		in, out := input.(call), output.(outcome)
+		in, out := input.(operation), output.(result)
 		switch {
-		case in.read && out.open == state:
+		case in.read && out.isOpen == state:
 			return []any{state}
 		case in.read:
 			return nil
 		case out.acked:
-			return []any{in.open}
+			return []any{in.isOpen}
 		}
-		return []any{state, in.open} // cut off by the kill: it took hold, or not, and does neither later
+		return []any{state, in.isOpen} // interrupted by the kill: the write either took effect by then or never does
 	},
 }
 
-// The store's history over kills is linearizable: what was acknowledged before a kill is read after it, what was
-// not is there or not, and stays so.
+// Checks that writes to the store stay linearizable when its process is killed: a write acknowledged before the kill is
+// read after it. A write in progress may or may not have taken effect, but this doesn't change later.
 func TestHistoryOverKillsIsLinearizable(t *testing.T) {
 	dir := t.TempDir()
 	var history []porcupine.Operation
-	now := int64(0)
-	writes, cut := 0, 0
+	clock := int64(0)
+	acked, interrupted := 0, 0
 	for range *historyKills {
-		child := exec.Command(os.Args[0])
-		child.Env = append(os.Environ(), historyEnv+"="+dir)
-		out, err := child.StdoutPipe()
+		cmd := exec.Command(os.Args[0])
+		cmd.Env = append(os.Environ(), historyEnv+"="+dir)
+		out, err := cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := child.Start(); err != nil {
+		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		killAt := 20 + rand.IntN(250) // lines
+		killAtLine := 20 + rand.IntN(250)
 		pending := map[int]porcupine.Operation{}
 		lines := bufio.NewScanner(out)
 		for n := 0; lines.Scan(); n++ {
-			if n == killAt {
+			if n == killAtLine {
 				time.Sleep(time.Duration(rand.IntN(2000)) * time.Microsecond)
-				if err := child.Process.Kill(); err != nil {
+				if err := cmd.Process.Kill(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			var what string
+			var event string
 			var id, play, open int
-			if k, _ := fmt.Sscanf(lines.Text(), "%s %d %d %d", &what, &id, &play, &open); k != 4 {
-				if n < killAt {
-					t.Fatalf("the child says %q", lines.Text())
+			if k, _ := fmt.Sscanf(lines.Text(), "%s %d %d %d", &event, &id, &play, &open); k != 4 {
+				if n < killAtLine {
+					t.Fatalf("unexpected output of the child process: %q", lines.Text())
 				}
-				break // its last line is cut
+				break // the last line is truncated by the kill
 			}
-			now++
-			if what == "c" {
-				pending[id] = porcupine.Operation{ClientId: id % 64, Input: call{play: play, open: open}, Call: now}
+			clock++
+			if event == "c" {
+				pending[id] = porcupine.Operation{ClientId: id % 64, Input: operation{play: play, isOpen: open}, Call: clock}
 				continue
 			}
 			o := pending[id]
 			delete(pending, id)
-			o.Output, o.Return = outcome{acked: true}, now
+			o.Output, o.Return = result{acked: true}, clock
 			history = append(history, o)
-			writes++
+			acked++
 		}
-		child.Wait() // killed: its error is expected
-		now++
+		cmd.Wait() // returns an error, as the process was killed
+		clock++
 		for _, o := range pending {
-			o.Output, o.Return = outcome{}, now
+			o.Output, o.Return = result{}, clock
 			history = append(history, o)
-			cut++
+			interrupted++
 		}
 		c, err := store.Inspect(store.Folder(filepath.Join(dir, PlaysFolder)))
 		if err != nil {
 			t.Fatal(err)
 		}
-		book, err := playlog.Read(c.Records)
+		state, err := playlog.Read(c.Records)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var open [historyPlays]int
-		for _, p := range book.OpenPlays() {
+		for _, p := range state.OpenPlays() {
 			var k int
 			fmt.Sscan(p.Play, &k)
 			open[k] = 1
 		}
 		for p, o := range open {
-			now++
-			history = append(history, porcupine.Operation{ClientId: 100, Input: call{play: p, read: true}, Call: now, Output: outcome{open: o}, Return: now + 1})
-			now++
+			clock++
+			history = append(history, porcupine.Operation{ClientId: 100, Input: operation{play: p, read: true}, Call: clock, Output: result{isOpen: o}, Return: clock + 1})
+			clock++
 		}
 	}
-	if writes < 10**historyKills || cut == 0 {
-		t.Fatalf("%d acknowledged, %d cut off: too few to tell", writes, cut)
+	if acked < 10**historyKills || interrupted == 0 {
+		t.Fatalf("%d writes acknowledged, %d interrupted: too few for a meaningful test", acked, interrupted)
 	}
 	if got := porcupine.CheckOperationsTimeout(recordModel.ToModel(), history, time.Minute); got != porcupine.Ok {
-		t.Fatalf("%s: an acknowledged record is gone, or one came back", got)
+		t.Fatalf("linearizability check: got %s, want Ok; otherwise an acknowledged write was lost or an ended play is open again", got)
 	}
-	t.Logf("%d kills, %d writes acknowledged, %d cut off", *historyKills, writes, cut)
+	t.Logf("%d kills, %d writes acknowledged, %d interrupted", *historyKills, acked, interrupted)
 }
 
-func TestSalvagedStoreMakesTheFrontWaitAndIsWholeAfterwards(t *testing.T) {
+func TestSalvagedStoreReportsLossUntilNodesReported(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	if err != nil {
@@ -231,7 +232,7 @@
 	}
 	for i := range 20 {
 		r := playlog.Record{Kind: playlog.Allocated, Play: fmt.Sprint("p", i), Epoch: 1, Product: "p", Title: "t", Viewer: "v", Node: "n"}
-		if err := j.wait(j.write(r)); err != nil {
+		if err := j.await(j.write(r)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -240,37 +241,37 @@
 	}
 	plays := filepath.Join(dir, PlaysFolder)
 	file := filepath.Join(plays, "log-0000000000000001")
-	text, err := os.ReadFile(file)
+	data, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	text[len(text)/2] ^= 4
-	if err := os.WriteFile(file, text, 0o600); err != nil {
+	data[len(data)/2] ^= 4
+	if err := os.WriteFile(file, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := CompactStore(plays); !errors.Is(err, store.ErrDamage) {
-		t.Fatalf("compacted a damaged store: %v", err)
+		t.Fatalf("compacting a damaged store: got %v, want ErrDamage", err)
 	}
 	other := t.TempDir()
 	s, err := SalvageStore(plays, filepath.Join(other, PlaysFolder))
 	if err != nil || s.Open != 19 || s.Lost != 1 || len(s.Gaps) != 1 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	if after, _ := os.ReadFile(file); string(after) != string(text) {
+	if after, _ := os.ReadFile(file); string(after) != string(data) {
 		t.Fatal("salvage changed the damaged store")
 	}
 	if _, err := SalvageStore(plays, filepath.Join(other, PlaysFolder)); !errors.Is(err, os.ErrExist) {
-		t.Fatalf("wrote over a store: %v", err)
+		t.Fatalf("salvaging into an existing store: got %v, want os.ErrExist", err)
 	}
-	j, was, err := openJournal(other, &config.Service{}, 2, nil, nil, zerolog.Nop())
-	if err != nil || was.lost != 1 || len(was.open) != 19 {
-		t.Fatalf("%+v, %v", was, err)
+	j, previous, err := openJournal(other, &config.Service{}, 2, nil, nil, zerolog.Nop())
+	if err != nil || previous.lost != 1 || len(previous.open) != 19 {
+		t.Fatalf("%+v, %v", previous, err)
 	}
 	j.RecoveryDone()
 	j.wg.Wait()
 	j.log.Close()
-	if j, was, err = openJournal(other, &config.Service{}, 3, nil, nil, zerolog.Nop()); err != nil || was.lost != 0 {
-		t.Fatalf("after the nodes made up for it: %+v, %v", was, err)
+	if j, previous, err = openJournal(other, &config.Service{}, 3, nil, nil, zerolog.Nop()); err != nil || previous.lost != 0 {
+		t.Fatalf("after recovery: %+v, %v, want no records lost", previous, err)
 	}
 	j.log.Close()
 	c, err := CompactStore(filepath.Join(other, PlaysFolder))
@@ -279,33 +280,33 @@
 	}
 }
 
-func TestOfflineWorkIsKeptFromARunningFront(t *testing.T) {
+func TestOfflineCommandsFailWhileFrontRuns(t *testing.T) {
 	dir := t.TempDir()
-	claim, err := LockFolder(dir)
+	lock, err := LockFolder(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); !errors.Is(err, ErrLocked) {
-		t.Fatalf("compacted beneath a front: %v", err)
+		t.Fatalf("compacting while a front runs: got %v, want ErrLocked", err)
 	}
 	if _, err := SalvageStore(filepath.Join(dir, PlaysFolder), filepath.Join(t.TempDir(), "x")); !errors.Is(err, ErrLocked) {
-		t.Fatalf("salvaged beneath a front: %v", err)
+		t.Fatalf("salvaging while a front runs: got %v, want ErrLocked", err)
 	}
-	claim.Release()
+	lock.Release()
 	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); err == nil {
-		t.Fatal("compacted a folder that is not there")
+		t.Fatal("compacting a missing folder succeeded")
 	}
 }
 
-func TestAReadOnlyFolderIsToldAtTheStart(t *testing.T) {
+func TestOpenJournalFailsWithoutWritableFolder(t *testing.T) {
 	if os.Geteuid() == 0 {
-		// Root writes anywhere: a file in the folder's place fails the same calls.
+		// Permissions don't apply to root. A file in place of the folder makes the same calls fail.
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, PlaysFolder), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop()); err == nil {
-			t.Fatal("a front without a place for its records started")
+			t.Fatal("opened a journal without a folder for its records")
 		}
 		return
 	}
@@ -315,6 +316,6 @@
 	}
 	defer os.Chmod(dir, 0o700)
 	if _, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop()); !errors.Is(err, os.ErrPermission) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want os.ErrPermission", err)
 	}
 }
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -18,94 +18,94 @@
 	"gullrail/store"
 )
 
-// PlaysFolder is where a front's store is, in its state folder.
+// PlaysFolder is the name of the folder, in a front's state folder, with the store of the play log.
 const PlaysFolder = "plays"
 
-// journal is the transport of a front that keeps records: what playlog.LogFirst says is durable before it leaves.
-// While the store is broken such allocations are not sent at all, and their plays are declined.
+// journal is a session.Transport that records plays. The allocations for which playlog.LogFirst holds are durable before
+// they are sent. If the store is broken, they are not sent and their plays are declined.
 type journal struct {
 	*nodes.Client
-	log    *store.Log
-	set    *config.Service
-	epoch  int64
-	runner *session.Runner
-	say    zerolog.Logger
-	wg     sync.WaitGroup
+	log     *store.Log
+	service *config.Service
+	epoch   int64
+	runner  *session.Runner
+	logger  zerolog.Logger
+	wg      sync.WaitGroup
 
 	mu      sync.Mutex
-	book    *playlog.State
-	waiting map[session.Ref]bool // not durable yet; false once recalled
+	state   *playlog.State
+	pending map[session.Ref]bool // allocations whose records are not durable yet; false once cancelled
 	broken  bool
 }
 
-// earlier is what the records of a front's earlier lives come to.
-type earlier struct {
-	open []session.Expected
-	past []playlog.EndedPlay
-	lost uint64 // records that are missing
+// previousRuns is the state recorded by earlier runs of the front.
+type previousRuns struct {
+	open  []session.Expected
+	ended []playlog.EndedPlay
+	lost  uint64 // number of records that a salvage found missing
 }
 
-// openJournal opens the store in a state folder and returns what earlier lives left.
-func openJournal(folder string, set *config.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
+// openJournal opens the store in a state folder and returns the state recorded by earlier runs.
+func openJournal(folder string, service *config.Service, epoch int64, client *nodes.Client, r *session.Runner, logger zerolog.Logger) (*journal, previousRuns, error) {
 	dir := filepath.Join(folder, PlaysFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, earlier{}, fmt.Errorf("state folder: %w", err)
+		return nil, previousRuns{}, fmt.Errorf("state folder: %w", err)
 	}
-	j, was, err := newJournal(store.Folder(dir), set, epoch, client, r, say)
+	j, previous, err := newJournal(store.Folder(dir), service, epoch, client, r, logger)
 	if err != nil {
-		return nil, earlier{}, fmt.Errorf("%s: %w", dir, err)
+		return nil, previousRuns{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	return j, was, nil
+	return j, previous, nil
 }
 
-func newJournal(files store.Files, set *config.Service, epoch int64, client *nodes.Client, r *session.Runner, say zerolog.Logger) (*journal, earlier, error) {
+func newJournal(files store.Files, service *config.Service, epoch int64, client *nodes.Client, r *session.Runner, logger zerolog.Logger) (*journal, previousRuns, error) {
 	log, contents, err := store.Open(files)
 	if err != nil {
-		return nil, earlier{}, err
+		return nil, previousRuns{}, err
 	}
-	book, err := playlog.Read(contents.Records)
+	state, err := playlog.Read(contents.Records)
 	if err != nil {
 		log.Close()
-		return nil, earlier{}, err
+		return nil, previousRuns{}, err
 	}
-	book.Expire(time.Now().UnixMilli())
-	was := earlier{past: book.EndedPlays(), lost: book.Lost()}
-	for _, r := range book.OpenPlays() {
-		product, ok := set.ProductNumber(r.Product)
-		home, copies, known := set.Title(r.Title)
+	state.Expire(time.Now().UnixMilli())
+	previous := previousRuns{ended: state.EndedPlays(), lost: state.Lost()}
+	for _, r := range state.OpenPlays() {
+		product, ok := service.ProductNumber(r.Product)
+		firstCell, cellCount, known := service.Title(r.Title)
 		if !ok || !known {
 			product = -1
 		}
-		was.open = append(was.open, session.Expected{Node: r.Node, Answered: r.Answered, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
-			Attempt: r.Attempt, Product: product, Title: r.Title, FirstCell: home, CellCount: copies, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.MaxRung}})
+		previous.open = append(previous.open, session.Expected{Node: r.Node, Answered: r.Answered, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
+			Attempt: r.Attempt, Product: product, Title: r.Title, FirstCell: firstCell, CellCount: cellCount, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.MaxRung}})
 	}
-	if was.lost > 0 {
-		say.Warn().Uint64("records", was.lost).Msg("records are missing since a salvage: plays are taken once every node has told or its lease has passed")
+	if previous.lost > 0 {
+		logger.Warn().Uint64("records", previous.lost).Msg("a salvage found records missing; accepting plays once every node has reported its plays or its lease has expired")
 	}
-	say.Info().Int("open", len(was.open)).Int("records", len(contents.Records)).Msg("plays of an earlier life, by record")
-	return &journal{Client: client, log: log, set: set, epoch: epoch, runner: r, say: say, book: book, waiting: map[session.Ref]bool{}}, was, nil
+	logger.Info().Int("open", len(previous.open)).Int("records", len(contents.Records)).Msg("restored plays recorded by earlier runs")
+	return &journal{Client: client, log: log, service: service, epoch: epoch, runner: r, logger: logger, state: state, pending: map[session.Ref]bool{}}, previous, nil
 }
 
-func (j *journal) keeps(product int) bool {
-	return playlog.LogFirst(j.set.Products[product].Paid, j.set.Products[product].MaxSeats)
+func (j *journal) logsFirst(product int) bool {
+	return playlog.LogFirst(j.service.Products[product].Paid, j.service.Products[product].MaxSeats)
 }
 
-// SetUp records an allocation where that comes first, and then sends it.
+// SetUp sends an allocation, after recording it durably if the product requires that.
 func (j *journal) SetUp(a session.Allocation) {
-	if !j.keeps(a.Product) {
+	if !j.logsFirst(a.Product) {
 		j.Client.SetUp(a)
 		return
 	}
-	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Attempt: a.Attempt, Product: j.set.Product(a.Product),
+	done := j.write(playlog.Record{Kind: playlog.Allocated, Play: a.Play, Epoch: j.epoch, Attempt: a.Attempt, Product: j.service.Product(a.Product),
 		Title: a.Title, Viewer: a.Viewer, Node: a.Name, Rung: a.Rung, MaxRung: a.MaxRung})
 	j.mu.Lock()
-	j.waiting[a.Ref] = true
+	j.pending[a.Ref] = true
 	j.mu.Unlock()
 	j.spawn(func() {
-		err := j.wait(done)
+		err := j.await(done)
 		j.mu.Lock()
-		wanted := j.waiting[a.Ref]
-		delete(j.waiting, a.Ref)
+		wanted := j.pending[a.Ref]
+		delete(j.pending, a.Ref)
 		j.mu.Unlock()
 		if err != nil || !wanted {
 			j.runner.Post(func(now int64, c *session.Core) { c.SetUpEnded(now, a.Ref, decision.NotSent, decision.UnknownLoad) })
@@ -120,116 +120,118 @@
 	go func() { defer j.wg.Done(); do() }()
 }
 
-// Recall lets go of an allocation, also of one that is not durable yet and so was never sent.
+// Recall cancels an allocation, including one that is not sent yet as its record is not durable.
 func (j *journal) Recall(r session.Ref) {
 	j.mu.Lock()
-	_, waits := j.waiting[r]
-	if waits {
-		j.waiting[r] = false
+	_, pending := j.pending[r]
+	if pending {
+		j.pending[r] = false
 	}
 	j.mu.Unlock()
-	if !waits {
+	if !pending {
 		j.Client.Cancel(r)
 	}
 }
 
-// PlayStarted records that a play's viewer was told, and that a token is used up; nobody waits for it.
-func (j *journal) PlayStarted(r session.Ref, product int, back string) {
-	if !j.keeps(product) {
+// PlayStarted records that the viewer of a play was answered, and that the token of the resumed play, if any, is used. It
+// doesn't wait for the disk.
+func (j *journal) PlayStarted(r session.Ref, product int, resumed string) {
+	if !j.logsFirst(product) {
 		return
 	}
-	j.later(playlog.Record{Kind: playlog.Started, Play: r.Play, Attempt: r.Attempt})
-	if back != "" {
-		j.later(playlog.Record{Kind: playlog.Token, Play: back, At: time.Now().UnixMilli()})
+	j.writeAsync(playlog.Record{Kind: playlog.Started, Play: r.Play, Attempt: r.Attempt})
+	if resumed != "" {
+		j.writeAsync(playlog.Record{Kind: playlog.Token, Play: resumed, At: time.Now().UnixMilli()})
 	}
 }
 
-// PlayFinished records a play's end; nobody waits for it.
-func (j *journal) PlayFinished(play string, product int, how playlog.EndReason) {
-	if j.keeps(product) {
-		r := playlog.Record{Kind: playlog.Ended, Play: play, EndReason: how}
-		if how != "" {
+// PlayFinished records the end of a play. It doesn't wait for the disk.
+func (j *journal) PlayFinished(play string, product int, reason playlog.EndReason) {
+	if j.logsFirst(product) {
+		r := playlog.Record{Kind: playlog.Ended, Play: play, EndReason: reason}
+		if reason != "" {
 			r.At = time.Now().UnixMilli()
 		}
-		j.later(r)
+		j.writeAsync(r)
 	}
 }
 
-// RecoveryDone records that nothing is missing any more, where anything was.
+// RecoveryDone records that the reports of the nodes have replaced the missing records, if there were any.
 func (j *journal) RecoveryDone() {
 	j.mu.Lock()
-	lost := j.book.Lost()
+	lost := j.state.Lost()
 	j.mu.Unlock()
 	if lost > 0 {
-		j.say.Info().Uint64("records", lost).Msg("the nodes have made up for the records that were missing")
-		j.later(playlog.Record{Kind: playlog.Recovered})
+		j.logger.Info().Uint64("records", lost).Msg("reports of the nodes have replaced the missing records")
+		j.writeAsync(playlog.Record{Kind: playlog.Recovered})
 	}
 }
 
-func (j *journal) later(r playlog.Record) {
+func (j *journal) writeAsync(r playlog.Record) {
 	done := j.write(r)
-	j.spawn(func() { j.wait(done) })
+	j.spawn(func() { j.await(done) })
 }
 
-// write puts a record into the log and the state in one step, so that a compaction to what the state holds
-// leaves out nothing that the log has, and in the order of the core's calls. It never waits for the disk: where
-// the log is too far behind, the record is not taken, which is as good as a failed write.
+// write adds a record to the log and the state, in the order of the core's calls. It does both with the lock held, so
+// that a compaction to the records of the state drops none that are in the log only. It never waits for the disk: if the
+// log's queue is full, the record is not written and the channel delivers the error, as for a failed write.
 func (j *journal) write(r playlog.Record) <-chan error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	done, err := j.log.TryBegin(r.Encode())
 	if err != nil {
-		refused := make(chan error, 1)
-		refused <- err
-		return refused
+		failed := make(chan error, 1)
+		failed <- err
+		return failed
 	}
-	if err := j.book.Apply(r); err != nil {
-		j.say.Error().Err(err).Msg("a record out of order")
+	if err := j.state.Apply(r); err != nil {
+		j.logger.Error().Err(err).Msg("play log record is out of order")
 	}
-	if j.book.NeedsCompaction() {
+	if j.state.NeedsCompaction() {
 		j.compact()
 	}
 	return done
 }
 
-// compact brings the log down to what the state needs; the caller holds the lock.
+// compact replaces the records in the log by those that the state needs. The caller holds the lock.
 func (j *journal) compact() {
-	j.book.Expire(time.Now().UnixMilli())
-	records := encode(j.book)
-	if _, err := j.log.TryCompact(records); err == nil { // its failure breaks the log, which the next record tells
-		j.book.Compacted(len(records))
+	j.state.Expire(time.Now().UnixMilli())
+	records := encodeRecords(j.state)
+	if _, err := j.log.TryCompact(records); err == nil { // if writing fails, the log is broken and the next write reports it
+		j.state.Compacted(len(records))
 	}
 }
 
-func encode(b *playlog.State) (out [][]byte) {
-	for _, r := range b.Records() {
+func encodeRecords(state *playlog.State) (out [][]byte) {
+	for _, r := range state.Records() {
 		out = append(out, r.Encode())
 	}
 	return out
 }
 
-// wait brings what became of a record. A log that is behind may catch up; one that broke stays so.
-func (j *journal) wait(done <-chan error) error {
+// await waits for the result of a write and notes if the store is broken, which lasts until the front is restarted. A
+// full queue is only temporary and is not noted.
+func (j *journal) await(done <-chan error) error {
 	err := <-done
 	if errors.Is(err, store.ErrBroken) {
 		j.mu.Lock()
 		defer j.mu.Unlock()
 		if !j.broken {
 			j.broken = true
-			j.say.Error().Err(err).Msg("the store is broken: paid and seated plays are declined until the front starts again")
+			j.logger.Error().Err(err).Msg("the store is broken; declining plays of paid products and of those with seats until the front is restarted")
 		}
 	}
 	return err
 }
 
-// Broken tells whether the store is.
+// Broken reports whether the store is broken.
 func (j *journal) Broken() bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.broken
 }
 
-// Close waits for what is being written and closes the store.
+// Close closes the client, waits for pending writes, and closes the store.
 func (j *journal) Close() error {
 	j.Client.Close()
 	j.wg.Wait()
--- a/frontend/journal_test.go
+++ b/frontend/journal_test.go
@@ -15,17 +15,17 @@
 	"gullrail/store"
 )
 
-// recoverRecords asks for a measurement: go test ./frontend -run Recover -records 1000000 -v
+// recoverRecords is the number of records in the recovery test. To measure: go test ./frontend -run Recover -records 1000000 -v
 var recoverRecords = flag.Int("records", 2000, "records to recover in the recovery test")
 
-func TestRecoverWhatIsOpen(t *testing.T) {
+func TestRecoverOpenPlays(t *testing.T) {
 	n := *recoverRecords
 	folder := store.Folder(t.TempDir())
 	log, _, err := store.Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	start := time.Now()
 	var last <-chan error
 	for i := range n {
 		r := playlog.Record{Kind: playlog.Ended, Play: fmt.Sprintf("f0-18ed25f932a30537-%d", i/2)}
@@ -40,49 +40,49 @@
 	if err := <-last; err != nil {
 		t.Fatal(err)
 	}
-	wrote, syncs := time.Since(began), log.Syncs()
+	writeTime, syncs := time.Since(start), log.Syncs()
 	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	began = time.Now()
+	start = time.Now()
 	log, c, err := store.Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer log.Close()
-	book, err := playlog.Read(c.Records)
-	if err != nil || len(c.Records) != n || len(book.OpenPlays()) != (n/2+4)/5 {
-		t.Fatalf("%d records, %d open, %v", len(c.Records), len(book.OpenPlays()), err)
+	state, err := playlog.Read(c.Records)
+	if err != nil || len(c.Records) != n || len(state.OpenPlays()) != (n/2+4)/5 {
+		t.Fatalf("%d records, %d open, %v", len(c.Records), len(state.OpenPlays()), err)
 	}
-	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, wrote, syncs, len(book.OpenPlays()), time.Since(began))
+	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, writeTime, syncs, len(state.OpenPlays()), time.Since(start))
 }
 
-// weekPlays asks for a measurement: go test ./frontend -run Week -week 7000000 -v
-var weekPlays = flag.Int("week", 60000, "recorded plays of the test that a store stays small")
+// weekPlays is the number of plays in the store size test. To measure: go test ./frontend -run Week -week 7000000 -v
+var weekPlays = flag.Int("week", 60000, "recorded plays in the store size test")
 
-// A store that plays go through stays as small as what is open and whose tokens may still be shown, however
-// many there were.
-func TestAWeekOfPlaysLeavesASmallStore(t *testing.T) {
+// Checks that compaction keeps a store small: its size depends on the plays that are open or whose tokens are still
+// valid, not on the number of plays ever recorded.
+func TestStoreStaysSmallOverWeekOfPlays(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	const open = 400 // plays at a time
-	clock := time.Now().UnixMilli()
+	const openPlays = 400 // concurrent plays
+	nowMs := time.Now().UnixMilli()
 	var last <-chan error
-	written, most := int64(0), int64(0)
+	written, maxSize := int64(0), int64(0)
 	add := func(r playlog.Record) {
 		last = j.log.Begin(r.Encode())
 		written += int64(len(r.Encode()))
-		if err := j.book.Apply(r); err != nil {
+		if err := j.state.Apply(r); err != nil {
 			t.Fatal(err)
 		}
-		if j.book.NeedsCompaction() {
-			j.book.Expire(clock)
-			records := encode(j.book)
+		if j.state.NeedsCompaction() {
+			j.state.Expire(nowMs)
+			records := encodeRecords(j.state)
 			last = j.log.Compact(records)
-			j.book.Compacted(len(records))
+			j.state.Compacted(len(records))
 		}
 	}
 	for i := range *weekPlays {
@@ -90,16 +90,16 @@
 		add(playlog.Record{Kind: playlog.Allocated, Play: play(i), Epoch: 1796135833781432321, Product: "lesson", Title: "clip-12", Viewer: "v7", Node: "n0",
 			Rung: 1, MaxRung: 2})
 		add(playlog.Record{Kind: playlog.Started, Play: play(i)})
-		if i >= open {
-			add(playlog.Record{Kind: playlog.Ended, Play: play(i - open), EndReason: playlog.Served, At: clock})
+		if i >= openPlays {
+			add(playlog.Record{Kind: playlog.Ended, Play: play(i - openPlays), EndReason: playlog.Served, At: nowMs})
 		}
-		clock += 86 // 33 plays a second, 35 in 100 recorded
+		nowMs += 86 // ms: 33 plays a second, of which 35% are recorded
 		if i%5000 == 4999 {
 			if err := <-last; err != nil {
 				t.Fatal(err)
 			}
 			last = nil
-			most = max(most, bytesIn(t, dir))
+			maxSize = max(maxSize, storeSize(t, dir))
 		}
 	}
 	if last != nil {
@@ -111,14 +111,14 @@
 	if err := j.log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	size := bytesIn(t, dir)
-	if most = max(most, size); most > 16<<20 {
-		t.Fatalf("%d bytes at the end, %d at most", size, most)
+	size := storeSize(t, dir)
+	if maxSize = max(maxSize, size); maxSize > 16<<20 {
+		t.Fatalf("store has %d bytes at the end and had %d at most, want 16 MiB at most", size, maxSize)
 	}
-	t.Logf("%d plays, %d bytes of records: %d bytes at the end, %d at most, %d groups", *weekPlays, written, size, most, syncs)
+	t.Logf("%d plays, %d bytes of records written: store has %d bytes at the end, had %d at most, %d syncs", *weekPlays, written, size, maxSize, syncs)
 }
 
-func bytesIn(t *testing.T, dir string) (n int64) {
+func storeSize(t *testing.T, dir string) (n int64) {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Join(dir, PlaysFolder))
 	if err != nil {
--- a/frontend/offline.go
+++ b/frontend/offline.go
@@ -11,27 +11,27 @@
 	"gullrail/store"
 )
 
-// holdStore keeps fronts off a store while it is worked on: it locks the state folder that it lies in. A copy of
-// a store that lies elsewhere belongs to nobody.
-func holdStore(dir string) (release func(), err error) {
+// lockStore keeps fronts from using a store by locking the state folder that contains it. It locks nothing if the
+// containing folder has no lock file and so is not a state folder, as for a copy of a store.
+func lockStore(dir string) (release func(), err error) {
 	folder := filepath.Dir(filepath.Clean(dir))
 	if _, err := os.Stat(filepath.Join(folder, "lock")); errors.Is(err, os.ErrNotExist) {
 		return func() {}, nil
 	}
-	lock, err := hold(folder)
+	lock, err := lockFile(folder)
 	if err != nil {
 		return nil, err
 	}
 	return func() { lock.Close() }, nil
 }
 
-// Compacted is what an offline compaction did.
+// Compacted is the result of an offline compaction.
 type Compacted struct{ RecordsBefore, RecordsAfter, BytesBefore, BytesAfter int64 }
 
-// CompactStore brings the store of a front that does not run down to what is needed, as the front does by itself. It
-// fails with ErrLocked while the front runs, and changes nothing in a store that is damaged.
+// CompactStore compacts the store of a front that is not running to the records needed, as a running front does by itself.
+// It fails with ErrLocked while the front runs, and changes nothing in a damaged store.
 func CompactStore(dir string) (Compacted, error) {
-	release, err := holdStore(dir)
+	release, err := lockStore(dir)
 	if err != nil {
 		return Compacted{}, err
 	}
@@ -40,13 +40,13 @@
 	if err != nil {
 		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	book, err := playlog.Read(c.Records)
+	state, err := playlog.Read(c.Records)
 	if err != nil {
 		log.Close()
 		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	book.Expire(time.Now().UnixMilli())
-	records := encode(book)
+	state.Expire(time.Now().UnixMilli())
+	records := encodeRecords(state)
 	err = errors.Join(<-log.Compact(records), log.Close())
 	if err != nil {
 		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
@@ -58,19 +58,19 @@
 	return Compacted{int64(len(c.Records)), int64(len(after.Records)), c.Bytes, after.Bytes}, nil
 }
 
-// Salvaged is what a salvage came to.
+// Salvaged is the result of salvaging a store.
 type Salvaged struct {
-	Records, Open int // written to the new store
-	Lost          uint64
+	Records, Open int    // records recovered, and open plays in the new store
+	Lost          uint64 // lower bound of the records lost
 	Gaps          []store.MissingRange
 }
 
-// SalvageStore writes what can be had of a damaged store into a new folder, which must not exist yet; the damaged
-// one is left as it is. Where records are missing the new store says so, and a front that starts on it takes
-// plays only once all nodes have told what they run or their leases have passed: what the missing records told of
-// has ended by then, or was told by its node.
+// SalvageStore writes the records that can be recovered from a damaged store to a new folder, which must not exist yet.
+// The damaged store is not changed. If records are missing, the new store holds their number, and a front that starts
+// with it accepts plays only when each node has reported its plays or its lease has expired: by then the plays of the
+// missing records have ended or have been reported by their nodes.
 func SalvageStore(dir, into string) (Salvaged, error) {
-	release, err := holdStore(dir)
+	release, err := lockStore(dir)
 	if err != nil {
 		return Salvaged{}, err
 	}
@@ -80,19 +80,20 @@
 		return Salvaged{}, fmt.Errorf("%s: %w", dir, err)
 	}
 	out := Salvaged{Lost: found.Lost, Gaps: found.Gaps}
-	book := playlog.NewState()
+	state := playlog.NewState()
 	for _, raw := range found.Records {
 		r, err := playlog.Decode(raw)
-		if err != nil { // its checksum holds and its text does not: not one that a front wrote
+		if err != nil { // invalid despite a correct checksum, so not written by a front
 			out.Lost++
 			continue
 		}
-		// Out of order is what a gap leaves; the state then keeps to the later allocation, which is the safe side.
-		_ = book.Apply(r)
+		// An error means records out of order, which a gap may cause. The state then keeps the latest attempt, whose seat
+		// stays taken.
+		_ = state.Apply(r)
 		out.Records++
 	}
 	if out.Lost > 0 {
-		if err := book.Apply(playlog.Record{Kind: playlog.Lost, Count: out.Lost}); err != nil {
+		if err := state.Apply(playlog.Record{Kind: playlog.Lost, Count: out.Lost}); err != nil {
 			return out, err
 		}
 	}
@@ -103,8 +104,8 @@
 	if err != nil {
 		return out, fmt.Errorf("%s: %w", into, err)
 	}
-	out.Open = len(book.OpenPlays())
-	if err := errors.Join(<-log.Compact(encode(book)), log.Close()); err != nil {
+	out.Open = len(state.OpenPlays())
+	if err := errors.Join(<-log.Compact(encodeRecords(state)), log.Close()); err != nil {
 		return out, fmt.Errorf("%s: %w", into, err)
 	}
 	return out, nil
--- a/frontend/tls.go
+++ b/frontend/tls.go
@@ -11,65 +11,65 @@
 	"github.com/rs/zerolog"
 )
 
-const looksEvery = time.Second // at files that may have changed, and no more often than connections ask
+const checkInterval = time.Second // minimum time between checks for changed files, which only new connections trigger
 
-// watched reads files again when they have changed. What can't be read, or does not hold, leaves what was
-// read before in force: a half-written file must not take a running front down.
-type watched[T any] struct {
-	files []string
-	read  func() (T, error)
-	log   zerolog.Logger
+// reloader loads a value from files and loads it again when they change. If a changed file is missing or invalid, the
+// previous value stays in use: a partly written file must not stop a running front.
+type reloader[T any] struct {
+	files  []string
+	load   func() (T, error)
+	logger zerolog.Logger
 
-	mu     sync.Mutex
-	now    T
-	state  string
-	looked time.Time
+	mu          sync.Mutex
+	value       T
+	fingerprint string
+	checked     time.Time
 }
 
-func newWatched[T any](log zerolog.Logger, read func() (T, error), files ...string) (*watched[T], error) {
-	w := &watched[T]{files: files, read: read, log: log, looked: time.Now()}
-	w.state = w.look()
+func newReloader[T any](logger zerolog.Logger, load func() (T, error), files ...string) (*reloader[T], error) {
+	r := &reloader[T]{files: files, load: load, logger: logger, checked: time.Now()}
+	r.fingerprint = r.currentFingerprint()
 	var err error
-	w.now, err = read()
-	return w, err
+	r.value, err = load()
+	return r, err
 }
 
-// look tells files' states apart.
-func (w *watched[T]) look() (state string) {
-	for _, f := range w.files {
+// currentFingerprint returns a text that changes with the modification time, size or existence of a file.
+func (r *reloader[T]) currentFingerprint() (fingerprint string) {
+	for _, f := range r.files {
 		if info, err := os.Stat(f); err == nil {
-			state += fmt.Sprint(info.ModTime().UnixNano(), info.Size(), ";")
+			fingerprint += fmt.Sprint(info.ModTime().UnixNano(), info.Size(), ";")
 		} else {
-			state += "none;"
+			fingerprint += "none;"
 		}
 	}
-	return state
+	return fingerprint
 }
 
-func (w *watched[T]) get() T {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if time.Since(w.looked) < looksEvery {
-		return w.now
+func (r *reloader[T]) get() T {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if time.Since(r.checked) < checkInterval {
+		return r.value
 	}
-	w.looked = time.Now()
-	if state := w.look(); state != w.state {
-		v, err := w.read()
+	r.checked = time.Now()
+	if fingerprint := r.currentFingerprint(); fingerprint != r.fingerprint {
+		v, err := r.load()
 		if err != nil {
-			w.log.Error().Err(err).Strs("files", w.files).Msg("changed files do not hold; what was read before stays")
-			return w.now
+			r.logger.Error().Err(err).Strs("files", r.files).Msg("changed files are invalid; keeping the previous contents")
+			return r.value
 		}
-		w.now, w.state = v, state
-		w.log.Info().Strs("files", w.files).Msg("read again")
+		r.value, r.fingerprint = v, fingerprint
+		r.logger.Info().Strs("files", r.files).Msg("reloaded changed files")
 	}
-	return w.now
+	return r.value
 }
 
-// certificate is what players are shown.
-type certificate struct{ *watched[*tls.Certificate] }
+// certificate is the TLS certificate of the server for viewers.
+type certificate struct{ *reloader[*tls.Certificate] }
 
-func newCertificate(cert, key string, log zerolog.Logger) (*certificate, error) {
-	w, err := newWatched(log, func() (*tls.Certificate, error) {
+func newCertificate(cert, key string, logger zerolog.Logger) (*certificate, error) {
+	r, err := newReloader(logger, func() (*tls.Certificate, error) {
 		c, err := tls.LoadX509KeyPair(cert, key)
 		if err != nil {
 			return nil, fmt.Errorf("front.tls: %w", err)
@@ -79,24 +79,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &certificate{w}, nil
+	return &certificate{r}, nil
 }
 
 func (c *certificate) get(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-	return c.watched.get(), nil
+	return c.reloader.get(), nil
 }
 
-// authorities vouch for nodes.
-type authorities struct{ *watched[*tls.Config] }
+// nodeCAs is the TLS configuration for connections to nodes, with the CA certificates that verify them.
+type nodeCAs struct{ *reloader[*tls.Config] }
 
-func newAuthorities(file string, log zerolog.Logger) (*authorities, error) {
-	w, err := newWatched(log, func() (*tls.Config, error) {
-		text, err := os.ReadFile(file)
+func newNodeCAs(file string, logger zerolog.Logger) (*nodeCAs, error) {
+	r, err := newReloader(logger, func() (*tls.Config, error) {
+		data, err := os.ReadFile(file)
 		if err != nil {
 			return nil, fmt.Errorf("front.nodes_tls.ca: %w", err)
 		}
 		pool := x509.NewCertPool()
-		if !pool.AppendCertsFromPEM(text) {
+		if !pool.AppendCertsFromPEM(data) {
 			return nil, fmt.Errorf("front.nodes_tls.ca: %s holds no certificate", file)
 		}
 		return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &authorities{w}, nil
+	return &nodeCAs{r}, nil
 }
 
-func (a *authorities) config() (*tls.Config, error) { return a.get(), nil }
+func (a *nodeCAs) config() (*tls.Config, error) { return a.get(), nil }
