--- a/config/config_test.go
+++ b/config/config_test.go
@@ -30,11 +30,11 @@
 	}
 	s := f.Service
 	if f.MaxWaiting != 256 || s.MaxAttempts != 4 || s.Products[0].MaxRung != 1 || s.Products[0].RateFactor != 1 || s.BudgetWindowMs != 0 {
-		t.Fatalf("%+v", f)
+		t.Fatalf("unexpected defaults: %+v", f)
 	}
 	settings := s.PolicySettings(1, "z")
 	if settings["front"][0] != 1 || settings["product.target"][0] != 10000 || settings["cold.lasts"][0] != 100000 || settings["zone"][0] != 0 {
-		t.Fatalf("%v", settings)
+		t.Fatalf("unexpected policy settings: %v", settings)
 	}
 	if _, given := settings["budget.over"]; given {
 		t.Fatal("budget.over is set without a budget in the settings")
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	if got := f.PolicySettings(); !reflect.DeepEqual(got, baseSettings) {
-		t.Fatalf("got %v", got)
+		t.Fatalf("policy settings changed: %v", got)
 	}
 }
 
@@ -116,7 +116,7 @@
 		}
 	}
 	if len(f.Peers.Fronts) != 2 || len(f.Peers.Secret) != 32 {
-		t.Fatalf("%+v", f.Peers)
+		t.Fatalf("unexpected peers: %+v", f.Peers)
 	}
 	for _, c := range []struct{ old, new, want string }{
 		{`"join_adds": 0.3`, `"join_adds": 0`, "f.jsonc:7: service.join_adds: must be a number from 0.001 to 1"},
@@ -142,7 +142,7 @@
 	_, err := ParseFront("f.jsonc", []byte(text))
 	var problems Problems
 	if !errors.As(err, &problems) || len(problems) < 3 || problems[0].Line != 2 || problems[len(problems)-1].Line < 7 {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want at least 3 problems, from line 2 to at least line 7", err)
 	}
 	if _, err := ReadFront(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
 		t.Fatalf("missing file: got %v, want os.ErrNotExist", err)
--- a/frontend/folderlock_test.go
+++ b/frontend/folderlock_test.go
@@ -44,7 +44,7 @@
 	}
 	_, err := LockFolder(dir)
 	if err == nil || !strings.Contains(err.Error(), "epoch:1: not an epoch") {
-		t.Fatalf("got %v", err)
+		t.Fatalf("got %v, want an error with the file and line", err)
 	}
 	if _, err := LockFolder(filepath.Join(dir, "epoch")); err == nil {
 		t.Fatal("locked a file in place of a folder")
--- a/frontend/history_test.go
+++ b/frontend/history_test.go
@@ -255,7 +255,7 @@
 	other := t.TempDir()
 	s, err := SalvageStore(plays, filepath.Join(other, PlaysFolder))
 	if err != nil || s.Open != 19 || s.Lost != 1 || len(s.Gaps) != 1 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("salvage: got %+v, %v, want 19 open plays and 1 record lost in 1 gap", s, err)
 	}
 	if after, _ := os.ReadFile(file); string(after) != string(data) {
 		t.Fatal("salvage changed the damaged store")
@@ -265,7 +265,7 @@
 	}
 	j, previous, err := openJournal(other, &config.Service{}, 2, nil, nil, zerolog.Nop())
 	if err != nil || previous.lost != 1 || len(previous.open) != 19 {
-		t.Fatalf("%+v, %v", previous, err)
+		t.Fatalf("opening the salvaged store: got %+v, %v, want 19 open plays and 1 record lost", previous, err)
 	}
 	j.RecoveryDone()
 	j.wg.Wait()
@@ -276,7 +276,7 @@
 	j.log.Close()
 	c, err := CompactStore(filepath.Join(other, PlaysFolder))
 	if err != nil || c.RecordsAfter != 19 {
-		t.Fatalf("%+v, %v", c, err)
+		t.Fatalf("compacting: got %+v, %v, want 19 records", c, err)
 	}
 }
 
--- a/frontend/journal_test.go
+++ b/frontend/journal_test.go
@@ -52,7 +52,7 @@
 	defer log.Close()
 	state, err := playlog.Read(c.Records)
 	if err != nil || len(c.Records) != n || len(state.OpenPlays()) != (n/2+4)/5 {
-		t.Fatalf("%d records, %d open, %v", len(c.Records), len(state.OpenPlays()), err)
+		t.Fatalf("recovered %d records, %d open plays, %v", len(c.Records), len(state.OpenPlays()), err)
 	}
 	t.Logf("%d records, %d bytes, written in %v with %d syncs; %d open plays recovered in %v", n, c.Bytes, writeTime, syncs, len(state.OpenPlays()), time.Since(start))
 }
--- a/playlog/playlog.go
+++ b/playlog/playlog.go
@@ -122,7 +122,7 @@
 	records  int // in the store
 }
 
-// numberedEnd is the end of a play with a sequence number, which tells it from an earlier end of the same play.
+// numberedEnd is the end of a play with a sequence number, which distinguishes it from an earlier end of the same play.
 type numberedEnd struct {
 	EndedPlay
 	number uint64
--- a/store/salvage_test.go
+++ b/store/salvage_test.go
@@ -73,15 +73,15 @@
 	f.data[3*(headerSize+8)+headerSize] ^= 1 // in the fourth record
 	s, err := Salvage(d)
 	if err != nil || len(s.Records) != 9 || s.Lost != 1 || len(s.Gaps) != 1 || s.Gaps[0].From != 3*(headerSize+8) {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("unexpected result of Salvage: %+v, %v", s, err)
 	}
 	copy(f.data[7*(headerSize+8):], f.data[1*(headerSize+8):2*(headerSize+8)]) // the second record in place of the eighth
 	if s, err = Salvage(d); err != nil || len(s.Records) != 8 || s.Lost != 2 || string(s.Records[6]) != "record 8" {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("unexpected result of Salvage: %+v, %v", s, err)
 	}
 	copy(f.data[5*(headerSize+8):], make([]byte, 2*(headerSize+8))) // zeros in place of the sixth and seventh
 	if s, err = Salvage(d); err != nil || len(s.Records) != 6 || s.Lost != 4 || len(s.Gaps) != 2 {
-		t.Fatalf("%+v, %v", s, err)
+		t.Fatalf("unexpected result of Salvage: %+v, %v", s, err)
 	}
 }
 
