--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,4 +1,5 @@
-// Command drill runs the decision module on the bench's wire.
+// Command drill serves the decision module to the external simulator: it reads the simulator's protocol from standard input and
+// answers on standard output.
 package main
 
 import (
--- a/cmd/gullrail/compare.go
+++ b/cmd/gullrail/compare.go
@@ -7,51 +7,51 @@
 	"gullrail/testbed"
 )
 
-type compareVerb struct {
-	A       string `arg:"" help:"A day."`
-	B       string `arg:"" help:"Another, or the same with another module."`
-	Seeds   int    `help:"How many seeds, from 1 on." default:"10"`
-	ModuleA string `help:"Module that plays A." enum:"choice,random,least" default:"choice"`
-	ModuleB string `help:"Module that plays B." enum:"choice,random,least" default:"choice"`
-	BuildA  string `help:"Another build of gullrail that plays A." type:"existingfile"`
-	BuildB  string `help:"Another build of gullrail that plays B." type:"existingfile"`
+type compareCommand struct {
+	A       string `arg:"" help:"Scenario A."`
+	B       string `arg:"" help:"Scenario B; may be the same file, to compare modules or builds."`
+	Seeds   int    `help:"Number of seeds, counted from 1." default:"10"`
+	ModuleA string `help:"Decision module of side A." enum:"choice,random,least" default:"choice"`
+	ModuleB string `help:"Decision module of side B." enum:"choice,random,least" default:"choice"`
+	BuildA  string `help:"Another gullrail executable that runs side A." type:"existingfile"`
+	BuildB  string `help:"Another gullrail executable that runs side B." type:"existingfile"`
 }
 
-func (v *compareVerb) Run(ctx context.Context) error {
+func (c *compareCommand) Run(ctx context.Context) error {
 	side := func(file, module, build string) (testbed.Side, error) {
-		day, err := testbed.ReadScenario(file)
+		scenario, err := testbed.ReadScenario(file)
 		if err != nil {
-			return nil, wrong{err}
+			return nil, inputError{err}
 		}
 		if build != "" {
 			return testbed.BuildSide(ctx, build, file, module), nil
 		}
-		return testbed.ScenarioSide(day, module), nil
+		return testbed.ScenarioSide(scenario, module), nil
 	}
-	a, err := side(v.A, v.ModuleA, v.BuildA)
+	a, err := side(c.A, c.ModuleA, c.BuildA)
 	if err != nil {
 		return err
 	}
-	b, err := side(v.B, v.ModuleB, v.BuildB)
+	b, err := side(c.B, c.ModuleB, c.BuildB)
 	if err != nil {
 		return err
 	}
-	if v.Seeds < 1 || v.Seeds > 10000 {
-		return wrong{fmt.Errorf("--seeds: 1 to 10000")}
+	if c.Seeds < 1 || c.Seeds > 10000 {
+		return inputError{fmt.Errorf("--seeds: must be 1 to 10000")}
 	}
 	var seeds []uint64
-	for i := range v.Seeds {
+	for i := range c.Seeds {
 		seeds = append(seeds, uint64(i+1))
 	}
 	pairs, err := testbed.Compare(a, b, seeds)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("A: %s, %s; B: %s, %s (simulated)\n", v.A, v.ModuleA, v.B, v.ModuleB)
+	fmt.Printf("A: %s, %s; B: %s, %s (simulated)\n", c.A, c.ModuleA, c.B, c.ModuleB)
 	broken := 0
-	for _, p := range pairs {
-		for _, s := range p.BrokenRules {
-			fmt.Println("  " + s)
+	for _, pair := range pairs {
+		for _, violation := range pair.BrokenRules {
+			fmt.Println("  " + violation)
 			broken++
 		}
 	}
--- a/cmd/gullrail/fleet.go
+++ b/cmd/gullrail/fleet.go
@@ -13,23 +13,23 @@
 	"gullrail/frontend"
 )
 
-type fleetVerbs struct {
-	Show    fleetShow    `cmd:"" help:"What a front believes of each playout node, by whose word and how old."`
-	Explain fleetExplain `cmd:"" help:"Why a front uses a node, or does not."`
-	Diff    fleetDiff    `cmd:"" help:"Where two fronts believe otherwise; exit 1 if they do."`
+type fleetCommands struct {
+	Show    fleetShow    `cmd:"" help:"List a front end's state of each playout node, with its source and age."`
+	Explain fleetExplain `cmd:"" help:"Show whether a node may be given new plays by a front end, and why."`
+	Diff    fleetDiff    `cmd:"" help:"List the nodes on which two front ends differ; exits with 1 if there are any."`
 }
 
-const fleetFor = 5 * time.Second // a front that runs answers in milliseconds
+const fleetTimeout = 5 * time.Second // a running front end answers within milliseconds
 
-func askFleet(ctx context.Context, front string) ([]frontend.FleetNode, error) {
-	ctx, cancel := context.WithTimeout(ctx, fleetFor)
+func fetchFleet(ctx context.Context, front string) ([]frontend.FleetNode, error) {
+	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
 	if !strings.Contains(front, "://") {
 		front = "http://" + front
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, front+frontend.FleetPath, nil)
 	if err != nil {
-		return nil, wrong{err}
+		return nil, inputError{err}
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -39,121 +39,121 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s: %s", front, resp.Status)
 	}
-	var out []frontend.FleetNode
-	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
+	var nodes []frontend.FleetNode
+	if err := json.NewDecoder(resp.Body).Decode(&nodes); err != nil {
 		return nil, fmt.Errorf("%s: %w", front, err)
 	}
-	return out, nil
+	return nodes, nil
 }
 
-func used(n frontend.FleetNode) string {
+func usability(n frontend.FleetNode) string {
 	if n.Usable {
-		return "used"
+		return "usable"
 	}
-	return "not used"
+	return "not usable"
 }
 
 type fleetShow struct {
-	Front string `arg:"" help:"Address of the front, host:port."`
-	JSON  bool   `help:"As JSON."`
+	Front string `arg:"" help:"Address of the front end, host:port."`
+	JSON  bool   `help:"Print as JSON."`
 }
 
-func (v *fleetShow) Run(ctx context.Context) error {
-	all, err := askFleet(ctx, v.Front)
+func (c *fleetShow) Run(ctx context.Context) error {
+	nodes, err := fetchFleet(ctx, c.Front)
 	if err != nil {
 		return err
 	}
-	if v.JSON {
-		return json.NewEncoder(os.Stdout).Encode(all)
+	if c.JSON {
+		return json.NewEncoder(os.Stdout).Encode(nodes)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "node\taddress\tphase\t\tin touch\tby\tage\twhy")
-	n := 0
-	for _, x := range all {
-		if x.Usable {
-			n++
+	fmt.Fprintln(w, "node\taddress\tphase\tuse\tconnected\tsource\tage\treason")
+	usable := 0
+	for _, node := range nodes {
+		if node.Usable {
+			usable++
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%v\t%s\n", x.Name, x.Address, x.Phase, used(x), x.Alive, x.Source,
-			(time.Duration(x.AgeMs) * time.Millisecond).Round(time.Second), x.Reason)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%v\t%s\n", node.Name, node.Address, node.Phase, usability(node), node.Alive, node.Source,
+			(time.Duration(node.AgeMs) * time.Millisecond).Round(time.Second), node.Reason)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Printf("%d of %d nodes are used\n", n, len(all))
+	fmt.Printf("%d of %d nodes are usable\n", usable, len(nodes))
 	return nil
 }
 
 type fleetExplain struct {
-	Front string `arg:"" help:"Address of the front, host:port."`
+	Front string `arg:"" help:"Address of the front end, host:port."`
 	Node  string `arg:"" help:"Name of the node."`
 }
 
-func (v *fleetExplain) Run(ctx context.Context) error {
-	all, err := askFleet(ctx, v.Front)
+func (c *fleetExplain) Run(ctx context.Context) error {
+	nodes, err := fetchFleet(ctx, c.Front)
 	if err != nil {
 		return err
 	}
-	for _, x := range all {
-		if x.Name != v.Node {
+	for _, node := range nodes {
+		if node.Name != c.Node {
 			continue
 		}
-		touch := "its stream is open"
-		if !x.Alive {
-			touch = "its stream is not open"
+		connection := "connected"
+		if !node.Alive {
+			connection = "not connected"
 		}
-		fmt.Printf("%s at %s, zone %s, kind %s, cell %d, weight %v\n", x.Name, x.Address, x.Zone, x.Kind, x.Cell, x.Weight)
-		fmt.Printf("  %s, %s: by the %s, %v ago; %s\n", x.Phase, used(x), x.Source, (time.Duration(x.AgeMs) * time.Millisecond).Round(time.Second), touch)
-		if x.Reason != "" {
-			fmt.Printf("  %s\n", x.Reason)
+		fmt.Printf("%s at %s, zone %s, kind %s, cell %d, weight %v\n", node.Name, node.Address, node.Zone, node.Kind, node.Cell, node.Weight)
+		fmt.Printf("  %s, %s: source %s, %v ago; %s\n", node.Phase, usability(node), node.Source, (time.Duration(node.AgeMs) * time.Millisecond).Round(time.Second), connection)
+		if node.Reason != "" {
+			fmt.Printf("  %s\n", node.Reason)
 		}
 		return nil
 	}
-	return fmt.Errorf("%s: no node %q is known", v.Front, v.Node)
+	return fmt.Errorf("%s: unknown node %q", c.Front, c.Node)
 }
 
 type fleetDiff struct {
-	A string `arg:"" help:"Address of a front, host:port."`
-	B string `arg:"" help:"Address of another."`
+	A string `arg:"" help:"Address of a front end, host:port."`
+	B string `arg:"" help:"Address of another front end, host:port."`
 }
 
-func (v *fleetDiff) Run(ctx context.Context) error {
-	a, err := askFleet(ctx, v.A)
+func (c *fleetDiff) Run(ctx context.Context) error {
+	nodesA, err := fetchFleet(ctx, c.A)
 	if err != nil {
 		return err
 	}
-	b, err := askFleet(ctx, v.B)
+	nodesB, err := fetchFleet(ctx, c.B)
 	if err != nil {
 		return err
 	}
-	other := map[string]frontend.FleetNode{}
-	for _, x := range b {
-		other[x.Name] = x
+	unmatched := map[string]frontend.FleetNode{}
+	for _, nodeB := range nodesB {
+		unmatched[nodeB.Name] = nodeB
 	}
-	differ := 0
-	tell := func(name, format string, args ...any) {
-		differ++
+	differences := 0
+	reportDifference := func(name, format string, args ...any) {
+		differences++
 		fmt.Printf("%s: %s\n", name, fmt.Sprintf(format, args...))
 	}
-	for _, x := range a {
-		y, ok := other[x.Name]
-		delete(other, x.Name)
+	for _, nodeA := range nodesA {
+		nodeB, ok := unmatched[nodeA.Name]
+		delete(unmatched, nodeA.Name)
 		switch {
-		case !ok && x.Phase != "gone":
-			tell(x.Name, "%s knows it (%s), %s does not", v.A, x.Phase, v.B)
-		case ok && x.Address != y.Address:
-			tell(x.Name, "at %s by %s, at %s by %s", x.Address, v.A, y.Address, v.B)
-		case ok && (x.Phase != y.Phase || x.Usable != y.Usable):
-			tell(x.Name, "%s and %s by %s, %s and %s by %s", x.Phase, used(x), v.A, y.Phase, used(y), v.B)
+		case !ok && nodeA.Phase != "gone":
+			reportDifference(nodeA.Name, "%s knows it (%s), %s does not", c.A, nodeA.Phase, c.B)
+		case ok && nodeA.Address != nodeB.Address:
+			reportDifference(nodeA.Name, "address %s on %s, %s on %s", nodeA.Address, c.A, nodeB.Address, c.B)
+		case ok && (nodeA.Phase != nodeB.Phase || nodeA.Usable != nodeB.Usable):
+			reportDifference(nodeA.Name, "%s and %s on %s, %s and %s on %s", nodeA.Phase, usability(nodeA), c.A, nodeB.Phase, usability(nodeB), c.B)
 		}
 	}
-	for _, y := range b {
-		if _, only := other[y.Name]; only && y.Phase != "gone" {
-			tell(y.Name, "%s knows it (%s), %s does not", v.B, y.Phase, v.A)
+	for _, nodeB := range nodesB {
+		if _, onlyInB := unmatched[nodeB.Name]; onlyInB && nodeB.Phase != "gone" {
+			reportDifference(nodeB.Name, "%s knows it (%s), %s does not", c.B, nodeB.Phase, c.A)
 		}
 	}
-	if differ > 0 {
-		return fmt.Errorf("%d nodes differ", differ)
+	if differences > 0 {
+		return fmt.Errorf("%d nodes differ", differences)
 	}
-	fmt.Printf("%d nodes, all alike\n", len(a))
+	fmt.Printf("%d nodes, no differences\n", len(nodesA))
 	return nil
 }
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -21,146 +21,150 @@
 	"gullrail/testbed/trace"
 )
 
-type kitVerbs struct {
-	Up     kitUp     `cmd:"" help:"Start a day's list service, nodes and fronts as processes, and leave them running."`
-	All    kitAll    `cmd:"" help:"Play every day of a folder, a line each; exit 1 if a rule broke on any."`
-	Run    kitRun    `cmd:"" help:"Play a day by processes of its own, end them all, and report."`
-	Down   kitDown   `cmd:"" help:"End the run of a folder in order."`
-	Status kitStatus `cmd:"" help:"List the processes of a folder's run."`
-	Clean  kitClean  `cmd:"" help:"Find and end what an interrupted run left, and take its files away."`
+type kitCommands struct {
+	Up     kitUp     `cmd:"" help:"Start a scenario's list service, nodes and front ends as processes and leave them running."`
+	All    kitAll    `cmd:"" help:"Run every scenario of a folder and print one line for each; exits with 1 if a rule was broken in any."`
+	Run    kitRun    `cmd:"" help:"Run a scenario in separate processes, stop them all and print the report."`
+	Down   kitDown   `cmd:"" help:"Stop the processes of a run folder gracefully."`
+	Status kitStatus `cmd:"" help:"List the processes of a run folder."`
+	Clean  kitClean  `cmd:"" help:"Stop the processes that an interrupted run left and remove the run's registration files."`
 	Member kitMember `cmd:"" hidden:""`
 }
 
 const (
-	startsWithin = 30 * time.Second // all processes of a run have registered by then
-	endsWithin   = 8 * time.Second  // and ended in order by then, or are ended at once
-	before       = 500 * time.Millisecond
+	startTimeout = 30 * time.Second       // for each process of a run to register
+	stopTimeout  = 8 * time.Second        // for a graceful exit; processes still running are then killed
+	startDelay   = 500 * time.Millisecond // from the announcement of the start time to the start
 )
 
-type kitFolder struct {
-	Dir string `help:"The run folder." default:"gullrail-run" type:"path"`
+type runFolderOption struct {
+	Dir string `help:"Run folder." default:"gullrail-run" type:"path"`
 }
 
-// started is a run that goes on, as the one who started it holds it.
-type started struct {
-	run   *rundir.Run
-	day   *testbed.Scenario
-	self  string
-	stage *testbed.Rehearsal // the fronts' side
-	tape  *trace.Recorder
-	ended map[string]chan struct{} // closed once a member's process has ended
+// activeRun is a run in progress, seen from the process that started it.
+type activeRun struct {
+	run       *rundir.Run
+	scenario  *testbed.Scenario
+	program   string
+	rehearsal *testbed.Rehearsal       // starts, kills and stalls the front ends
+	recorder  *trace.Recorder          // of events in this process
+	exited    map[string]chan struct{} // by member name; closed when the process has exited
 }
 
-// member starts a process of the run. It is in a group of its own, so that a key pressed at the
-// terminal reaches the kit alone, which then ends it in order.
-func (s *started) command(args ...string) *exec.Cmd {
-	cmd := exec.Command(s.self, append([]string{"kit", "member", "--dir", s.run.Folder}, args...)...)
-	cmd.Env = append(os.Environ(), rundir.NonceVariable+"="+s.run.Nonce)
+// command returns a command that runs a member of the run. The process gets its own process group, so that an interrupt from the
+// terminal reaches only the parent, which then stops the members gracefully.
+func (r *activeRun) command(args ...string) *exec.Cmd {
+	cmd := exec.Command(r.program, append([]string{"kit", "member", "--dir", r.run.Folder}, args...)...)
+	cmd.Env = append(os.Environ(), rundir.NonceVariable+"="+r.run.Nonce)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	return cmd
 }
 
-func (s *started) member(name string, args ...string) error {
-	log, err := os.OpenFile(filepath.Join(s.run.Folder, name+".log"), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+// startMember starts a member, with its output in a log file in the run folder.
+func (r *activeRun) startMember(name string, args ...string) error {
+	logFile, err := os.OpenFile(filepath.Join(r.run.Folder, name+".log"), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("kit: %w", err)
 	}
-	defer log.Close()
-	cmd := s.command(append(args, name)...)
-	cmd.Stdout, cmd.Stderr = log, log
+	defer logFile.Close()
+	cmd := r.command(append(args, name)...)
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("kit: %s: %w", name, err)
 	}
-	ended := make(chan struct{})
-	s.ended[name] = ended
-	go func() { cmd.Wait(); close(ended) }()
+	exited := make(chan struct{})
+	r.exited[name] = exited
+	go func() { cmd.Wait(); close(exited) }()
 	return nil
 }
 
-// await waits for a member to say where it is.
-func (s *started) await(ctx context.Context, name string, info any) error {
-	late, gone := time.After(startsWithin), false
-	for !gone {
-		select { // looked for once more after its end, as it may have registered just before
+// awaitMember waits until a member has registered and decodes its info.
+func (r *activeRun) awaitMember(ctx context.Context, name string, info any) error {
+	timeout, lastCheck := time.After(startTimeout), false
+	for !lastCheck {
+		select { // look once more after the process exits or the time is up: it may have registered just before
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-late:
-			gone = true
-		case <-s.ended[name]:
-			gone = true
+		case <-timeout:
+			lastCheck = true
+		case <-r.exited[name]:
+			lastCheck = true
 		case <-time.After(20 * time.Millisecond):
 		}
-		if ok, err := s.run.Find(name, info); ok || err != nil {
+		if ok, err := r.run.Find(name, info); ok || err != nil {
 			return err
 		}
 	}
-	return fmt.Errorf("kit: %s does not start, see %s", name, filepath.Join(s.run.Folder, name+".log"))
+	return fmt.Errorf("kit: %s did not start, see %s", name, filepath.Join(r.run.Folder, name+".log"))
 }
 
-type listInfo struct {
-	Players  string `json:"players"` // where fronts ask
-	Announce string `json:"announce"`
+// listServiceInfo is what the list service registers with. Updates have a socket of their own, which stays open during a fault that
+// makes the service unreachable to front ends.
+type listServiceInfo struct {
+	QueryAddress  string `json:"players"`  // for front ends
+	UpdateAddress string `json:"announce"` // for the processes that run nodes
 }
 
-// start begins a run and brings it up. What it started is to be ended by Clean, also when it fails.
-func start(ctx context.Context, folder, file string, seed uint64, say func(string, ...any)) (*started, error) {
-	day, err := testbed.ReadScenario(file)
+// startRun creates a run and starts its nodes, list service and front ends. The caller must call Clean on a run that is returned,
+// also one returned with an error.
+func startRun(ctx context.Context, folder, file string, seed uint64, logf func(string, ...any)) (*activeRun, error) {
+	scenario, err := testbed.ReadScenario(file)
 	if err != nil {
-		return nil, wrong{err}
+		return nil, inputError{err}
 	}
 	if seed != 0 {
-		day.Seed = seed
+		scenario.Seed = seed
 	}
 	if file, err = filepath.Abs(file); err != nil {
 		return nil, err
 	}
-	self, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	base := trace.Monotonic()
-	run, err := rundir.Create(folder, file, day.Seed, base)
+	clockBase := trace.Monotonic()
+	run, err := rundir.Create(folder, file, scenario.Seed, clockBase)
 	if err != nil {
 		return nil, err
 	}
-	for _, old := range []string{"start.json", "viewers.json", "fronts.json"} {
-		os.Remove(filepath.Join(run.Folder, old))
+	for _, stale := range []string{"start.json", "viewers.json", "fronts.json"} { // of an earlier run in this folder
+		os.Remove(filepath.Join(run.Folder, stale))
 	}
 	os.RemoveAll(filepath.Join(run.Folder, "tapes"))
-	s := &started{run: run, day: day, self: self, tape: trace.NewSince(base), ended: map[string]chan struct{}{}}
+	r := &activeRun{run: run, scenario: scenario, program: program, recorder: trace.NewSince(clockBase), exited: map[string]chan struct{}{}}
 	if err := os.MkdirAll(filepath.Join(run.Folder, "tapes"), 0o700); err != nil {
-		return s, fmt.Errorf("kit: %w", err)
+		return r, fmt.Errorf("kit: %w", err)
 	}
-	var all []nodes.Line
-	for i := range day.Service.Racks {
-		if err := s.member(fmt.Sprintf("rack-%d", i), "--rack", fmt.Sprint(i)); err != nil {
-			return s, err
+	var nodeLines []nodes.Line
+	for i := range scenario.Service.Racks {
+		if err := r.startMember(fmt.Sprintf("rack-%d", i), "--rack", fmt.Sprint(i)); err != nil {
+			return r, err
 		}
 	}
-	for i := range day.Service.Racks {
+	for i := range scenario.Service.Racks {
 		var lines []nodes.Line
-		if err := s.await(ctx, fmt.Sprintf("rack-%d", i), &lines); err != nil {
-			return s, err
+		if err := r.awaitMember(ctx, fmt.Sprintf("rack-%d", i), &lines); err != nil {
+			return r, err
 		}
-		all = append(all, lines...)
+		nodeLines = append(nodeLines, lines...)
 	}
-	if err := writeJSON(filepath.Join(run.Folder, "nodes.json"), all); err != nil {
-		return s, err
+	if err := writeJSON(filepath.Join(run.Folder, "nodes.json"), nodeLines); err != nil {
+		return r, err
 	}
-	if err := s.member("list"); err != nil {
-		return s, err
+	if err := r.startMember("list"); err != nil {
+		return r, err
 	}
-	var list listInfo
-	if err := s.await(ctx, "list", &list); err != nil {
-		return s, err
+	var listService listServiceInfo
+	if err := r.awaitMember(ctx, "list", &listService); err != nil {
+		return r, err
 	}
-	s.stage = &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Logf: say, Command: func(name, file string) *exec.Cmd {
-		return s.command("--file", file, name)
+	r.rehearsal = &testbed.Rehearsal{Scenario: scenario, Folder: run.Folder, Logf: logf, Command: func(name, file string) *exec.Cmd {
+		return r.command("--file", file, name)
 	}}
-	if err := s.stage.StartFronts(ctx, list.Players, s.tape); err != nil {
-		return s, err
+	if err := r.rehearsal.StartFronts(ctx, listService.QueryAddress, r.recorder); err != nil {
+		return r, err
 	}
-	return s, writeJSON(filepath.Join(run.Folder, "fronts.json"), s.stage.Fronts())
+	return r, writeJSON(filepath.Join(run.Folder, "fronts.json"), r.rehearsal.Fronts())
 }
 
 func writeJSON(file string, v any) error {
@@ -183,330 +187,331 @@
 }
 
 type kitUp struct {
-	kitFolder
-	File string `arg:"" help:"The day."`
-	Seed uint64 `help:"Its seed, in place of the day's."`
+	runFolderOption
+	File string `arg:"" help:"Scenario (JSON with comments)."`
+	Seed uint64 `help:"Seed; overrides the scenario's."`
 }
 
-func (v *kitUp) Run(ctx context.Context) error {
-	s, err := start(ctx, v.Dir, v.File, v.Seed, nil)
+func (c *kitUp) Run(ctx context.Context) error {
+	r, err := startRun(ctx, c.Dir, c.File, c.Seed, nil)
 	if err != nil {
-		if s != nil {
-			s.run.Clean(endsWithin)
+		if r != nil {
+			r.run.Clean(stopTimeout)
 		}
 		return err
 	}
-	for _, f := range s.stage.Fronts() {
+	for _, f := range r.rehearsal.Fronts() {
 		fmt.Printf("%s at http://%s\n", f.Name, f.Address)
 	}
 	return nil
 }
 
 type kitRun struct {
-	kitFolder
-	File string `arg:"" help:"The day."`
-	Seed uint64 `help:"Its seed, in place of the day's."`
+	runFolderOption
+	File string `arg:"" help:"Scenario (JSON with comments)."`
+	Seed uint64 `help:"Seed; overrides the scenario's."`
 	JSON bool   `help:"Print the report as JSON."`
 }
 
-func (v *kitRun) Run(ctx context.Context) error {
-	say := io.Writer(os.Stdout)
-	if v.JSON {
-		say = os.Stderr
+func (c *kitRun) Run(ctx context.Context) error {
+	progress := io.Writer(os.Stdout)
+	if c.JSON {
+		progress = os.Stderr
 	}
-	began := time.Now()
-	out, err := v.played(ctx, say)
+	startTime := time.Now()
+	outcome, err := c.run(ctx, progress)
 	if err != nil {
 		return err
 	}
-	return report(out.Report, out.Short, time.Since(began), v.JSON)
+	return printReport(outcome.Report, outcome.Short, time.Since(startTime), c.JSON)
 }
 
-// played plays the day and leaves its trace and page in the run folder.
-func (v *kitRun) played(ctx context.Context, say io.Writer) (*testbed.Outcome, error) {
-	s, err := start(ctx, v.Dir, v.File, v.Seed, func(format string, args ...any) { fmt.Fprintf(say, "  "+format+"\n", args...) })
-	if s == nil {
+// run runs the scenario and writes its trace and HTML report to the run folder.
+func (c *kitRun) run(ctx context.Context, progress io.Writer) (*testbed.Outcome, error) {
+	r, err := startRun(ctx, c.Dir, c.File, c.Seed, func(format string, args ...any) { fmt.Fprintf(progress, "  "+format+"\n", args...) })
+	if r == nil {
 		return nil, err
 	}
-	var short struct{ Short float64 }
+	var result struct{ Short float64 }
 	if err == nil {
-		fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback, processes)\n", filepath.Base(v.File),
-			s.day.Seed, s.day.Service.Fronts, s.day.Nodes, s.day.ViewersPerSecond, s.day.Seconds)
-		err = s.play(ctx, &short)
+		fmt.Fprintf(progress, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback, processes)\n", filepath.Base(c.File),
+			r.scenario.Seed, r.scenario.Service.Fronts, r.scenario.Nodes, r.scenario.ViewersPerSecond, r.scenario.Seconds)
+		err = r.playScenario(ctx, &result)
 	}
-	_, e := s.run.Clean(endsWithin)
-	if err = errors.Join(err, e); err != nil {
+	_, cleanErr := r.run.Clean(stopTimeout)
+	if err = errors.Join(err, cleanErr); err != nil {
 		return nil, err
 	}
-	files, err := filepath.Glob(filepath.Join(s.run.Folder, "tapes", "*.jsonl"))
+	files, err := filepath.Glob(filepath.Join(r.run.Folder, "tapes", "*.jsonl"))
 	if err != nil {
 		return nil, err
 	}
-	tapes := [][]trace.Event{s.tape.Events()}
+	traces := [][]trace.Event{r.recorder.Events()}
 	for _, file := range files {
 		f, err := os.Open(file)
 		if err != nil {
 			return nil, err
 		}
-		lines, err := trace.Read(f)
+		events, err := trace.Read(f)
 		f.Close()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", file, err)
 		}
-		tapes = append(tapes, lines)
+		traces = append(traces, events)
 	}
-	out := &testbed.Outcome{Short: short.Short}
-	out.Report, out.Lines = s.day.Audit(tapes...)
-	return out, keep(s.run.Folder, v.File, s.day, out)
+	outcome := &testbed.Outcome{Short: result.Short}
+	outcome.Report, outcome.Lines = r.scenario.Audit(traces...)
+	return outcome, saveOutcome(r.run.Folder, c.File, r.scenario, outcome)
 }
 
 type kitAll struct {
-	kitFolder
-	Days string `arg:"" help:"A folder of days." type:"existingdir"`
-	Seed uint64 `help:"Play them with this seed in place of their own."`
-	Sim  bool   `help:"In simulated time, without processes."`
+	runFolderOption
+	Days string `arg:"" help:"Folder of scenarios (*.jsonc)." type:"existingdir"`
+	Seed uint64 `help:"Seed; overrides that of each scenario."`
+	Sim  bool   `help:"Run in simulated time, without other processes."`
 }
 
-func (v *kitAll) Run(ctx context.Context) error {
-	files, err := filepath.Glob(filepath.Join(v.Days, "*.jsonc"))
+func (c *kitAll) Run(ctx context.Context) error {
+	files, err := filepath.Glob(filepath.Join(c.Days, "*.jsonc"))
 	if err != nil || len(files) == 0 {
-		return wrong{errors.Join(err, fmt.Errorf("%s: no day (*.jsonc) there", v.Days))}
+		return inputError{errors.Join(err, fmt.Errorf("%s: no scenarios (*.jsonc) in this folder", c.Days))}
 	}
-	fmt.Printf("%-18s %8s %8s %8s %8s %8s  %s\n", "day", "asked", "declined", "failed", "service", "worth", "rules")
+	fmt.Printf("%-18s %8s %8s %8s %8s %8s  %s\n", "scenario", "asked", "declined", "failed", "service", "worth", "rules")
 	broken := 0
 	for _, file := range files {
-		var out *testbed.Outcome
+		var outcome *testbed.Outcome
 		name := strings.TrimSuffix(filepath.Base(file), ".jsonc")
-		if v.Sim {
-			day, err := testbed.ReadScenario(file)
+		if c.Sim {
+			scenario, err := testbed.ReadScenario(file)
 			if err != nil {
-				return wrong{err}
+				return inputError{err}
 			}
-			if v.Seed != 0 {
-				day.Seed = v.Seed
+			if c.Seed != 0 {
+				scenario.Seed = c.Seed
 			}
-			out = (&testbed.Sim{Scenario: day}).Run()
+			outcome = (&testbed.Sim{Scenario: scenario}).Run()
 		} else {
-			run := kitRun{kitFolder: kitFolder{filepath.Join(v.Dir, name)}, File: file, Seed: v.Seed}
-			if out, err = run.played(ctx, io.Discard); err != nil {
+			command := kitRun{runFolderOption: runFolderOption{filepath.Join(c.Dir, name)}, File: file, Seed: c.Seed}
+			if outcome, err = command.run(ctx, io.Discard); err != nil {
 				return fmt.Errorf("%s: %w", name, err)
 			}
 		}
 		rules := "kept"
-		for i, r := range out.Report.Rules {
+		for i, r := range outcome.Report.Rules {
 			if len(r.Violations) > 0 {
 				rules = fmt.Sprintf("rule %d BROKEN: %s", i+1, r.Violations[0])
 				broken++
 				break
 			}
 		}
-		r := out.Report
+		r := outcome.Report
 		fmt.Printf("%-18s %8d %8d %8d %8.3f %8.3f  %s\n", name, r.Asked, r.Declined, r.Failed, r.Service, r.Worth, rules)
 	}
 	if broken > 0 {
-		return fmt.Errorf("a rule is broken on %d of %d days", broken, len(files))
+		return fmt.Errorf("rules broken in %d of %d scenarios", broken, len(files))
 	}
 	return nil
 }
 
-// play lets the viewers in and plays the fronts' part of the script until the viewers are done.
-func (s *started) play(ctx context.Context, short any) error {
-	at := trace.Monotonic() + before
-	if err := writeJSON(filepath.Join(s.run.Folder, "start.json"), at); err != nil {
+// playScenario starts the viewers, injects the scenario's front-end faults and waits for the viewers' result.
+func (r *activeRun) playScenario(ctx context.Context, result any) error {
+	startTime := trace.Monotonic() + startDelay
+	if err := writeJSON(filepath.Join(r.run.Folder, "start.json"), startTime); err != nil {
 		return err
 	}
-	if err := s.member("viewers"); err != nil {
+	if err := r.startMember("viewers"); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan struct{})
-	go func() { defer close(done); s.stage.Script(ctx, moment(at)) }()
+	go func() { defer close(done); r.rehearsal.Script(ctx, wallTime(startTime)) }()
 	defer func() { cancel(); <-done }()
-	result := filepath.Join(s.run.Folder, "viewers.json")
-	late := time.After(time.Duration((s.day.Seconds+60)*float64(time.Second)) + startsWithin)
+	resultFile := filepath.Join(r.run.Folder, "viewers.json")
+	timeout := time.After(time.Duration((r.scenario.Seconds+60)*float64(time.Second)) + startTimeout)
 	for {
-		if err := readJSON(result, short); err == nil {
+		if err := readJSON(resultFile, result); err == nil {
 			return nil
 		}
 		select {
-		case <-s.ended["viewers"]:
-			if err := readJSON(result, short); err == nil {
+		case <-r.exited["viewers"]:
+			if err := readJSON(resultFile, result); err == nil {
 				return nil
 			}
-			return fmt.Errorf("kit: the viewers ended without a result, see %s", filepath.Join(s.run.Folder, "viewers.log"))
+			return fmt.Errorf("kit: the viewers process exited without a result, see %s", filepath.Join(r.run.Folder, "viewers.log"))
 		case <-ctx.Done():
 			return fmt.Errorf("kit: %w", ctx.Err())
-		case <-late:
-			return fmt.Errorf("kit: the viewers don't come to an end, see %s", filepath.Join(s.run.Folder, "viewers.log"))
+		case <-timeout:
+			return fmt.Errorf("kit: timed out waiting for the viewers' result, see %s", filepath.Join(r.run.Folder, "viewers.log"))
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
 }
 
-// moment is the wall clock's time of a moment of the monotonic clock.
-func moment(at time.Duration) time.Time { return time.Now().Add(at - trace.Monotonic()) }
+// wallTime converts a reading of the monotonic clock, which the processes of a run share, to wall-clock time.
+func wallTime(reading time.Duration) time.Time { return time.Now().Add(reading - trace.Monotonic()) }
 
-type kitDown struct{ kitFolder }
+type kitDown struct{ runFolderOption }
 
-func (v *kitDown) Run() error {
-	run, err := rundir.Open(v.Dir)
+func (c *kitDown) Run() error {
+	run, err := rundir.Open(c.Dir)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	ended, err := run.Clean(endsWithin)
-	fmt.Printf("%d processes ended\n", len(ended))
+	ended, err := run.Clean(stopTimeout)
+	fmt.Printf("stopped %d processes\n", len(ended))
 	return err
 }
 
-type kitStatus struct{ kitFolder }
+type kitStatus struct{ runFolderOption }
 
-func (v *kitStatus) Run() error {
-	run, err := rundir.Open(v.Dir)
+func (c *kitStatus) Run() error {
+	run, err := rundir.Open(c.Dir)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
 	members, err := run.Members()
 	if err != nil {
 		return err
 	}
-	state := "goes on"
+	state := "running"
 	if run.Ended {
-		state = "has ended"
+		state = "ended"
 	}
-	fmt.Printf("the run of %s, seed %d, begun %s, %s\n", filepath.Base(run.Day), run.Seed, run.Began.Format(time.RFC3339), state)
+	fmt.Printf("run of %s, seed %d, started %s, %s\n", filepath.Base(run.Day), run.Seed, run.Began.Format(time.RFC3339), state)
 	for _, m := range members {
-		fmt.Printf("  %-10s process %-8d %s\n", m.Name, m.PID, run.StateOf(m))
+		fmt.Printf("  %-10s PID %-8d %s\n", m.Name, m.PID, run.StateOf(m))
 	}
 	return nil
 }
 
-type kitClean struct{ kitFolder }
+type kitClean struct{ runFolderOption }
 
-func (v *kitClean) Run() error {
-	run, err := rundir.Open(v.Dir)
+func (c *kitClean) Run() error {
+	run, err := rundir.Open(c.Dir)
 	if errors.Is(err, rundir.ErrNoRun) {
 		fmt.Println("nothing to clean")
-		return rundir.RemoveUnstarted(v.Dir)
+		return rundir.RemoveUnstarted(c.Dir)
 	}
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	ended, err := run.Clean(endsWithin)
+	ended, err := run.Clean(stopTimeout)
 	if err != nil {
 		return err
 	}
 	for _, m := range ended {
-		fmt.Printf("ended %s, process %d\n", m.Name, m.PID)
+		fmt.Printf("stopped %s, PID %d\n", m.Name, m.PID)
 	}
 	return run.Remove()
 }
 
-// kitMember is a process of a run. It registers before it opens anything, and ends with SIGTERM.
+// kitMember runs one process of a run. It registers as NAME.starting before it opens anything and as NAME once it is ready, and
+// exits on SIGTERM.
 type kitMember struct {
-	kitFolder
+	runFolderOption
 	Name string `arg:""`
-	Rack int    `default:"-1"`
-	File string
+	Rack int    `default:"-1"` // runs the nodes of this rack
+	File string // runs a front end with these settings
 }
 
-func (v *kitMember) Run(ctx context.Context) error {
-	run, err := rundir.Open(v.Dir)
+func (c *kitMember) Run(ctx context.Context) error {
+	run, err := rundir.Open(c.Dir)
 	if err != nil {
 		return err
 	}
-	if err := run.Join(v.Name+".starting", nil); err != nil {
+	if err := run.Join(c.Name+".starting", nil); err != nil {
 		return err
 	}
-	defer run.Leave(v.Name)
-	defer run.Leave(v.Name + ".starting")
-	if v.File != "" {
-		if err := run.Join(v.Name, nil); err != nil {
+	defer run.Leave(c.Name)
+	defer run.Leave(c.Name + ".starting")
+	if c.File != "" {
+		if err := run.Join(c.Name, nil); err != nil {
 			return err
 		}
-		run.Leave(v.Name + ".starting")
-		return (&serveVerb{File: v.File}).Run(ctx)
+		run.Leave(c.Name + ".starting")
+		return (&serveCommand{File: c.File}).Run(ctx)
 	}
-	day, err := testbed.ReadScenario(run.Day)
+	scenario, err := testbed.ReadScenario(run.Day)
 	if err != nil {
 		return err
 	}
-	day.Seed = run.Seed
-	t := trace.NewSince(time.Duration(run.BaseNs))
-	part := &testbed.Rehearsal{Scenario: day, Folder: run.Folder, Logf: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
-	defer part.Stop()
-	var lines []trace.Event
-	if v.Name == "viewers" {
-		if err := run.Join(v.Name, nil); err != nil {
+	scenario.Seed = run.Seed
+	recorder := trace.NewSince(time.Duration(run.BaseNs))
+	rehearsal := &testbed.Rehearsal{Scenario: scenario, Folder: run.Folder, Logf: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
+	defer rehearsal.Stop()
+	var events []trace.Event
+	if c.Name == "viewers" {
+		if err := run.Join(c.Name, nil); err != nil {
 			return err
 		}
-		run.Leave(v.Name + ".starting")
+		run.Leave(c.Name + ".starting")
 		var fronts []testbed.FrontAddress
 		if err := readJSON(filepath.Join(run.Folder, "fronts.json"), &fronts); err != nil {
 			return err
 		}
-		start, err := awaitStart(ctx, run.Folder)
+		startTime, err := awaitStart(ctx, run.Folder)
 		if err != nil {
 			return err
 		}
-		lines, short, err := part.WatchAll(ctx, start, t, fronts)
+		events, shortShare, err := rehearsal.WatchAll(ctx, startTime, recorder, fronts)
 		if err != nil {
 			return err
 		}
-		if err := writeTape(filepath.Join(run.Folder, "tapes", v.Name+".jsonl"), lines); err != nil {
+		if err := writeTrace(filepath.Join(run.Folder, "tapes", c.Name+".jsonl"), events); err != nil {
 			return err
 		}
-		return writeJSON(filepath.Join(run.Folder, "viewers.json"), map[string]float64{"Short": short})
+		return writeJSON(filepath.Join(run.Folder, "viewers.json"), map[string]float64{"Short": shortShare})
 	}
-	var info any
-	if v.Rack >= 0 {
-		if info, err = part.StartRack(v.Rack, t); err != nil {
+	var registration any
+	if c.Rack >= 0 {
+		if registration, err = rehearsal.StartRack(c.Rack, recorder); err != nil {
 			return err
 		}
 	} else {
-		var all []nodes.Line
-		if err := readJSON(filepath.Join(run.Folder, "nodes.json"), &all); err != nil {
+		var nodeLines []nodes.Line
+		if err := readJSON(filepath.Join(run.Folder, "nodes.json"), &nodeLines); err != nil {
 			return err
 		}
-		addr, err := part.StartList(t, all)
+		addr, err := rehearsal.StartList(recorder, nodeLines)
 		if err != nil {
 			return err
 		}
-		back, err := net.Listen("tcp", "127.0.0.1:0")
+		updateListener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		mux := http.NewServeMux()
-		mux.HandleFunc("POST /announce", part.HandleUpdateNodes)
+		mux.HandleFunc("POST /announce", rehearsal.HandleUpdateNodes)
 		server := &http.Server{Handler: mux}
-		go server.Serve(back)
+		go server.Serve(updateListener)
 		defer server.Close()
-		info = listInfo{addr, back.Addr().String()}
+		registration = listServiceInfo{addr, updateListener.Addr().String()}
 	}
-	if err := run.Join(v.Name, info); err != nil {
+	if err := run.Join(c.Name, registration); err != nil {
 		return err
 	}
-	run.Leave(v.Name + ".starting")
-	if start, err := awaitStart(ctx, run.Folder); err == nil {
-		if v.Rack >= 0 {
-			var list listInfo
-			if ok, err := run.Find("list", &list); !ok {
-				return fmt.Errorf("kit: no list service: %w", err)
+	run.Leave(c.Name + ".starting")
+	if startTime, err := awaitStart(ctx, run.Folder); err == nil {
+		if c.Rack >= 0 {
+			var listService listServiceInfo
+			if ok, err := run.Find("list", &listService); !ok {
+				return fmt.Errorf("kit: list service is not registered: %w", err)
 			}
-			part.ForwardUpdatesTo(list.Announce)
+			rehearsal.ForwardUpdatesTo(listService.UpdateAddress)
 		}
-		part.Script(ctx, start)
+		rehearsal.Script(ctx, startTime)
 	}
-	lines = t.Events()
-	return writeTape(filepath.Join(run.Folder, "tapes", v.Name+".jsonl"), lines)
+	events = recorder.Events()
+	return writeTrace(filepath.Join(run.Folder, "tapes", c.Name+".jsonl"), events)
 }
 
-// awaitStart waits for the moment at which the day begins.
+// awaitStart waits until the start time of the scenario is announced.
 func awaitStart(ctx context.Context, folder string) (time.Time, error) {
 	for {
-		var at time.Duration
-		if err := readJSON(filepath.Join(folder, "start.json"), &at); err == nil {
-			return moment(at), nil
+		var startTime time.Duration
+		if err := readJSON(filepath.Join(folder, "start.json"), &startTime); err == nil {
+			return wallTime(startTime), nil
 		}
 		select {
 		case <-ctx.Done():
--- a/cmd/gullrail/kit_test.go
+++ b/cmd/gullrail/kit_test.go
@@ -20,10 +20,10 @@
 	"gullrail/testbed"
 )
 
-// interrupts asks for a long run: go test ./cmd/gullrail -run Interrupted -interrupts 50 -v
-var interrupts = flag.Int("interrupts", 4, "rehearsals to interrupt at random moments")
+// interruptCount allows a longer run: go test ./cmd/gullrail -run Interrupted -interrupts 50 -v
+var interruptCount = flag.Int("interrupts", 4, "rehearsals to interrupt at random moments")
 
-const smallDay = `{
+const smallScenario = `{
   "service": {"fronts": 2, "rates_kb": [100, 200, 400], "worth": [0.3, 0.6, 1], "segment_ms": 200, "cells": 4, "racks": 2,
     "kinds": [{"name": "std", "streams": 1000}], "zones": ["z"], "link_kb": 1000000, "uplink_kb": 10000000,
     "products": [{"name": "paid", "importance": 2, "target_ms": 1000, "limit_ms": 2000, "paid": true, "floor": 1, "seats": 9},
@@ -37,8 +37,8 @@
     "faults": [{"at_s": 1, "do": "front-kill", "front": 1, "for_s": 0.5}, {"at_s": 1.5, "do": "crash", "nodes": [0], "for_s": 1},
       {"at_s": 2, "do": "drain", "nodes": [1], "amount": 1}]}}`
 
-// built builds gullrail once for the tests.
-func built(t *testing.T) string {
+// buildProgram builds gullrail into a temporary folder.
+func buildProgram(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "gullrail")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -47,7 +47,7 @@
 	return bin
 }
 
-func write(t *testing.T, name, text string) string {
+func writeTemp(t *testing.T, name, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -56,35 +56,35 @@
 	return file
 }
 
-// nonceIn reads the nonce of a run folder, "" where there is none.
-func nonceIn(folder string) string {
+// readNonce returns the nonce of the run in a folder, or "" if there is none.
+func readNonce(folder string) string {
 	var r rundir.Run
 	b, _ := os.ReadFile(filepath.Join(folder, "run.json"))
 	json.Unmarshal(b, &r)
 	return r.Nonce
 }
 
-// runs counts processes that carry a run's nonce.
-func runs(nonce string) (n int) {
+// countProcesses counts the processes that have a run's nonce in their environment.
+func countProcesses(nonce string) (count int) {
 	files, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, f := range files {
 		if b, err := os.ReadFile(f); err == nil && nonce != "" && bytes.Contains(b, []byte(rundir.NonceVariable+"="+nonce)) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// left tells what a run left behind: processes, ports, files.
-func left(folder, nonce string) (all []string) {
-	if n := runs(nonce); n > 0 {
-		all = append(all, fmt.Sprint(n, " processes"))
+// leftovers lists what remains of a run: processes, occupied addresses, files.
+func leftovers(folder, nonce string) (found []string) {
+	if n := countProcesses(nonce); n > 0 {
+		found = append(found, fmt.Sprint(n, " processes"))
 	}
 	var addrs []string
 	var lines []nodes.Line
 	readJSON(filepath.Join(folder, "nodes.json"), &lines)
-	for _, l := range lines {
-		addrs = append(addrs, l.Address)
+	for _, line := range lines {
+		addrs = append(addrs, line.Address)
 	}
 	var fronts []testbed.FrontAddress
 	readJSON(filepath.Join(folder, "fronts.json"), &fronts)
@@ -92,73 +92,73 @@
 		addrs = append(addrs, f.Address)
 	}
 	for _, a := range addrs {
-		l, err := net.Listen("tcp", a)
+		listener, err := net.Listen("tcp", a)
 		if err != nil {
-			all = append(all, err.Error())
+			found = append(found, err.Error())
 			continue
 		}
-		l.Close()
+		listener.Close()
 	}
 	for _, name := range []string{"run.json", "members"} {
 		if _, err := os.Stat(filepath.Join(folder, name)); err == nil {
-			all = append(all, name)
+			found = append(found, name)
 		}
 	}
-	return all
+	return found
 }
 
-func TestInterruptedRunsLeaveNothingThatCleanDoesNotFind(t *testing.T) {
-	bin, day := built(t), write(t, "day.jsonc", smallDay)
-	bystander := filepath.Join(t.TempDir(), "bystander")
-	up := exec.Command(bin, "kit", "up", day, "--dir", bystander)
+func TestCleanRemovesEverythingOfInterruptedRuns(t *testing.T) {
+	bin, scenario := buildProgram(t), writeTemp(t, "scenario.jsonc", smallScenario)
+	otherFolder := filepath.Join(t.TempDir(), "other")
+	up := exec.Command(bin, "kit", "up", scenario, "--dir", otherFolder)
 	if out, err := up.CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	there := runs(nonceIn(bystander))
+	otherCount := countProcesses(readNonce(otherFolder))
 	rnd := rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1))
-	for i := range *interrupts {
+	for i := range *interruptCount {
 		folder := filepath.Join(t.TempDir(), "run")
-		cmd := exec.Command(bin, "kit", "run", day, "--dir", folder)
+		cmd := exec.Command(bin, "kit", "run", scenario, "--dir", folder)
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		after := time.Duration(rnd.Float64() * float64(3*time.Second))
-		if i%2 == 0 { // its start is where it is hardest
-			after /= 10
+		delay := time.Duration(rnd.Float64() * float64(3*time.Second))
+		if i%2 == 0 { // half of the interrupts fall into the start-up, when processes are started but not yet registered
+			delay /= 10
 		}
-		time.Sleep(after)
+		time.Sleep(delay)
 		cmd.Process.Signal([]os.Signal{syscall.SIGKILL, syscall.SIGKILL, syscall.SIGTERM, syscall.SIGINT}[i%4])
 		cmd.Wait()
-		nonce := nonceIn(folder)
+		nonce := readNonce(folder)
 		if out, err := exec.Command(bin, "kit", "clean", "--dir", folder).CombinedOutput(); err != nil {
-			t.Errorf("interrupted after %v: clean: %v\n%s", after, err, out)
+			t.Errorf("interrupted after %v: clean: %v\n%s", delay, err, out)
 		}
-		for range 200 { // one that was being started sees the mark and leaves
-			if runs(nonce) == 0 {
+		for range 200 { // a process that was being started sees that the run has ended, and exits
+			if countProcesses(nonce) == 0 {
 				break
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if l := left(folder, nonce); len(l) > 0 {
-			t.Errorf("interrupted after %v: left %v", after, l)
+		if found := leftovers(folder, nonce); len(found) > 0 {
+			t.Errorf("interrupted after %v: not removed: %v", delay, found)
 		}
 	}
-	if n := runs(nonceIn(bystander)); n != there || n < 5 {
-		t.Errorf("the run beside them has %d processes of %d", n, there)
+	if n := countProcesses(readNonce(otherFolder)); n != otherCount || n < 5 {
+		t.Errorf("another run has %d processes, had %d", n, otherCount)
 	}
-	nonce := nonceIn(bystander)
-	if out, err := exec.Command(bin, "kit", "clean", "--dir", bystander).CombinedOutput(); err != nil {
+	nonce := readNonce(otherFolder)
+	if out, err := exec.Command(bin, "kit", "clean", "--dir", otherFolder).CombinedOutput(); err != nil {
 		t.Errorf("%v\n%s", err, out)
 	}
-	if l := left(bystander, nonce); len(l) > 0 {
-		t.Errorf("left %v", l)
+	if found := leftovers(otherFolder, nonce); len(found) > 0 {
+		t.Errorf("not removed: %v", found)
 	}
 }
 
-func TestRunByProcessesKeepsTheRules(t *testing.T) {
-	bin, day := built(t), write(t, "day.jsonc", smallDay)
+func TestKitRunKeepsTheRules(t *testing.T) {
+	bin, scenario := buildProgram(t), writeTemp(t, "scenario.jsonc", smallScenario)
 	folder := filepath.Join(t.TempDir(), "run")
-	out, err := exec.Command(bin, "kit", "run", day, "--dir", folder, "--json").Output()
+	out, err := exec.Command(bin, "kit", "run", scenario, "--dir", folder, "--json").Output()
 	if err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
@@ -175,49 +175,49 @@
 	if !rep.Kept || rep.Asked < 40 || rep.Plays < 20 || rep.Most != 1 || rep.Double != 0 {
 		t.Fatalf("%+v", rep)
 	}
-	if n := runs(nonceIn(folder)); n != 0 {
-		t.Fatalf("%d processes left", n)
+	if n := countProcesses(readNonce(folder)); n != 0 {
+		t.Fatalf("%d processes still run", n)
 	}
 }
 
-func TestWrongInputEndsWithOneClearLineAndCodeTwo(t *testing.T) {
-	bin := built(t)
-	bad := write(t, "bad.jsonc", strings.Replace(smallDay, `"do": "crash"`, `"do": "crush"`, 1))
-	copied := t.TempDir()
-	os.WriteFile(filepath.Join(copied, "run.json"), []byte(`{"nonce":"00000000000000000000000000000000","boot":"x","folder":"/y"}`), 0o600)
-	for _, c := range []struct {
+func TestInvalidInputExitsWithOneLineAndStatusTwo(t *testing.T) {
+	bin := buildProgram(t)
+	badScenario := writeTemp(t, "bad.jsonc", strings.Replace(smallScenario, `"do": "crash"`, `"do": "crush"`, 1))
+	foreignFolder := t.TempDir()
+	os.WriteFile(filepath.Join(foreignFolder, "run.json"), []byte(`{"nonce":"00000000000000000000000000000000","boot":"x","folder":"/y"}`), 0o600)
+	for _, test := range []struct {
 		args []string
 		want string
 	}{
-		{[]string{"check", bad}, `bad.jsonc:12: day.faults[1].do: no such fault: "crush"`},
-		{[]string{"rehearse", bad}, `bad.jsonc:12: day.faults[1].do: no such fault: "crush"`},
+		{[]string{"check", badScenario}, `bad.jsonc:12: day.faults[1].do: no such fault: "crush"`},
+		{[]string{"rehearse", badScenario}, `bad.jsonc:12: day.faults[1].do: no such fault: "crush"`},
 		{[]string{"serve", filepath.Join(t.TempDir(), "none")}, "no such file"},
-		{[]string{"kit", "down", "--dir", t.TempDir()}, "no run here"},
-		{[]string{"kit", "clean", "--dir", copied}, "another machine, another boot or another place"},
+		{[]string{"kit", "down", "--dir", t.TempDir()}, "no run in this folder"},
+		{[]string{"kit", "clean", "--dir", foreignFolder}, "another machine, another boot or another path"},
 	} {
-		out, err := exec.Command(bin, c.args...).CombinedOutput()
+		out, err := exec.Command(bin, test.args...).CombinedOutput()
 		exit, ok := err.(*exec.ExitError)
-		if !ok || exit.ExitCode() != exitWrong || !strings.Contains(string(out), c.want) || strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%v: %v\n%s", c.args, err, out)
+		if !ok || exit.ExitCode() != exitInvalidInput || !strings.Contains(string(out), test.want) || strings.Count(string(out), "\n") != 1 {
+			t.Errorf("%v: %v\n%s", test.args, err, out)
 		}
 	}
 }
 
-func TestFrontsProcessesOnTakenThings(t *testing.T) {
-	bin := built(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+func TestServeFailsOnOccupiedPortOrStateFolder(t *testing.T) {
+	bin := buildProgram(t)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	service := smallDay[strings.Index(smallDay, `"service"`):strings.Index(smallDay, `"day"`)]
+	defer listener.Close()
+	service := smallScenario[strings.Index(smallScenario, `"service"`):strings.Index(smallScenario, `"day"`)]
 	settings := func(listen, state string) string {
-		return write(t, "front.jsonc", fmt.Sprintf(`{"front": {"name": "f", "number": 0, "zone": "z", "listen": %q, "state": %q},
+		return writeTemp(t, "front.jsonc", fmt.Sprintf(`{"front": {"name": "f", "number": 0, "zone": "z", "listen": %q, "state": %q},
 			"list": {"url": "http://127.0.0.1:1/"}, "keys": [{"id": "k", "seed": "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA=", "signs": true}], %s}`, listen, state, service))
 	}
-	out, err := exec.Command(bin, "serve", settings(taken.Addr().String(), t.TempDir())).CombinedOutput()
+	out, err := exec.Command(bin, "serve", settings(listener.Addr().String(), t.TempDir())).CombinedOutput()
 	if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != exitFailed || !strings.Contains(string(out), "address already in use") {
-		t.Errorf("a port that is taken: %v\n%s", err, out)
+		t.Errorf("port in use: %v\n%s", err, out)
 	}
 	state := t.TempDir()
 	first := exec.Command(bin, "serve", settings("127.0.0.1:0", state))
@@ -234,25 +234,25 @@
 	}
 	out, err = exec.Command(bin, "serve", settings("127.0.0.1:0", state)).CombinedOutput()
 	if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != exitFailed || !strings.Contains(string(out), "another front runs") {
-		t.Errorf("a state folder that is taken: %v\n%s", err, out)
+		t.Errorf("state folder in use: %v\n%s", err, out)
 	}
 }
 
-// A disk that is full shows as writes that fail; a limit on the size of files does the same without privileges.
-func TestFullDiskIsToldAndLeavesNothing(t *testing.T) {
-	bin, day := built(t), write(t, "day.jsonc", smallDay)
+// A full disk makes writes fail. A limit on the file size has the same effect and needs no privileges.
+func TestFullDiskIsReportedAndLeavesNothing(t *testing.T) {
+	bin, scenario := buildProgram(t), writeTemp(t, "scenario.jsonc", smallScenario)
 	for _, blocks := range []string{"0", "1"} {
 		folder := filepath.Join(t.TempDir(), "run")
-		out, err := exec.Command("bash", "-c", "ulimit -f "+blocks+"; exec "+bin+" kit run "+day+" --dir "+folder).CombinedOutput()
+		out, err := exec.Command("bash", "-c", "ulimit -f "+blocks+"; exec "+bin+" kit run "+scenario+" --dir "+folder).CombinedOutput()
 		if exit, ok := err.(*exec.ExitError); !ok || exit.ExitCode() != exitFailed || !strings.Contains(string(out), folder) {
 			t.Errorf("%s blocks: %v\n%s", blocks, err, out)
 		}
-		nonce := nonceIn(folder)
+		nonce := readNonce(folder)
 		if out, err := exec.Command(bin, "kit", "clean", "--dir", folder).CombinedOutput(); err != nil {
 			t.Errorf("clean: %v\n%s", err, out)
 		}
-		if l := left(folder, nonce); len(l) > 0 {
-			t.Errorf("%s blocks: left %v", blocks, l)
+		if found := leftovers(folder, nonce); len(found) > 0 {
+			t.Errorf("%s blocks: not removed: %v", blocks, found)
 		}
 	}
 }
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -1,4 +1,4 @@
-// Command gullrail runs a session front, checks its settings, and rehearses days on one machine.
+// Command gullrail runs a session front end, checks its settings, and rehearses test scenarios on one machine.
 package main
 
 import (
@@ -26,151 +26,151 @@
 	"gullrail/testbed/trace"
 )
 
-// Exit codes beside 0.
+// Exit codes other than 0.
 const (
-	exitFailed = 1 // it ran and failed, or a rule broke
-	exitWrong  = 2 // settings or arguments are wrong
+	exitFailed       = 1 // the command failed, or a rule was broken in a rehearsal
+	exitInvalidInput = 2 // invalid settings or arguments
 )
 
-type program struct {
-	Serve    serveVerb    `cmd:"" help:"Run a front end until SIGTERM or SIGINT; a second one ends it at once."`
-	Relay    relayVerb    `cmd:"" help:"Run a front end of the platform, as RELAY_CONFIG, RELAY_NAME and RELAY_LISTEN tell it."`
-	Check    checkVerb    `cmd:"" help:"Check settings, of a front end or of a day, and list all mistakes."`
-	Rehearse rehearseVerb `cmd:"" help:"Play a day: front ends as processes, stand-in nodes and viewers, with the six rules audited."`
-	Load     loadVerb     `cmd:"" help:"Measure fronts under an open loop of requests, against the stand-in nodes of a day."`
-	Kit      kitVerbs     `cmd:"" help:"Rehearse with every part a process of its own."`
-	Compare  compareVerb  `cmd:"" help:"Play two days, or two modules, on the same seeds in simulated time, and tell the difference with its noise."`
-	Store    storeVerbs   `cmd:"" help:"Look into the store of a front that does not run."`
-	Fleet    fleetVerbs   `cmd:"" help:"What a running front believes of its playout nodes."`
-	Audit    auditVerb    `cmd:"" help:"Check a tape of a rehearsal against the six rules again."`
+type commandLine struct {
+	Serve    serveCommand    `cmd:"" help:"Run a front end until SIGTERM or SIGINT; a second signal ends it immediately."`
+	Relay    relayCommand    `cmd:"" help:"Run the relay, a front end for the platform's RTSP viewers, configured by RELAY_CONFIG, RELAY_NAME and RELAY_LISTEN."`
+	Check    checkCommand    `cmd:"" help:"Check the settings of a front end or a relay, or a scenario, and list all errors."`
+	Rehearse rehearseCommand `cmd:"" help:"Run a scenario on loopback: front ends as processes, emulated nodes and viewers; then audit the six service rules."`
+	Load     loadCommand     `cmd:"" help:"Measure front ends under an open-loop request load, against the emulated nodes of a scenario."`
+	Kit      kitCommands     `cmd:"" help:"Run a scenario with every component as a process of its own."`
+	Compare  compareCommand  `cmd:"" help:"Run two scenarios, or two decision modules, on the same seeds in simulated time, and print the paired differences with their 95% confidence intervals."`
+	Store    storeCommands   `cmd:"" help:"Inspect or repair the store of a stopped front end."`
+	Fleet    fleetCommands   `cmd:"" help:"Show the state of the playout nodes as running front ends see it."`
+	Audit    auditCommand    `cmd:"" help:"Audit the trace of an earlier rehearsal against the six service rules."`
 }
 
-type serveVerb struct {
+type serveCommand struct {
 	File string `arg:"" help:"Settings of the front end (JSON with comments)."`
 }
 
-func (v *serveVerb) Run(ctx context.Context) error {
-	set, err := config.ReadFront(v.File)
+func (c *serveCommand) Run(ctx context.Context) error {
+	settings, err := config.ReadFront(c.File)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	level, err := zerolog.ParseLevel(set.Log)
+	level, err := zerolog.ParseLevel(settings.Log)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", set.Name).Logger()
-	claim, err := frontend.LockFolder(set.StateFolder)
+	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", settings.Name).Logger()
+	lock, err := frontend.LockFolder(settings.StateFolder)
 	if err != nil {
 		return err
 	}
-	defer claim.Release()
-	f, err := frontend.Listen(set, claim.Epoch, log)
+	defer lock.Release()
+	frontEnd, err := frontend.Listen(settings, lock.Epoch, log)
 	if err != nil {
 		return err
 	}
-	return f.Run(ctx)
+	return frontEnd.Run(ctx)
 }
 
-type relayVerb struct {
-	File   string `name:"config" env:"RELAY_CONFIG" required:"" help:"The configuration (JSON)."`
-	Name   string `env:"RELAY_NAME" help:"In place of the configuration's name."`
-	Listen string `env:"RELAY_LISTEN" help:"In place of the configuration's address."`
-	Log    string `env:"RELAY_LOG" enum:"debug,info,warn,error" default:"info" help:"The least level that is logged; debug shows each step of a play."`
+type relayCommand struct {
+	File   string `name:"config" env:"RELAY_CONFIG" required:"" help:"Configuration file (JSON)."`
+	Name   string `env:"RELAY_NAME" help:"Name of the relay; overrides the configuration."`
+	Listen string `env:"RELAY_LISTEN" help:"Listen address; overrides the configuration."`
+	Log    string `env:"RELAY_LOG" enum:"debug,info,warn,error" default:"info" help:"Lowest level that is logged; debug logs each step of a play."`
 }
 
-func (v *relayVerb) Run() error {
-	signal.Reset(syscall.SIGTERM, os.Interrupt) // a relay's end takes its own time
-	opts, err := platform.ReadOptions(v.File)
+func (c *relayCommand) Run() error {
+	signal.Reset(syscall.SIGTERM, os.Interrupt) // platform.Listen installs handlers of its own, for a graceful shutdown
+	opts, err := platform.ReadOptions(c.File)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	if v.Name != "" {
-		opts.Name = v.Name
+	if c.Name != "" {
+		opts.Name = c.Name
 	}
-	if v.Listen != "" {
-		opts.Listen = v.Listen
+	if c.Listen != "" {
+		opts.Listen = c.Listen
 	}
-	level, err := zerolog.ParseLevel(v.Log)
+	level, err := zerolog.ParseLevel(c.Log)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
 	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", opts.Name).Logger()
-	f, err := platform.Listen(opts, v.File, log)
+	relay, err := platform.Listen(opts, c.File, log)
 	if errors.Is(err, platform.ErrEnded) {
-		return nil // nothing was taken
+		return nil // a signal came before the socket was open, so there are no connections to close
 	}
 	if err != nil {
 		return err
 	}
-	return f.Run(context.Background())
+	return relay.Run(context.Background())
 }
 
-type checkVerb struct {
-	File string `arg:"" help:"Settings of a front end, of a relay, or a day."`
+type checkCommand struct {
+	File string `arg:"" help:"Settings of a front end or a relay, or a scenario (JSON with comments)."`
 }
 
-func (v *checkVerb) Run() error {
-	_, root, err := config.Open(v.File)
+func (c *checkCommand) Run() error {
+	_, root, err := config.Open(c.File)
 	if err == nil {
 		switch {
 		case root.At("day").Present():
-			_, err = testbed.ReadScenario(v.File)
+			_, err = testbed.ReadScenario(c.File)
 		case root.At("known").Present() || root.At("channel").Present():
-			_, err = platform.ReadOptions(v.File)
+			_, err = platform.ReadOptions(c.File)
 		default:
-			_, err = config.ReadFront(v.File)
+			_, err = config.ReadFront(c.File)
 		}
 	}
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	fmt.Println(v.File + ": in order")
+	fmt.Println(c.File + ": valid")
 	return nil
 }
 
-type rehearseVerb struct {
-	File    string  `arg:"" help:"The day (JSON with comments)."`
+type rehearseCommand struct {
+	File    string  `arg:"" help:"Scenario (JSON with comments)."`
 	JSON    bool    `help:"Print the report as JSON."`
-	Seed    uint64  `help:"Play it with this seed in place of the day's."`
-	Sockets float64 `help:"Share of viewers who ask over a socket, in place of the day's." default:"-1"`
-	Sim     bool    `help:"Play it in simulated time, without sockets: the same cores over a simulated transport."`
-	Module  string  `help:"In simulated time: the module of the project, or a baseline." enum:"choice,random,least" default:"choice"`
-	Keep    string  `help:"Keep the fronts' settings and logs, the tape and a page of the run in this folder." type:"path"`
+	Seed    uint64  `help:"Seed; overrides the scenario's."`
+	Sockets float64 `help:"Share of viewers that connect over a WebSocket, 0 to 1; overrides the scenario's." default:"-1"`
+	Sim     bool    `help:"Run in simulated time: the same session cores over a simulated transport, without network sockets."`
+	Module  string  `help:"Decision module: choice, the project's own, or one of the baselines random and least (only with --sim)." enum:"choice,random,least" default:"choice"`
+	Keep    string  `help:"Keep the front ends' settings and logs, the trace and the HTML report in this folder." type:"path"`
 }
 
-func (v *rehearseVerb) Run(ctx context.Context) error {
-	day, err := testbed.ReadScenario(v.File)
+func (c *rehearseCommand) Run(ctx context.Context) error {
+	scenario, err := testbed.ReadScenario(c.File)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	if v.Seed != 0 {
-		day.Seed = v.Seed
+	if c.Seed != 0 {
+		scenario.Seed = c.Seed
 	}
-	if v.Sockets > 1 {
-		return wrong{fmt.Errorf("--sockets: a share up to 1 is needed, not %v", v.Sockets)}
-	} else if v.Sockets >= 0 {
-		day.SocketShare = v.Sockets
+	if c.Sockets > 1 {
+		return inputError{fmt.Errorf("--sockets: %v is more than 1", c.Sockets)}
+	} else if c.Sockets >= 0 {
+		scenario.SocketShare = c.Sockets
 	}
-	if v.Sim {
-		out := (&testbed.Sim{Scenario: day, Policy: testbed.Baseline(v.Module)}).Run()
-		if !v.JSON {
-			fmt.Printf("%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (simulated, module %s)\n", filepath.Base(v.File), day.Seed,
-				day.Service.Fronts, day.Nodes, day.ViewersPerSecond, day.Seconds, v.Module)
+	if c.Sim {
+		outcome := (&testbed.Sim{Scenario: scenario, Policy: testbed.Baseline(c.Module)}).Run()
+		if !c.JSON {
+			fmt.Printf("%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (simulated, module %s)\n", filepath.Base(c.File), scenario.Seed,
+				scenario.Service.Fronts, scenario.Nodes, scenario.ViewersPerSecond, scenario.Seconds, c.Module)
 		}
-		if v.Keep != "" {
-			if err := os.MkdirAll(v.Keep, 0o755); err != nil {
+		if c.Keep != "" {
+			if err := os.MkdirAll(c.Keep, 0o755); err != nil {
 				return err
 			}
-			if err := keep(v.Keep, v.File, day, out); err != nil {
+			if err := saveOutcome(c.Keep, c.File, scenario, outcome); err != nil {
 				return err
 			}
 		}
-		return report(out.Report, out.Short, out.Took, v.JSON)
+		return printReport(outcome.Report, outcome.Short, outcome.Took, c.JSON)
 	}
-	if v.Module != "choice" {
-		return wrong{errors.New("a baseline plays in simulated time only: --sim")}
+	if c.Module != "choice" {
+		return inputError{errors.New("--module: baselines run only in simulated time, with --sim")}
 	}
-	folder := v.Keep
+	folder := c.Keep
 	if folder == "" {
 		if folder, err = os.MkdirTemp("", "gullrail-rehearsal-"); err != nil {
 			return err
@@ -179,34 +179,34 @@
 	} else if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	say := io.Writer(os.Stdout)
-	if v.JSON {
-		say = os.Stderr
+	progress := io.Writer(os.Stdout)
+	if c.JSON {
+		progress = os.Stderr
 	}
-	fmt.Fprintf(say, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback)\n", filepath.Base(v.File), day.Seed,
-		day.Service.Fronts, day.Nodes, day.ViewersPerSecond, day.Seconds)
-	run := &testbed.Rehearsal{Scenario: day, Program: self, Folder: folder, Logf: func(format string, args ...any) {
-		fmt.Fprintf(say, "  "+format+"\n", args...)
+	fmt.Fprintf(progress, "%s, seed %d: %d fronts, %d nodes, %v plays a second for %v s (loopback)\n", filepath.Base(c.File), scenario.Seed,
+		scenario.Service.Fronts, scenario.Nodes, scenario.ViewersPerSecond, scenario.Seconds)
+	rehearsal := &testbed.Rehearsal{Scenario: scenario, Program: program, Folder: folder, Logf: func(format string, args ...any) {
+		fmt.Fprintf(progress, "  "+format+"\n", args...)
 	}}
-	out, err := run.Run(ctx)
+	outcome, err := rehearsal.Run(ctx)
 	if err != nil {
 		return err
 	}
-	if v.Keep != "" {
-		if err := keep(folder, v.File, day, out); err != nil {
+	if c.Keep != "" {
+		if err := saveOutcome(folder, c.File, scenario, outcome); err != nil {
 			return err
 		}
 	}
-	return report(out.Report, out.Short, out.Took, v.JSON)
+	return printReport(outcome.Report, outcome.Short, outcome.Took, c.JSON)
 }
 
-// keep writes a run's trace and its page into a folder.
-func keep(folder, file string, day *testbed.Scenario, out *testbed.Outcome) error {
-	if err := writeTape(filepath.Join(folder, "tape.jsonl"), out.Lines); err != nil {
+// saveOutcome writes the trace and the HTML report of a run to a folder.
+func saveOutcome(folder, file string, scenario *testbed.Scenario, outcome *testbed.Outcome) error {
+	if err := writeTrace(filepath.Join(folder, "tape.jsonl"), outcome.Lines); err != nil {
 		return err
 	}
 	f, err := os.Create(filepath.Join(folder, "report.html"))
@@ -214,49 +214,50 @@
 		return err
 	}
 	defer f.Close()
-	if err := htmlreport.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), day.Seed), day, out.Lines, out.Report); err != nil {
+	if err := htmlreport.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), scenario.Seed), scenario, outcome.Lines, outcome.Report); err != nil {
 		return err
 	}
 	return f.Close()
 }
 
-func writeTape(file string, lines []trace.Event) error {
+func writeTrace(file string, events []trace.Event) error {
 	f, err := os.Create(file)
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	if err := trace.Write(f, lines); err != nil {
+	if err := trace.Write(f, events); err != nil {
 		return err
 	}
 	return f.Close()
 }
 
-type auditVerb struct {
-	Day  string `arg:"" help:"The day that was played."`
-	Tape string `arg:"" help:"Its tape."`
+type auditCommand struct {
+	Day  string `arg:"" help:"Scenario of the rehearsal."`
+	Tape string `arg:"" help:"Trace of the rehearsal (tape.jsonl)."`
 	JSON bool   `help:"Print the report as JSON."`
 }
 
-func (v *auditVerb) Run() error {
-	day, err := testbed.ReadScenario(v.Day)
+func (c *auditCommand) Run() error {
+	scenario, err := testbed.ReadScenario(c.Day)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
-	f, err := os.Open(v.Tape)
+	f, err := os.Open(c.Tape)
 	if err != nil {
-		return wrong{err}
+		return inputError{err}
 	}
 	defer f.Close()
-	lines, err := trace.Read(f)
+	events, err := trace.Read(f)
 	if err != nil {
-		return wrong{fmt.Errorf("%s: %w", v.Tape, err)}
+		return inputError{fmt.Errorf("%s: %w", c.Tape, err)}
 	}
-	return report(audit.Check(&day.Service, lines), -1, 0, v.JSON)
+	return printReport(audit.Check(&scenario.Service, events), -1, 0, c.JSON)
 }
 
-// report prints what a rehearsal came to; a broken rule is an error.
-func report(r *audit.Report, short float64, took time.Duration, asJSON bool) error {
+// printReport prints the audit report of a rehearsal and returns an error if a rule was broken. An unknown shortShare is negative and
+// an unknown duration zero; the text output leaves them out.
+func printReport(r *audit.Report, shortShare float64, took time.Duration, asJSON bool) error {
 	p50, p99 := percentile(r.FirstMs, 0.5), percentile(r.FirstMs, 0.99)
 	if asJSON {
 		enc := json.NewEncoder(os.Stdout)
@@ -267,36 +268,36 @@
 			P99   int64   `json:"first_frame_p99_ms"`
 			Short float64 `json:"segments_short"`
 			Kept  bool    `json:"rules_kept"`
-		}{r, p50, p99, short, r.RulesKept()}); err != nil {
+		}{r, p50, p99, shortShare, r.RulesKept()}); err != nil {
 			return err
 		}
 	} else {
 		row := func(name string, v any) { fmt.Printf("  %-34s %v\n", name, v) }
-		row("plays asked", r.Asked)
+		row("plays requested", r.Asked)
 		row("requests", r.Requests)
 		row("plays", r.Plays)
 		row("declined", r.Declined)
 		row("failed", r.Failed)
 		row("denied", r.Denied)
-		row("cut by a front's end", r.Interrupted)
-		row("answers to a request, most", r.MaxAnswers)
-		row("allocations doubled", r.Doubled)
+		row("interrupted by a front's exit", r.Interrupted)
+		row("most answers to one request", r.MaxAnswers)
+		row("duplicate allocations", r.Doubled)
 		row("further allocations", r.Reallocated)
 		row("first frame p50, p99", fmt.Sprintf("%d ms, %d ms", p50, p99))
 		row("segments by rung", r.Rungs)
-		if short >= 0 {
-			row("segments delivered short", fmt.Sprintf("%.1f%%", 100*short))
+		if shortShare >= 0 {
+			row("segments delivered short", fmt.Sprintf("%.1f%%", 100*shortShare))
 		}
 		row("worth", fmt.Sprintf("%.3f", r.Worth))
 		row("service", fmt.Sprintf("%.3f", r.Service))
-		for i, x := range r.Rules {
+		for n, rule := range r.Rules {
 			verdict := "kept"
-			if n := len(x.Violations); n > 0 {
-				verdict = fmt.Sprintf("BROKEN %d times", n)
+			if violations := len(rule.Violations); violations > 0 {
+				verdict = fmt.Sprintf("BROKEN %d times", violations)
 			}
-			row(fmt.Sprintf("rule %d, %s", i+1, x.Name), verdict)
-			for _, b := range x.Violations[:min(5, len(x.Violations))] {
-				fmt.Println("      " + b)
+			row(fmt.Sprintf("rule %d, %s", n+1, rule.Name), verdict)
+			for _, violation := range rule.Violations[:min(5, len(rule.Violations))] {
+				fmt.Println("      " + violation)
 			}
 		}
 		if took > 0 {
@@ -316,24 +317,24 @@
 	return sorted[min(len(sorted)-1, int(p*float64(len(sorted))))]
 }
 
-// wrong is an error of settings or arguments.
-type wrong struct{ error }
+// inputError marks an error in settings or arguments: the program exits with exitInvalidInput.
+type inputError struct{ error }
 
-func (w wrong) Unwrap() error { return w.error }
+func (e inputError) Unwrap() error { return e.error }
 
 func main() {
-	var p program
-	k := kong.Parse(&p, kong.Name("gullrail"), kong.UsageOnError(),
-		kong.Description("A session front: it places video sessions on playout nodes and shapes them."))
+	var commands commandLine
+	kctx := kong.Parse(&commands, kong.Name("gullrail"), kong.UsageOnError(),
+		kong.Description("A session front end: places video sessions on playout nodes and controls their bit rates."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	go func() { <-ctx.Done(); stop() }() // a second signal then ends the program at once
-	k.BindTo(ctx, (*context.Context)(nil))
-	if err := k.Run(); err != nil {
+	go func() { <-ctx.Done(); stop() }() // a second signal then terminates the program immediately
+	kctx.BindTo(ctx, (*context.Context)(nil))
+	if err := kctx.Run(); err != nil {
 		for _, line := range strings.Split(err.Error(), "\n") {
 			fmt.Fprintln(os.Stderr, "gullrail: "+line)
 		}
-		if w := (wrong{}); errors.As(err, &w) {
-			os.Exit(exitWrong)
+		if input := (inputError{}); errors.As(err, &input) {
+			os.Exit(exitInvalidInput)
 		}
 		os.Exit(exitFailed)
 	}
--- a/cmd/gullrail/store.go
+++ b/cmd/gullrail/store.go
@@ -11,85 +11,85 @@
 	"gullrail/store"
 )
 
-type storeVerbs struct {
-	Check storeCheck `cmd:"" help:"Read a store offline and tell whether it is whole; exit 1 with the place where it is not."`
-	Dump  storeDump  `cmd:"" help:"Print the records of a store that can be had, one a line."`
+type storeCommands struct {
+	Check storeCheck `cmd:"" help:"Check the integrity of a store; exits with 1 and the position of the damage if it is corrupt."`
+	Dump  storeDump  `cmd:"" help:"Print the readable records of a store as JSON, one per line."`
 
-	Compact storeCompact `cmd:"" help:"Bring the store of a front that does not run down to what is needed."`
-	Salvage storeSalvage `cmd:"" help:"Write what can be had of a damaged store into a new folder, and tell what is missing."`
+	Compact storeCompact `cmd:"" help:"Compact the store of a stopped front end: drop records that are no longer needed."`
+	Salvage storeSalvage `cmd:"" help:"Copy the readable records of a damaged store to a new folder and list what is missing."`
 }
 
-type storeFolder struct {
-	Folder string `arg:"" help:"The store: the folder 'plays' in a front's state folder." type:"existingdir"`
+type storeArgument struct {
+	Folder string `arg:"" help:"The store: the folder 'plays' in a front end's state folder." type:"existingdir"`
 }
 
-type storeCheck struct{ storeFolder }
+type storeCheck struct{ storeArgument }
 
-func (v *storeCheck) Run() error {
-	c, err := store.Inspect(store.Folder(v.Folder))
+func (c *storeCheck) Run() error {
+	contents, err := store.Inspect(store.Folder(c.Folder))
 	if err != nil {
-		if c != nil {
-			fmt.Printf("%s: before the damage: %d records, %d bytes\n", v.Folder, len(c.Records), c.Bytes)
+		if contents != nil {
+			fmt.Printf("%s: readable before the damage: %d records, %d bytes\n", c.Folder, len(contents.Records), contents.Bytes)
 		}
-		return fmt.Errorf("%s: %w", v.Folder, err)
+		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
-	book, err := playlog.Read(c.Records)
+	plays, err := playlog.Read(contents.Records)
 	if err != nil {
-		return fmt.Errorf("%s: %w", v.Folder, err)
+		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
-	fmt.Printf("%s: whole: segment %d, %d records, %d bytes, the last acknowledged is number %d, %d plays open\n", v.Folder, c.Segment,
-		len(c.Records), c.Bytes, c.Acked, len(book.OpenPlays()))
+	fmt.Printf("%s: intact: segment %d, %d records, %d bytes, last acknowledged record %d, %d plays open\n", c.Folder, contents.Segment,
+		len(contents.Records), contents.Bytes, contents.Acked, len(plays.OpenPlays()))
 	return nil
 }
 
-type storeDump struct{ storeFolder }
+type storeDump struct{ storeArgument }
 
-func (v *storeDump) Run() error {
-	c, err := store.Inspect(store.Folder(v.Folder))
-	if c == nil {
-		return fmt.Errorf("%s: %w", v.Folder, err)
+func (c *storeDump) Run() error {
+	contents, err := store.Inspect(store.Folder(c.Folder))
+	if contents == nil {
+		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
 	enc := json.NewEncoder(os.Stdout)
-	for i, raw := range c.Records {
-		r, e := playlog.Decode(raw)
-		if e != nil {
-			err = errors.Join(err, fmt.Errorf("record %d: %w", c.First+uint64(i), e))
+	for i, raw := range contents.Records {
+		record, recordErr := playlog.Decode(raw)
+		if recordErr != nil {
+			err = errors.Join(err, fmt.Errorf("record %d: %w", contents.First+uint64(i), recordErr))
 			continue
 		}
-		if e := enc.Encode(r); e != nil {
-			return e
+		if recordErr := enc.Encode(record); recordErr != nil {
+			return recordErr
 		}
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %w", v.Folder, err)
+		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
 	return nil
 }
 
-type storeCompact struct{ storeFolder }
+type storeCompact struct{ storeArgument }
 
-func (v *storeCompact) Run() error {
-	c, err := frontend.CompactStore(v.Folder)
+func (c *storeCompact) Run() error {
+	result, err := frontend.CompactStore(c.Folder)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d records of %d kept, %d bytes of %d\n", v.Folder, c.RecordsAfter, c.RecordsBefore, c.BytesAfter, c.BytesBefore)
+	fmt.Printf("%s: kept %d of %d records, %d of %d bytes\n", c.Folder, result.RecordsAfter, result.RecordsBefore, result.BytesAfter, result.BytesBefore)
 	return nil
 }
 
 type storeSalvage struct {
-	storeFolder
-	Into string `arg:"" help:"The folder to write; it must not exist." type:"path"`
+	storeArgument
+	Into string `arg:"" help:"Folder to create; must not exist." type:"path"`
 }
 
-func (v *storeSalvage) Run() error {
-	s, err := frontend.SalvageStore(v.Folder, v.Into)
-	for _, g := range s.Gaps {
-		fmt.Printf("%s: bytes %d to %d: %d records missing: %s\n", g.File, g.From, g.To, g.Records, g.What)
+func (c *storeSalvage) Run() error {
+	result, err := frontend.SalvageStore(c.Folder, c.Into)
+	for _, gap := range result.Gaps {
+		fmt.Printf("%s: bytes %d to %d: %d records missing: %s\n", gap.File, gap.From, gap.To, gap.Records, gap.What)
 	}
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d records found, at least %d missing, %d plays open\n", v.Into, s.Records, s.Lost, s.Open)
+	fmt.Printf("%s: recovered %d records, at least %d missing, %d plays open\n", c.Into, result.Records, result.Lost, result.Open)
 	return nil
 }
--- a/rundir/rundir.go
+++ b/rundir/rundir.go
@@ -1,15 +1,14 @@
-// Package rundir runs the processes of a rehearsal under one run folder, and finds and ends them even if the
-// process that started them is gone.
+// Package rundir keeps track of the processes of a rehearsal in a run folder, so that they can be found and stopped even if the
+// process that started them has exited.
 //
-// The protocol of a run folder. The run file names the run by a nonce and says whether it goes on. Each
-// process of the run gets the nonce in its environment, registers in the folder before it does anything
-// else, and only then looks whether the run goes on. Who ends a run marks the run file first and reads the
-// registrations after that. So every process is either seen by the one who ends the run, or sees
-// the mark itself and leaves; there is no moment in which one can be missed.
+// The run file, run.json, identifies the run by a nonce and records whether it has ended. Each process of the run gets the nonce in
+// its environment, registers in the folder before it does anything else, and only then checks whether the run has ended. A process
+// that ends the run first marks it as ended in the run file and then reads the registrations. So every process of the run is either
+// seen by the process that ends the run, or sees that the run has ended and exits; no interleaving misses one.
 //
-// A registration holds the process's id, the time of its start as the kernel counts it, and the run
-// file the machine's boot and the folder's own path. A process is ours only if id, start time and nonce
-// all match: a reused id, a folder copied from elsewhere or another run's process never is.
+// A registration contains the PID and the kernel's start time of the process; the run file contains the boot ID of the machine and
+// the path of the folder. A process belongs to the run only if PID, start time and nonce all match. This excludes processes with a
+// reused PID, processes of other runs, and folders copied from another place or machine.
 package rundir
 
 import (
@@ -27,27 +26,26 @@
 	"time"
 )
 
-// NonceVariable is the environment variable that names a process's run.
+// NonceVariable is the environment variable that holds the nonce of the run a process belongs to.
 const NonceVariable = "GULLRAIL_RUN"
 
-// Errors of a run folder, for errors.Is.
 var (
-	ErrNoRun   = errors.New("no run here")
-	ErrRuns    = errors.New("a run goes on here: end it with 'kit down', or with 'kit clean'")
-	ErrEnded   = errors.New("the run has been ended")
-	ErrForeign = errors.New("the run folder is of another machine, another boot or another place")
+	ErrNoRun   = errors.New("no run in this folder")
+	ErrRuns    = errors.New("a run is in progress in this folder: stop it with 'kit down' or 'kit clean'")
+	ErrEnded   = errors.New("the run has ended")
+	ErrForeign = errors.New("the run folder is from another machine, another boot or another path")
 )
 
-// Run is the run file.
+// Run is the content of the run file.
 type Run struct {
 	Nonce  string    `json:"nonce"`
-	Boot   string    `json:"boot"` // of the machine
+	Boot   string    `json:"boot"` // boot ID of the machine
 	Folder string    `json:"folder"`
 	Began  time.Time `json:"began"`
 	Ended  bool      `json:"ended"`
-	Day    string    `json:"day"`
+	Day    string    `json:"day"` // path of the scenario file
 	Seed   uint64    `json:"seed"`
-	BaseNs int64     `json:"base_ns"` // of the tapes' clock: the machine's monotonic one
+	BaseNs int64     `json:"base_ns"` // zero of the traces' timestamps, as a reading of the machine's monotonic clock
 }
 
 // Member is a registered process.
@@ -58,41 +56,41 @@
 	Info  json.RawMessage `json:"info,omitempty"`
 }
 
-// State is what became of a member.
+// State is the state of a member's process.
 type State string
 
 const (
 	Alive   State = "alive"
 	Gone    State = "gone"
-	Another State = "another process has its id"
+	Another State = "PID reused by another process"
 )
 
 func bootID() (string, error) {
 	b, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
-		return "", fmt.Errorf("kit: %w", err)
+		return "", fmt.Errorf("rundir: %w", err)
 	}
 	return strings.TrimSpace(string(b)), nil
 }
 
-// startTime is when a process started, in clock ticks since boot (field 22 of proc(5)'s stat).
+// startTime returns the start time of a process in clock ticks since boot (field 22 of /proc/PID/stat, see proc(5)).
 func startTime(pid int) (uint64, error) {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
 	text := string(b)
-	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:]) // the name before may hold spaces
+	fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:]) // the process name in parentheses may contain spaces
 	if len(fields) < 20 {
-		return 0, fmt.Errorf("kit: stat of process %d is short", pid)
+		return 0, fmt.Errorf("rundir: /proc/%d/stat has too few fields", pid)
 	}
 	if fields[0] == "Z" {
-		return 0, os.ErrNotExist // it has ended and waits to be reaped
+		return 0, os.ErrNotExist // a zombie: it has exited and waits to be reaped
 	}
 	return strconv.ParseUint(fields[19], 10, 64)
 }
 
-// hasNonce tells that a process was started with a run's nonce.
+// hasNonce reports whether a process was started with a run's nonce in its environment.
 func hasNonce(pid int, nonce string) bool {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 	if err != nil {
@@ -106,11 +104,11 @@
 	return false
 }
 
-// writeFile writes a file whole or not at all.
+// writeFile writes v as JSON, replacing the file atomically.
 func writeFile(file string, v any) error {
 	b, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
-		return fmt.Errorf("kit: %w", err)
+		return fmt.Errorf("rundir: %w", err)
 	}
 	tmp := fmt.Sprintf("%s.%d.new", file, os.Getpid())
 	err = os.WriteFile(tmp, append(b, '\n'), 0o600)
@@ -119,7 +117,7 @@
 	}
 	if err != nil {
 		os.Remove(tmp)
-		return fmt.Errorf("kit: %w", err)
+		return fmt.Errorf("rundir: %w", err)
 	}
 	return nil
 }
@@ -135,33 +133,33 @@
 	return nil
 }
 
-// Create begins a run in a folder. One whose last run has ended and left no process is used again.
-func Create(folder, day string, seed uint64, base time.Duration) (*Run, error) {
+// Create starts a run in a folder. A folder with an earlier run is reused if that run has ended and has no registrations.
+func Create(folder, scenarioFile string, seed uint64, clockBase time.Duration) (*Run, error) {
 	abs, err := filepath.Abs(folder)
 	if err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
 	if err := os.MkdirAll(filepath.Join(abs, "members"), 0o700); err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
-	// Two who begin here at once: the second sees what the first has begun.
-	claim, err := os.OpenFile(filepath.Join(abs, "begins"), os.O_CREATE|os.O_WRONLY, 0o600)
+	// The lock serializes concurrent calls, so that the second finds the run of the first.
+	lock, err := os.OpenFile(filepath.Join(abs, "begins"), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
-	defer claim.Close()
-	if err := syscall.Flock(int(claim.Fd()), syscall.LOCK_EX); err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+	defer lock.Close()
+	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
-	old, err := Open(abs)
+	previous, err := Open(abs)
 	switch {
 	case errors.Is(err, ErrNoRun):
 	case err != nil:
 		return nil, err
-	case !old.Ended:
+	case !previous.Ended:
 		return nil, fmt.Errorf("%s: %w", abs, ErrRuns)
 	default:
-		if members, err := old.Members(); err != nil || len(members) > 0 {
+		if members, err := previous.Members(); err != nil || len(members) > 0 {
 			return nil, errors.Join(err, fmt.Errorf("%s: %w", abs, ErrRuns))
 		}
 	}
@@ -169,26 +167,26 @@
 	if err != nil {
 		return nil, err
 	}
-	raw := make([]byte, 16)
-	if _, err := rand.Read(raw); err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+	nonce := make([]byte, 16)
+	if _, err := rand.Read(nonce); err != nil {
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
-	r := &Run{Nonce: hex.EncodeToString(raw), Boot: boot, Folder: abs, Began: time.Now().UTC(), Day: day, Seed: seed, BaseNs: int64(base)}
-	return r, writeFile(filepath.Join(abs, "run.json"), r)
+	run := &Run{Nonce: hex.EncodeToString(nonce), Boot: boot, Folder: abs, Began: time.Now().UTC(), Day: scenarioFile, Seed: seed, BaseNs: int64(clockBase)}
+	return run, writeFile(filepath.Join(abs, "run.json"), run)
 }
 
-// Open reads the run of a folder. ErrNoRun says that there is none, ErrForeign that nothing in it may be
-// taken for a process of this machine.
+// Open reads the run file of a folder. It returns ErrNoRun if there is none, and ErrForeign if the registrations don't refer to
+// processes of this machine since its last boot or the folder was moved or copied.
 func Open(folder string) (*Run, error) {
 	abs, err := filepath.Abs(folder)
 	if err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
 	var r Run
 	if err := readFile(filepath.Join(abs, "run.json"), &r); errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("%s: %w", abs, ErrNoRun)
 	} else if err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
 	boot, err := bootID()
 	if err != nil {
@@ -200,64 +198,64 @@
 	return &r, nil
 }
 
-func (r *Run) member(name string) string { return filepath.Join(r.Folder, "members", name+".json") }
+func (r *Run) memberFile(name string) string { return filepath.Join(r.Folder, "members", name+".json") }
 
-// Join registers this process in the run that its environment names, and tells whether it may go on.
-// The info is for the others of the run; Join may be called again when it changes.
+// Join registers this process in the run, which must be that of its environment. It returns ErrEnded if the run has ended; the
+// process must then exit. The info is for other processes of the run; Join may be called again to change it.
 func (r *Run) Join(name string, info any) error {
 	if os.Getenv(NonceVariable) != r.Nonce {
-		return fmt.Errorf("kit: this process is not of the run in %s", r.Folder)
+		return fmt.Errorf("rundir: this process does not belong to the run in %s", r.Folder)
 	}
 	start, err := startTime(os.Getpid())
 	if err != nil {
-		return fmt.Errorf("kit: %w", err)
+		return fmt.Errorf("rundir: %w", err)
 	}
-	raw, err := json.Marshal(info)
+	infoJSON, err := json.Marshal(info)
 	if err != nil {
-		return fmt.Errorf("kit: %w", err)
+		return fmt.Errorf("rundir: %w", err)
 	}
-	if err := writeFile(r.member(name), Member{name, os.Getpid(), start, raw}); err != nil {
+	if err := writeFile(r.memberFile(name), Member{name, os.Getpid(), start, infoJSON}); err != nil {
 		return err
 	}
-	now, err := Open(r.Folder)
+	current, err := Open(r.Folder)
 	if err != nil {
-		os.Remove(r.member(name))
+		os.Remove(r.memberFile(name))
 		return err
 	}
-	if now.Ended || now.Nonce != r.Nonce {
-		os.Remove(r.member(name))
+	if current.Ended || current.Nonce != r.Nonce {
+		os.Remove(r.memberFile(name))
 		return ErrEnded
 	}
 	return nil
 }
 
-// Leave takes this process's registration back, as the last thing that it does.
-func (r *Run) Leave(name string) { os.Remove(r.member(name)) }
+// Leave removes a registration. A process that exits removes its own last.
+func (r *Run) Leave(name string) { os.Remove(r.memberFile(name)) }
 
-// Members lists the registrations, by name.
+// Members returns the registrations, sorted by name.
 func (r *Run) Members() ([]Member, error) {
 	files, err := filepath.Glob(filepath.Join(r.Folder, "members", "*.json"))
 	if err != nil {
-		return nil, fmt.Errorf("kit: %w", err)
+		return nil, fmt.Errorf("rundir: %w", err)
 	}
 	sort.Strings(files)
-	var all []Member
-	for _, f := range files {
-		var m Member
-		if err := readFile(f, &m); errors.Is(err, os.ErrNotExist) {
-			continue // it left meanwhile
+	var members []Member
+	for _, file := range files {
+		var member Member
+		if err := readFile(file, &member); errors.Is(err, os.ErrNotExist) {
+			continue // removed since the folder was read
 		} else if err != nil {
-			return nil, fmt.Errorf("kit: %w", err)
+			return nil, fmt.Errorf("rundir: %w", err)
 		}
-		if m.PID <= 1 || m.Name+".json" != filepath.Base(f) {
-			return nil, fmt.Errorf("%s:1: not a registration", f)
+		if member.PID <= 1 || member.Name+".json" != filepath.Base(file) {
+			return nil, fmt.Errorf("%s:1: not a valid registration", file)
 		}
-		all = append(all, m)
+		members = append(members, member)
 	}
-	return all, nil
+	return members, nil
 }
 
-// StateOf tells what became of a member. Only one that is Alive may be signalled.
+// StateOf returns the state of a member. Only members that are Alive may be signalled.
 func (r *Run) StateOf(m Member) State {
 	start, err := startTime(m.PID)
 	switch {
@@ -269,31 +267,31 @@
 	return Alive
 }
 
-// Find returns a member's info once it is registered.
+// Find decodes a member's info and returns true if it is registered.
 func (r *Run) Find(name string, info any) (ok bool, err error) {
 	var m Member
-	if err := readFile(r.member(name), &m); errors.Is(err, os.ErrNotExist) {
+	if err := readFile(r.memberFile(name), &m); errors.Is(err, os.ErrNotExist) {
 		return false, nil
 	} else if err != nil {
-		return false, fmt.Errorf("kit: %w", err)
+		return false, fmt.Errorf("rundir: %w", err)
 	}
 	return true, json.Unmarshal(m.Info, info)
 }
 
-// End marks the run as ended, so that nobody joins it any more.
+// End marks the run as ended, so that no more processes join it.
 func (r *Run) End() error {
 	r.Ended = true
 	return writeFile(filepath.Join(r.Folder, "run.json"), r)
 }
 
-// Clean ends all processes of the run: in order first, within patience, then at once. It returns those
-// that it ended. Processes that are not the run's are left alone, and only their registrations go.
-func (r *Run) Clean(patience time.Duration) (ended []Member, err error) {
+// Clean marks the run as ended and stops its processes: with SIGTERM and, for those still running after the grace period, SIGKILL. It
+// returns the members that it signalled. If a registration does not match a process of the run, only the registration is removed.
+func (r *Run) Clean(grace time.Duration) (ended []Member, err error) {
 	if err := r.End(); err != nil {
 		return nil, err
 	}
 	signalled := map[int]bool{}
-	for deadline := time.Now().Add(patience); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(grace); ; time.Sleep(20 * time.Millisecond) {
 		members, err := r.Members()
 		if err != nil {
 			return ended, err
@@ -308,7 +306,7 @@
 			if !signalled[m.PID] {
 				signalled[m.PID] = true
 				ended = append(ended, m)
-				syscall.Kill(m.PID, syscall.SIGCONT) // one that stands still hears nothing else
+				syscall.Kill(m.PID, syscall.SIGCONT) // a stopped process does not handle SIGTERM until it continues
 				syscall.Kill(m.PID, syscall.SIGTERM)
 			} else if time.Now().After(deadline) {
 				syscall.Kill(m.PID, syscall.SIGKILL)
@@ -320,26 +318,26 @@
 	}
 }
 
-// RemoveUnstarted takes away what a run that never began left in a folder.
+// RemoveUnstarted removes the files of a run whose creation was interrupted before the run file was written.
 func RemoveUnstarted(folder string) error {
 	abs, err := filepath.Abs(folder)
 	if err != nil {
-		return fmt.Errorf("kit: %w", err)
+		return fmt.Errorf("rundir: %w", err)
 	}
 	return (&Run{Folder: abs}).Remove()
 }
 
-// Remove takes the folder's files of the run away, but what this package did not write.
+// Remove removes the files of an ended run that this package wrote, and keeps all others.
 func (r *Run) Remove() error {
 	for _, name := range []string{"run.json", "begins"} {
 		if err := os.Remove(filepath.Join(r.Folder, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return fmt.Errorf("kit: %w", err)
+			return fmt.Errorf("rundir: %w", err)
 		}
 	}
 	stale, _ := filepath.Glob(filepath.Join(r.Folder, "*.new"))
-	more, _ := filepath.Glob(filepath.Join(r.Folder, "members", "*.new"))
-	for _, f := range append(stale, more...) {
-		os.Remove(f)
+	staleMembers, _ := filepath.Glob(filepath.Join(r.Folder, "members", "*.new"))
+	for _, file := range append(stale, staleMembers...) {
+		os.Remove(file)
 	}
 	os.Remove(filepath.Join(r.Folder, "members"))
 	return nil
--- a/rundir/folder_test.go
+++ b/rundir/rundir_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// A process of a run, for the tests: this program again, told by its environment what to do.
+// With RUNDIR_TEST_FOLDER set, the test program acts as a member of a run instead of running the tests.
 func TestMain(m *testing.M) {
-	if folder := os.Getenv("KIT_TEST_FOLDER"); folder != "" {
+	if folder := os.Getenv("RUNDIR_TEST_FOLDER"); folder != "" {
 		run, err := Open(folder)
 		if err == nil {
-			err = run.Join(os.Getenv("KIT_TEST_NAME"), map[string]int{"pid": os.Getpid()})
+			err = run.Join(os.Getenv("RUNDIR_TEST_NAME"), map[string]int{"pid": os.Getpid()})
 		}
 		if err != nil {
 			os.Exit(3)
 		}
-		if os.Getenv("KIT_TEST_DEAF") != "" {
-			deaf()
+		if os.Getenv("RUNDIR_TEST_IGNORE_SIGTERM") != "" {
+			ignoreSIGTERM()
 		}
 		time.Sleep(time.Minute)
 		os.Exit(0)
@@ -30,10 +30,10 @@
 	os.Exit(m.Run())
 }
 
-func member(t *testing.T, r *Run, name string, env ...string) *exec.Cmd {
+func startMember(t *testing.T, r *Run, name string, env ...string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(append(os.Environ(), NonceVariable+"="+r.Nonce, "KIT_TEST_FOLDER="+r.Folder, "KIT_TEST_NAME="+name), env...)
+	cmd.Env = append(append(os.Environ(), NonceVariable+"="+r.Nonce, "RUNDIR_TEST_FOLDER="+r.Folder, "RUNDIR_TEST_NAME="+name), env...)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -43,8 +43,8 @@
 	return cmd
 }
 
-// joined waits until a member is registered.
-func joined(t *testing.T, r *Run, name string) Member {
+// awaitRegistration waits until a member has registered and returns its registration.
+func awaitRegistration(t *testing.T, r *Run, name string) Member {
 	t.Helper()
 	for range 1000 {
 		var info map[string]int
@@ -63,11 +63,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%s never registered", name)
+	t.Fatalf("%s did not register", name)
 	return Member{}
 }
 
-func create(t *testing.T) *Run {
+func createRun(t *testing.T) *Run {
 	t.Helper()
 	r, err := Create(filepath.Join(t.TempDir(), "run"), "day", 1, 0)
 	if err != nil {
@@ -76,47 +76,47 @@
 	return r
 }
 
-func TestCleanEndsTheRunsProcessesAndNoOther(t *testing.T) {
-	a, b := create(t), create(t)
-	member(t, a, "one")
-	deafOne := member(t, a, "deaf", "KIT_TEST_DEAF=1")
-	other := member(t, b, "one")
-	mine, stopped := joined(t, a, "one"), joined(t, a, "deaf")
-	joined(t, b, "one")
-	syscallStop(deafOne.Process.Pid) // stands still, and would not listen anyway
+func TestCleanEndsOnlyProcessesOfItsRun(t *testing.T) {
+	a, b := createRun(t), createRun(t)
+	startMember(t, a, "one")
+	unresponsive := startMember(t, a, "unresponsive", "RUNDIR_TEST_IGNORE_SIGTERM=1")
+	other := startMember(t, b, "one")
+	responsiveMember, unresponsiveMember := awaitRegistration(t, a, "one"), awaitRegistration(t, a, "unresponsive")
+	awaitRegistration(t, b, "one")
+	suspend(unresponsive.Process.Pid) // stopped, and ignoring SIGTERM once continued: only SIGKILL ends it
 	ended, err := a.Clean(300 * time.Millisecond)
 	if err != nil || len(ended) != 2 {
 		t.Fatalf("ended %v, %v", ended, err)
 	}
-	for _, m := range []Member{mine, stopped} {
+	for _, m := range []Member{responsiveMember, unresponsiveMember} {
 		if s := a.StateOf(m); s != Gone {
 			t.Errorf("%s: %s", m.Name, s)
 		}
 	}
-	if s := b.StateOf(Member{PID: other.Process.Pid, Start: joined(t, b, "one").Start}); s != Alive {
+	if s := b.StateOf(Member{PID: other.Process.Pid, Start: awaitRegistration(t, b, "one").Start}); s != Alive {
 		t.Errorf("another run's process: %s", s)
 	}
 	if err := a.Remove(); err != nil {
 		t.Fatal(err)
 	}
-	if left, _ := filepath.Glob(filepath.Join(a.Folder, "*")); len(left) != 0 {
-		t.Errorf("left: %v", left)
+	if remaining, _ := filepath.Glob(filepath.Join(a.Folder, "*")); len(remaining) != 0 {
+		t.Errorf("not removed: %v", remaining)
 	}
 }
 
-func TestReusedIDIsNotOurs(t *testing.T) {
-	r := create(t)
-	cmd := member(t, r, "one")
-	m := joined(t, r, "one")
-	for name, fake := range map[string]Member{
-		"another start":      {Name: "x", PID: cmd.Process.Pid, Start: m.Start + 1},
-		"not with the nonce": {Name: "y", PID: os.Getpid(), Start: mustStart(t, os.Getpid())},
+func TestCleanIgnoresReusedPIDs(t *testing.T) {
+	r := createRun(t)
+	process := startMember(t, r, "one")
+	m := awaitRegistration(t, r, "one")
+	for name, candidate := range map[string]Member{
+		"other start time": {Name: "x", PID: process.Process.Pid, Start: m.Start + 1},
+		"no nonce":         {Name: "y", PID: os.Getpid(), Start: mustStartTime(t, os.Getpid())},
 	} {
-		if s := r.StateOf(fake); s != Another {
+		if s := r.StateOf(candidate); s != Another {
 			t.Errorf("%s: %s", name, s)
 		}
-		b, _ := json.Marshal(fake)
-		if err := os.WriteFile(r.member(fake.Name), b, 0o600); err != nil {
+		b, _ := json.Marshal(candidate)
+		if err := os.WriteFile(r.memberFile(candidate.Name), b, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -126,7 +126,7 @@
 	}
 }
 
-func mustStart(t *testing.T, pid int) uint64 {
+func mustStartTime(t *testing.T, pid int) uint64 {
 	t.Helper()
 	s, err := startTime(pid)
 	if err != nil {
@@ -135,8 +135,8 @@
 	return s
 }
 
-func TestWhoRegistersAfterTheEndLeaves(t *testing.T) {
-	r := create(t)
+func TestJoinFailsAfterTheRunHasEnded(t *testing.T) {
+	r := createRun(t)
 	t.Setenv(NonceVariable, r.Nonce)
 	if err := r.Join("early", nil); err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 		t.Fatal(err)
 	}
 	if err := r.Join("late", nil); !errors.Is(err, ErrEnded) {
-		t.Fatalf("got %v", err)
+		t.Fatalf("joining an ended run: %v", err)
 	}
 	if members, err := r.Members(); err != nil || len(members) != 0 {
 		t.Fatalf("registered: %v %v", members, err)
@@ -155,55 +155,55 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Join("of the run before", nil); !errors.Is(err, ErrEnded) {
-		t.Fatalf("got %v", err)
+	if err := r.Join("of-previous-run", nil); !errors.Is(err, ErrEnded) {
+		t.Fatalf("joining a run whose folder has a new run: %v", err)
 	}
-	if err := next.Join("without its nonce", nil); err == nil {
-		t.Fatal("joined without the run's nonce")
+	if err := next.Join("without-nonce", nil); err == nil {
+		t.Fatal("joined the run without its nonce")
 	}
 }
 
-func TestFoldersThatAreNotOurs(t *testing.T) {
-	r := create(t)
+func TestCreateAndOpenRejectFoldersThatTheyCannotUse(t *testing.T) {
+	r := createRun(t)
 	if _, err := Create(r.Folder, "day", 1, 0); !errors.Is(err, ErrRuns) {
-		t.Errorf("a second run in one folder: %v", err)
+		t.Errorf("folder with an active run: %v", err)
 	}
 	copied := filepath.Join(t.TempDir(), "copy")
 	os.MkdirAll(copied, 0o700)
 	b, _ := os.ReadFile(filepath.Join(r.Folder, "run.json"))
 	os.WriteFile(filepath.Join(copied, "run.json"), b, 0o600)
 	if _, err := Open(copied); !errors.Is(err, ErrForeign) {
-		t.Errorf("a copied folder: %v", err)
+		t.Errorf("copied folder: %v", err)
 	}
-	away := *r
-	away.Boot = "another machine's"
-	if err := writeFile(filepath.Join(r.Folder, "run.json"), away); err != nil {
+	otherBoot := *r
+	otherBoot.Boot = "another boot ID"
+	if err := writeFile(filepath.Join(r.Folder, "run.json"), otherBoot); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(r.Folder); !errors.Is(err, ErrForeign) {
-		t.Errorf("another boot: %v", err)
+		t.Errorf("folder of another boot: %v", err)
 	}
 	if _, err := Open(t.TempDir()); !errors.Is(err, ErrNoRun) {
-		t.Errorf("an empty folder: %v", err)
+		t.Errorf("empty folder: %v", err)
 	}
 	if err := os.WriteFile(filepath.Join(r.Folder, "run.json"), []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(r.Folder); err == nil || errors.Is(err, ErrNoRun) {
-		t.Errorf("a damaged run file: %v", err)
+		t.Errorf("damaged run file: %v", err)
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
 	if _, err := Create(file, "day", 1, 0); err == nil {
-		t.Error("a run in a file")
+		t.Error("created a run in a regular file")
 	}
 }
 
-func TestStartTimeOfOurselvesAndOfNobody(t *testing.T) {
+func TestStartTime(t *testing.T) {
 	if s, err := startTime(os.Getpid()); err != nil || s == 0 {
 		t.Fatalf("%d %v", s, err)
 	}
 	if _, err := startTime(1 << 30); err == nil {
-		t.Fatal(strconv.Itoa(1<<30) + " runs")
+		t.Fatal(strconv.Itoa(1<<30) + " has a start time, but no such process can exist")
 	}
 }
--- a/rundir/signals_test.go
+++ b/rundir/signals_test.go
@@ -5,7 +5,6 @@
 	"syscall"
 )
 
-// deaf makes this process ignore the word to end.
-func deaf() { signal.Ignore(syscall.SIGTERM) }
+func ignoreSIGTERM() { signal.Ignore(syscall.SIGTERM) }
 
-func syscallStop(pid int) { syscall.Kill(pid, syscall.SIGSTOP) }
+func suspend(pid int) { syscall.Kill(pid, syscall.SIGSTOP) }
