--- a/rundir/rundir.go
+++ b/rundir/rundir.go
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// Leave removes a registration. A process that exits removes its own last.
+// Leave removes a registration. A process removes its own as its last action before it exits.
 func (r *Run) Leave(name string) { os.Remove(r.memberFile(name)) }
 
 // Members returns the registrations, sorted by name.
