--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -120,8 +120,8 @@
 	go func() { defer j.wg.Done(); do() }()
 }
 
-// Recall cancels an allocation, including one that is not sent yet as its record is not durable.
-func (j *journal) Recall(r session.Ref) {
+// Cancel cancels an allocation, including one that is not sent yet as its record is not durable.
+func (j *journal) Cancel(r session.Ref) {
 	j.mu.Lock()
 	_, pending := j.pending[r]
 	if pending {
--- a/frontend/journal_test.go
+++ b/frontend/journal_test.go
@@ -1,17 +1,26 @@
 package frontend
 
 import (
+	"context"
 	"flag"
 	"fmt"
+	"net/http"
+	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
 
+	"gullrail/admission"
 	"gullrail/config"
+	"gullrail/decision"
+	"gullrail/nodes"
+	"gullrail/placement"
 	"gullrail/playlog"
+	"gullrail/session"
 	"gullrail/store"
 )
 
@@ -131,3 +140,107 @@
 	}
 	return n
 }
+
+// heldDir is a directory in which, once armed, the next sync of a file waits for release.
+type heldDir struct {
+	store.Folder
+	armed   atomic.Bool
+	syncing chan struct{} // closed when the sync starts to wait
+	release chan struct{}
+}
+
+type heldFile struct {
+	store.File
+	dir *heldDir
+}
+
+func (d *heldDir) Open(name string) (store.File, error) {
+	f, err := d.Folder.Open(name)
+	return heldFile{f, d}, err
+}
+
+func (f heldFile) Sync() error {
+	if f.dir.armed.CompareAndSwap(true, false) {
+		close(f.dir.syncing)
+		<-f.dir.release
+	}
+	return f.File.Sync()
+}
+
+// playEndTransport reports the end of each play. It opens no streams: the test reports the node's stream as open.
+type playEndTransport struct {
+	session.Transport
+	finished chan string
+}
+
+func (p playEndTransport) OpenStream(int, string, int64) {}
+
+func (p playEndTransport) PlayFinished(play string, product int, reason playlog.EndReason) {
+	p.Transport.PlayFinished(play, product, reason)
+	p.finished <- play
+}
+
+// The core calls the journal as a session.Transport. A method of the journal that no longer overrides the one of the
+// embedded client would go unnoticed by the compiler.
+func TestAllocationCanceledWhileRecordIsWrittenIsNotSent(t *testing.T) {
+	var setUps atomic.Int32
+	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method == http.MethodPost {
+			setUps.Add(1)
+			w.WriteHeader(http.StatusCreated)
+			w.Write([]byte(`{"life": 7}`))
+		}
+	}))
+	defer node.Close()
+
+	clock := session.NewClock()
+	runner := session.NewRunner(clock, admission.New(1, 1))
+	service := &config.Service{Products: []config.Product{{Name: "paid", Importance: 1, Paid: true}}}
+	client := nodes.NewClient("f", 1, false, time.Minute, service, runner, nil, zerolog.Nop())
+	dir := &heldDir{Folder: store.Folder(t.TempDir()), syncing: make(chan struct{}), release: make(chan struct{})}
+	j, _, err := newJournal(dir, service, 1, client, runner, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	transport := playEndTransport{j, make(chan string, 1)}
+	policy := placement.New(map[string][]float64{
+		"fronts": {1}, "front": {0}, "cells": {1}, "racks": {1}, "kind.streams": {1000}, "rung.rate": {100}, "rung.worth": {1},
+		"weight.rate": {1e7}, "tries": {4}, "zone": {0}, "product.rate": {1}, "product.paid": {1}, "product.floor": {0},
+		"product.seats": {0}, "product.importance": {1}, "product.target": {10000}, "recall": {1},
+	}, 1)
+	start := clock.Now() - decision.Second
+	core := session.NewCore(start, "f", 1, policy, transport, service, 1)
+	core.UpdateList(start, []session.NodeEntry{{Name: "n", Address: node.Listener.Addr().String(), Weight: 1}}, true)
+	core.StreamOpened(start, 0, "", 7, 0, nil)
+	ctx, stop := context.WithCancel(context.Background())
+	stopped := make(chan error, 1)
+	go func() { stopped <- runner.Run(ctx, core) }()
+	defer func() {
+		stop()
+		if err := <-stopped; err != nil {
+			t.Error(err)
+		}
+		if err := j.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
+
+	dir.armed.Store(true)
+	reply := session.NewReply()
+	runner.Post(func(now int64, c *session.Core) {
+		c.RequestPlay(now, session.Request{Title: "t", CellCount: 1, Viewer: "v", Deadline: now + 60*decision.Second, Reply: reply})
+	})
+	<-dir.syncing
+	withdrawn := make(chan struct{})
+	runner.Post(func(now int64, c *session.Core) {
+		reply.Withdraw()
+		c.RequestWithdrawn(now, reply) // cancels the allocation
+		close(withdrawn)
+	})
+	<-withdrawn
+	close(dir.release)
+	<-transport.finished // the core knows the outcome of the allocation, so nothing is sent later
+	if n := setUps.Load(); n != 0 {
+		t.Fatalf("node received %d set-ups, want none", n)
+	}
+}
