--- a/testbed/baseline.go
+++ b/testbed/baseline.go
@@ -5,171 +5,182 @@
 	"gullrail/internal/pcg"
 )
 
-// Baseline is a policy to compare the project's module with, by its name: random takes a random holder at
-// the lowest rung, least the holder whose link was told to be asked least, at the highest rung that fits by
-// that word. Both keep seats, floors, drains and the paid rule, so that service can be compared; neither
-// changes a rung in play, moves a play, paces cold nodes or learns. Nil is the project's own.
-func Baseline(name string) func(terms map[string][]float64, seed uint64) decision.Policy {
+// Baseline returns the constructor of a reference policy, or nil for any name other than "random" and
+// "least"; a nil constructor selects the project's own policy, package placement.
+//
+// The policy "random" picks a random holder and the lowest rung of the product. The policy "least" picks
+// the holder with the lowest last known link load, and the highest rung that keeps that load below 0.85.
+// Both respect stream limits per title and product, minimum rungs, drains and the rule for paid products,
+// so that their service can be compared. Neither changes the rung of a running play, moves plays, limits
+// the rate of set-ups on cold nodes, or adapts to what it observes.
+func Baseline(name string) func(settings map[string][]float64, seed uint64) decision.Policy {
 	if name != "random" && name != "least" {
 		return nil
 	}
-	return func(terms map[string][]float64, seed uint64) decision.Policy {
-		return &baseline{terms: terms, least: name == "least", rnd: pcg.New(seed)}
+	return func(settings map[string][]float64, seed uint64) decision.Policy {
+		return &baseline{settings: settings, leastLoaded: name == "least", random: pcg.New(seed)}
 	}
 }
 
+// baseline implements decision.Policy.
 type baseline struct {
-	terms map[string][]float64
-	least bool
-	rnd   pcg.Source
-	nodes []baseNode
-	plays []basePlay
-	seats map[[2]int]int
-	again []int64
-	taken []int64
-	res   decision.Result
+	settings    map[string][]float64 // by setting name, see config.Service.PolicySettings
+	leastLoaded bool
+	random      pcg.Source
+	nodes       []baselineNode
+	plays       []baselinePlay
+	seats       map[[2]int]int // open attempts and running plays, by title and product
+	retryTimes  []int64        // times of attempts after a play's first
+	acceptTimes []int64        // times at which plays were added
+	result      decision.Result
 }
 
-type baseNode struct {
+type baselineNode struct {
 	decision.Node
-	listed bool
-	asked  float64
+	listed   bool
+	linkLoad float64 // last reported load of the link, plus the plays placed since
 }
 
-type basePlay struct {
-	want      decision.Request
-	gen       uint32
-	live      bool
-	out       bool
-	playing   bool
-	mayHave   bool
-	deserted  bool
-	try, node int
-	tried     []int
+type baselinePlay struct {
+	request       decision.Request
+	generation    uint32
+	inUse         bool // the slot holds a play
+	attemptOpen   bool // the current attempt has not ended
+	playing       bool // the current attempt has started
+	mayHaveRun    bool // an earlier attempt may have run on its node
+	viewerLeft    bool
+	attempt, node int   // of the current attempt; attempt is -1 before the first
+	tried         []int // nodes of all attempts
 }
 
-func (b *baseline) of(name string, i int) float64 {
-	if v := b.terms[name]; i < len(v) {
+// setting returns value i of a setting, 0 if it has none.
+func (b *baseline) setting(name string, i int) float64 {
+	if v := b.settings[name]; i < len(v) {
 		return v[i]
 	}
 	return 0
 }
 
-func (b *baseline) get(h decision.Handle) *basePlay {
-	if int(h.Index) < len(b.plays) && b.plays[h.Index].live && b.plays[h.Index].gen == h.Generation {
+// find returns the play of a handle, nil if the handle is stale.
+func (b *baseline) find(h decision.Handle) *baselinePlay {
+	if int(h.Index) < len(b.plays) && b.plays[h.Index].inUse && b.plays[h.Index].generation == h.Generation {
 		return &b.plays[h.Index]
 	}
 	return nil
 }
 
-func (b *baseline) begin() { b.res.Orders, b.res.Probes = b.res.Orders[:0], b.res.Probes[:0] }
+func (b *baseline) clearResult() {
+	b.result.Orders, b.result.Probes = b.result.Orders[:0], b.result.Probes[:0]
+}
 
-func (b *baseline) end(now int64) *decision.Result {
-	b.res.WakeAt = now + decision.Second
-	return &b.res
+func (b *baseline) finish(now int64) *decision.Result {
+	b.result.WakeAt = now + decision.Second
+	return &b.result
 }
 
 func (b *baseline) UpdateNodes(now int64, list []decision.Node, whole bool) *decision.Result {
-	b.begin()
+	b.clearResult()
 	for i := range b.nodes {
 		b.nodes[i].listed = b.nodes[i].listed && !whole
 	}
 	for _, n := range list {
 		for n.Index >= len(b.nodes) {
-			b.nodes = append(b.nodes, baseNode{})
+			b.nodes = append(b.nodes, baselineNode{})
 		}
 		b.nodes[n.Index].Node, b.nodes[n.Index].listed = n, n.Phase != decision.Gone
 	}
-	return b.end(now)
+	return b.finish(now)
 }
 
-func (b *baseline) add(w decision.Request) (decision.Handle, *basePlay) {
+// add stores a new play in the first free slot.
+func (b *baseline) add(w decision.Request) (decision.Handle, *baselinePlay) {
 	at := -1
 	for i := range b.plays {
-		if !b.plays[i].live {
+		if !b.plays[i].inUse {
 			at = i
 			break
 		}
 	}
 	if at < 0 {
 		at = len(b.plays)
-		b.plays = append(b.plays, basePlay{})
+		b.plays = append(b.plays, baselinePlay{})
 	}
 	p := &b.plays[at]
-	*p = basePlay{want: w, gen: p.gen + 1, live: true, try: -1, tried: p.tried[:0]}
-	return decision.Handle{Index: int32(at), Generation: p.gen}, p
+	*p = baselinePlay{request: w, generation: p.generation + 1, inUse: true, attempt: -1, tried: p.tried[:0]}
+	return decision.Handle{Index: int32(at), Generation: p.generation}, p
 }
 
 func (b *baseline) AddPlay(now int64, w decision.Request) (decision.Handle, *decision.Result) {
-	b.begin()
+	b.clearResult()
 	h, p := b.add(w)
-	b.taken = append(b.taken, now)
+	b.acceptTimes = append(b.acceptTimes, now)
 	b.place(now, h, p)
-	return h, b.end(now)
+	return h, b.finish(now)
 }
 
-func (b *baseline) place(now int64, h decision.Handle, p *basePlay) {
-	product := p.want.Product
-	paid := b.of("product.paid", product) > 0
-	seats, seat := b.of("product.seats", product), [2]int{p.want.Title, product}
-	pick, best := -1, 0.0
+// place orders the next attempt of a play, or declines or fails the play if it may have no further one.
+func (b *baseline) place(now int64, h decision.Handle, p *baselinePlay) {
+	product := p.request.Product
+	paid := b.setting("product.paid", product) > 0
+	seats, seatKey := b.setting("product.seats", product), [2]int{p.request.Title, product}
+	chosen, bestScore := -1, 0.0
 	if b.seats == nil {
 		b.seats = map[[2]int]int{}
 	}
-	if p.try+1 < int(b.of("tries", 0)) && now < p.want.Deadline && !(paid && p.mayHave) &&
-		(seats == 0 || float64(b.seats[seat]) < seats) && (p.try < 0 || b.budget(now)) {
-		cells := int(b.of("cells", 0))
+	if p.attempt+1 < int(b.setting("tries", 0)) && now < p.request.Deadline && !(paid && p.mayHaveRun) &&
+		(seats == 0 || float64(b.seats[seatKey]) < seats) && (p.attempt < 0 || b.withinRetryBudget(now)) {
+		cells := int(b.setting("cells", 0))
 		for i := range b.nodes {
 			n := &b.nodes[i]
-			if !n.listed || n.Phase != decision.Ready || ((n.Cell-p.want.FirstCell)%cells+cells)%cells >= p.want.CellCount || p.has(i) {
+			if !n.listed || n.Phase != decision.Ready || ((n.Cell-p.request.FirstCell)%cells+cells)%cells >= p.request.CellCount || p.hasTried(i) {
 				continue
 			}
-			score := b.rnd.Float()
-			if b.least {
-				score = -n.asked + score/1e6
+			score := b.random.Float()
+			if b.leastLoaded {
+				score = -n.linkLoad + score/1e6
 			}
-			if pick < 0 || score > best {
-				pick, best = i, score
+			if chosen < 0 || score > bestScore {
+				chosen, bestScore = i, score
 			}
 		}
 	}
-	if pick < 0 {
-		do := decision.Decline
-		if paid && p.mayHave {
-			do = decision.Fail
+	if chosen < 0 {
+		action := decision.Decline
+		if paid && p.mayHaveRun {
+			action = decision.Fail
 		}
-		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Action: do, RetryAfter: int64(b.of("comeback.most", 0))})
-		p.live = false
+		b.result.Orders = append(b.result.Orders, decision.Order{Play: h, Action: action, RetryAfter: int64(b.setting("comeback.most", 0))})
+		p.inUse = false
 		return
 	}
-	rung := int(b.of("product.floor", product))
-	if b.least {
-		rates := b.terms["rung.rate"]
-		for r := rung + 1; r < len(rates) && r <= p.want.MaxRung; r++ {
-			if b.nodes[pick].asked+rates[r]*b.of("product.rate", product)/b.of("weight.rate", 0) < 0.85 {
+	rung := int(b.setting("product.floor", product))
+	if b.leastLoaded {
+		rungRates := b.settings["rung.rate"]
+		for r := rung + 1; r < len(rungRates) && r <= p.request.MaxRung; r++ {
+			if b.nodes[chosen].linkLoad+rungRates[r]*b.setting("product.rate", product)/b.setting("weight.rate", 0) < 0.85 {
 				rung = r
 			}
 		}
-		b.nodes[pick].asked += rates[rung] * b.of("product.rate", product) / b.of("weight.rate", 0)
-		if b.of("probing", 0) > 0 {
-			b.res.Probes = append(b.res.Probes, pick)
+		b.nodes[chosen].linkLoad += rungRates[rung] * b.setting("product.rate", product) / b.setting("weight.rate", 0)
+		if b.setting("probing", 0) > 0 {
+			b.result.Probes = append(b.result.Probes, chosen)
 		}
 	}
-	if p.try++; p.try > 0 {
-		b.again = append(b.again, now)
+	if p.attempt++; p.attempt > 0 {
+		b.retryTimes = append(b.retryTimes, now)
 	}
-	p.node, p.out = pick, true
-	p.tried = append(p.tried, pick)
-	b.seats[seat]++
-	target := now + int64(b.of("product.target", product))/2
-	until := p.want.Deadline
+	p.node, p.attemptOpen = chosen, true
+	p.tried = append(p.tried, chosen)
+	b.seats[seatKey]++
+	target := now + int64(b.setting("product.target", product))/2
+	until := p.request.Deadline
 	if !paid && target < until {
 		until = target
 	}
-	b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Action: decision.Place, Node: pick, Rung: rung, Until: until})
+	b.result.Orders = append(b.result.Orders, decision.Order{Play: h, Action: decision.Place, Node: chosen, Rung: rung, Until: until})
 }
 
-func (p *basePlay) has(node int) bool {
+func (p *baselinePlay) hasTried(node int) bool {
 	for _, t := range p.tried {
 		if t == node {
 			return true
@@ -178,8 +189,10 @@
 	return false
 }
 
-func (b *baseline) budget(now int64) bool {
-	over := int64(b.of("budget.over", 0))
+// withinRetryBudget reports whether one more attempt after a play's first keeps within the budget for such
+// attempts. It leaves a margin of 200 ms on the window and of 10% on the plays counted.
+func (b *baseline) withinRetryBudget(now int64) bool {
+	over := int64(b.setting("budget.over", 0))
 	if over == 0 {
 		return true
 	}
@@ -191,99 +204,99 @@
 		}
 		return n
 	}
-	return within(b.again)+1 <= b.of("budget.free", 0)+b.of("budget.share", 0)*within(b.taken)*0.9
+	return within(b.retryTimes)+1 <= b.setting("budget.free", 0)+b.setting("budget.share", 0)*within(b.acceptTimes)*0.9
 }
 
 func (b *baseline) AdoptPlay(now int64, w decision.Request, node int) (decision.Handle, *decision.Result) {
-	b.begin()
+	b.clearResult()
 	h, p := b.add(w)
-	p.try, p.playing, p.out, p.node = 0, true, true, node
+	p.attempt, p.playing, p.attemptOpen, p.node = 0, true, true, node
 	if b.seats == nil {
 		b.seats = map[[2]int]int{}
 	}
 	b.seats[[2]int{w.Title, w.Product}]++
-	return h, b.end(now)
+	return h, b.finish(now)
 }
 
-func (b *baseline) AttemptStarted(now int64, h decision.Handle, try int) *decision.Result {
-	b.begin()
-	if p := b.get(h); p != nil && p.try == try {
+func (b *baseline) AttemptStarted(now int64, h decision.Handle, attempt int) *decision.Result {
+	b.clearResult()
+	if p := b.find(h); p != nil && p.attempt == attempt {
 		p.playing = true
 	}
-	return b.end(now)
+	return b.finish(now)
 }
 
-func (b *baseline) AttemptEnded(now int64, h decision.Handle, try int, how decision.Outcome, over bool, load decision.Load) *decision.Result {
-	b.begin()
-	p := b.get(h)
-	if p == nil || !p.out || p.try != try {
-		return b.end(now)
+func (b *baseline) AttemptEnded(now int64, h decision.Handle, attempt int, outcome decision.Outcome, over bool, load decision.Load) *decision.Result {
+	b.clearResult()
+	p := b.find(h)
+	if p == nil || !p.attemptOpen || p.attempt != attempt {
+		return b.finish(now)
 	}
-	p.out = false
-	b.seats[[2]int{p.want.Title, p.want.Product}]--
-	b.heard(p.node, load)
-	if over || p.playing || p.deserted {
-		p.live = false
-		return b.end(now)
+	p.attemptOpen = false
+	b.seats[[2]int{p.request.Title, p.request.Product}]--
+	b.recordLoad(p.node, load)
+	if over || p.playing || p.viewerLeft {
+		p.inUse = false
+		return b.finish(now)
 	}
-	p.mayHave = p.mayHave || how.MayHaveRun()
+	p.mayHaveRun = p.mayHaveRun || outcome.MayHaveRun()
 	b.place(now, h, p)
-	return b.end(now)
+	return b.finish(now)
 }
 
-func (b *baseline) heard(node int, load decision.Load) {
+func (b *baseline) recordLoad(node int, load decision.Load) {
 	if load.Link >= 0 {
-		b.nodes[node].asked = load.Link
+		b.nodes[node].linkLoad = load.Link
 	}
 }
 
 func (b *baseline) ViewerLeft(now int64, h decision.Handle) *decision.Result {
-	b.begin()
-	if p := b.get(h); p != nil && !p.out {
-		p.live = false
+	b.clearResult()
+	if p := b.find(h); p != nil && !p.attemptOpen {
+		p.inUse = false
 	} else if p != nil && !p.playing {
-		p.deserted = true
-		b.res.Orders = append(b.res.Orders, decision.Order{Play: h, Action: decision.Cancel, Attempt: p.try})
+		p.viewerLeft = true
+		b.result.Orders = append(b.result.Orders, decision.Order{Play: h, Action: decision.Cancel, Attempt: p.attempt})
 	}
-	return b.end(now)
+	return b.finish(now)
 }
 
 func (b *baseline) ProbeEnded(now int64, node int, _ decision.Outcome, load decision.Load) *decision.Result {
-	b.begin()
-	b.heard(node, load)
-	return b.end(now)
+	b.clearResult()
+	b.recordLoad(node, load)
+	return b.finish(now)
 }
 
 func (b *baseline) LoadReported(now int64, h decision.Handle, load decision.Load) *decision.Result {
-	b.begin()
-	if p := b.get(h); p != nil {
-		b.heard(p.node, load)
+	b.clearResult()
+	if p := b.find(h); p != nil {
+		b.recordLoad(p.node, load)
 	}
-	return b.end(now)
+	return b.finish(now)
 }
 
-func (b *baseline) none(now int64) *decision.Result { b.begin(); return b.end(now) }
+func (b *baseline) noOrders(now int64) *decision.Result { b.clearResult(); return b.finish(now) }
 
 func (b *baseline) DeliveryReported(now int64, _ decision.Handle, _ float64) *decision.Result {
-	return b.none(now)
+	return b.noOrders(now)
 }
 func (b *baseline) RungReported(now int64, _ decision.Handle, _ int) *decision.Result {
-	return b.none(now)
+	return b.noOrders(now)
 }
 func (b *baseline) Wake(now int64) *decision.Result {
-	over := int64(b.of("budget.over", 0)) + decision.Second
-	for len(b.taken) > 0 && b.taken[0] < now-over {
-		b.taken = b.taken[1:]
+	over := int64(b.setting("budget.over", 0)) + decision.Second
+	for len(b.acceptTimes) > 0 && b.acceptTimes[0] < now-over {
+		b.acceptTimes = b.acceptTimes[1:]
 	}
-	return b.none(now)
+	return b.noOrders(now)
 }
 func (b *baseline) ForgetViewer(int64, int) bool { return true }
 func (b *baseline) ForgetNode(_ int64, node int) bool {
 	return node >= len(b.nodes) || !b.nodes[node].listed
 }
 
-// MessageReceived passes over what other fronts say.
+// MessageReceived ignores messages of other front ends.
 func (b *baseline) MessageReceived(now int64, from int, bytes []byte) *decision.Result {
-	b.begin()
-	return b.end(now)
+	b.clearResult()
+	return b.finish(now)
 }
--- a/testbed/compare.go
+++ b/testbed/compare.go
@@ -17,73 +17,74 @@
 	"gullrail/testbed/audit"
 )
 
-// Side is one of two things compared: something that plays a seed and says what it came to.
+// Side is one side of a comparison. It runs a scenario with a seed and returns the audit report.
 type Side func(seed uint64) (*audit.Report, error)
 
-// ScenarioSide plays a day in this program, in simulated time, by a module or baseline.
-func ScenarioSide(day *Scenario, module string) Side {
+// ScenarioSide runs a scenario in this process, in simulated time, with the named baseline policy or, for any
+// other name, the project's own.
+func ScenarioSide(scenario *Scenario, module string) Side {
 	return func(seed uint64) (*audit.Report, error) {
-		d := *day
-		d.Seed = seed
-		return (&Sim{Scenario: &d, Policy: Baseline(module)}).Run().Report, nil
+		seeded := *scenario
+		seeded.Seed = seed
+		return (&Sim{Scenario: &seeded, Policy: Baseline(module)}).Run().Report, nil
 	}
 }
 
-// BuildSide plays a day's file in simulated time by another build of this program.
+// BuildSide runs a scenario file in simulated time with another build of this program.
 func BuildSide(ctx context.Context, program, file, module string) Side {
 	return func(seed uint64) (*audit.Report, error) {
 		cmd := exec.CommandContext(ctx, program, "rehearse", file, "--sim", "--json", "--module", module, "--seed", strconv.FormatUint(seed, 10))
 		out, err := cmd.Output()
 		var exit *exec.ExitError
-		if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == 1 && len(out) > 0) { // 1 with a report: a rule broke
+		if err != nil && !(errors.As(err, &exit) && exit.ExitCode() == 1 && len(out) > 0) { // exit code 1 with a report: rules were broken
 			return nil, fmt.Errorf("%s on seed %d: %w", program, seed, err)
 		}
 		var rep audit.Report
 		if err := json.Unmarshal(out, &rep); err != nil {
-			return nil, fmt.Errorf("%s on seed %d: its report: %w", program, seed, err)
+			return nil, fmt.Errorf("%s on seed %d: decode report: %w", program, seed, err)
 		}
 		if len(rep.Rules) == 0 {
-			return nil, fmt.Errorf("%s on seed %d: its report tells no rules", program, seed)
+			return nil, fmt.Errorf("%s on seed %d: report has no rules", program, seed)
 		}
 		return &rep, nil
 	}
 }
 
-// Pair is what one seed came to on both sides.
+// Pair holds the reports of both sides for one seed.
 type Pair struct {
 	Seed        uint64
 	A, B        *audit.Report
-	BrokenRules []string // rules broken, on either side
+	BrokenRules []string // descriptions of the rules broken on either side
 }
 
-// Difference is a paired difference of one figure, B less A.
+// Difference is the mean paired difference of a figure, B minus A.
 type Difference struct {
 	Name         string
 	MeanA, MeanB float64
-	Mean         float64 // of the differences
-	HalfWidth    float64 // half the width of its 95% interval
-	Seeds        int     // compared
-	SeedsNeeded  int     // seeds after which a difference of this size would be told; 0 where it is told already
+	Mean         float64 // of the paired differences
+	HalfWidth    float64 // half the width of the 95% confidence interval of Mean
+	Seeds        int     // number of pairs
+	SeedsNeeded  int     // estimated number of seeds for a difference of this size to be significant; 0 if it is already or Mean is 0
 }
 
-// Significant tells that the interval leaves out zero.
+// Significant reports whether the 95% confidence interval excludes zero.
 func (d Difference) Significant() bool { return math.Abs(d.Mean) > d.HalfWidth }
 
 func (d Difference) String() string {
-	head := fmt.Sprintf("%-8s A %.3f, B %.3f, B less A %+.4f, 95%% interval %+.4f to %+.4f over %d seeds", d.Name, d.MeanA, d.MeanB, d.Mean,
+	summary := fmt.Sprintf("%-8s A %.3f, B %.3f, B minus A %+.4f, 95%% interval %+.4f to %+.4f over %d seeds", d.Name, d.MeanA, d.MeanB, d.Mean,
 		d.Mean-d.HalfWidth, d.Mean+d.HalfWidth, d.Seeds)
 	switch {
 	case d.Significant() && d.Mean > 0:
-		return head + ": B is better"
+		return summary + ": B is better"
 	case d.Significant():
-		return head + ": A is better"
+		return summary + ": A is better"
 	case d.SeedsNeeded > 0:
-		return head + fmt.Sprintf(": can't tell; about %d seeds would, if the difference is what it seems", d.SeedsNeeded)
+		return summary + fmt.Sprintf(": not significant; a difference of this size needs about %d seeds", d.SeedsNeeded)
 	}
-	return head + ": can't tell, there is no difference to see"
+	return summary + ": not significant"
 }
 
-// Compare plays the same seeds on both sides, on all cores.
+// Compare runs both sides with each seed, as many seeds at a time as there are cores.
 func Compare(a, b Side, seeds []uint64) ([]Pair, error) {
 	pairs := make([]Pair, len(seeds))
 	var g errgroup.Group
@@ -111,7 +112,7 @@
 	return pairs, g.Wait()
 }
 
-// PairedDifference works out the paired difference of a figure, by Student's t.
+// PairedDifference computes the paired difference of a figure, with a confidence interval by Student's t.
 func PairedDifference(name string, a, b []float64) Difference {
 	diffs := make([]float64, len(a))
 	for i := range a {
@@ -131,7 +132,7 @@
 	return d
 }
 
-// Differences are those of worth and service over pairs.
+// Differences returns the paired differences of worth and service.
 func Differences(pairs []Pair) []Difference {
 	var out []Difference
 	for _, figure := range []struct {
--- a/testbed/day.go
+++ b/testbed/day.go
@@ -8,38 +8,38 @@
 	"gullrail/config"
 )
 
-// Scenario is a rehearsal's script: the load, the stand-ins, and what goes wrong when.
+// Scenario describes a run: the settings of the service, the viewers, the emulated nodes and the faults.
 type Scenario struct {
 	Service          config.Service
-	RawService       []byte
+	RawService       []byte // as in the file, for the settings of fronts
 	Seconds          float64
 	Seed             uint64
 	Nodes            int
-	ViewersPerSecond float64 // new viewers a second
-	ZipfExponent     float64
-	SmallScreenShare float64 // share of viewers who can't use the upper rungs
-	BandwidthSpread  float64 // spread of links and uplinks
-	SetUpMs          [2]float64
-	MaxLinkLoad      float64
-	ListLateMs       float64
-	IdleMs           float64
-	MaxRetries       int
-	PauseMs          float64
-	RetryAfterShare  float64 // share of viewers who heed Retry-After
-	SocketShare      float64 // share of viewers who ask over a socket; in simulated time they play as the others
-	KeepRecords      bool    // fronts keep records of plays
+	ViewersPerSecond float64    // mean rate of arrivals
+	ZipfExponent     float64    // of the popularity of titles, in their order in the settings
+	SmallScreenShare float64    // share of viewers that can't use the upper rungs
+	BandwidthSpread  float64    // largest relative deviation of link and uplink capacities
+	SetUpMs          [2]float64 // shortest and longest duration of a set-up
+	MaxLinkLoad      float64    // nodes refuse set-ups at this link load; 0 disables the check
+	ListLateMs       float64    // delay of changes to the list of nodes
+	IdleMs           float64    // nodes end a play without segment requests for longer than this
+	MaxRetries       int        // of a viewer
+	PauseMs          float64    // mean pause of a viewer before a retry
+	RetryAfterShare  float64    // share of viewers that wait as long as Retry-After says
+	SocketShare      float64    // share of viewers that use a WebSocket; no effect in simulated time
+	KeepRecords      bool       // fronts store records of plays on disk
 	Products         []ScenarioProduct
 	Faults           []Fault
 }
 
-// ScenarioProduct is how a product is wanted.
+// ScenarioProduct is the demand for a product.
 type ScenarioProduct struct {
-	Number int
-	Share  float64
-	Watch  [2]float64 // seconds
+	Number int        // index in Service.Products
+	Share  float64    // of viewers
+	Watch  [2]float64 // shortest and longest watch time in seconds
 }
 
-// Fault is one thing that the script does.
+// Fault is an entry of the fault script. Which fields apply depends on Action.
 type Fault struct {
 	At       float64 // seconds
 	Action   string
@@ -48,115 +48,116 @@
 	Rack     int
 	Zone     int
 	Title    string
-	Duration float64 // seconds; 0 is for good
-	Amount   float64
+	Duration float64 // seconds until the fault is reverted; 0 is never
+	Amount   float64 // see faultKinds
 }
 
-// The faults, with what Amount means.
-var faults = map[string]struct {
-	needs  string // nodes, front, rack, title or nothing
-	amount string
+// faultKinds holds the faults by the value of the setting "do".
+var faultKinds = map[string]struct {
+	needs  string // setting that selects the target: nodes, front, rack, zone, title or none
+	amount string // meaning of Fault.Amount; empty if unused
 }{
-	"drain":        {"nodes", "seconds from the word to the end of the process"},
-	"crash":        {"nodes", ""}, // it comes back cold after For
-	"silence":      {"nodes", ""}, // it takes all and answers nothing
-	"slow":         {"nodes", "set-ups take so many times as long"},
+	"drain":        {"nodes", "seconds from the announcement to the end of the process"},
+	"crash":        {"nodes", ""}, // restarts cold after Duration
+	"silence":      {"nodes", ""}, // accepts requests but does not answer
+	"slow":         {"nodes", "factor on the duration of set-ups"},
 	"errors":       {"nodes", "share of set-ups that fail"},
-	"vanish":       {"nodes", "share of answers that vanish"},
-	"neighbour":    {"nodes", "share of the link that another program takes"},
-	"uplink":       {"rack", "the uplink gives so many times less"},
+	"vanish":       {"nodes", "share of set-ups that succeed without an answer"},
+	"neighbour":    {"nodes", "share of the link used by other traffic"},
+	"uplink":       {"rack", "divisor of the uplink's capacity"},
 	"list-down":    {"", ""},
-	"list-late":    {"", "seconds more"},
-	"list-wrong":   {"nodes", ""}, // the list says that they are gone while they run
-	"crowd":        {"title", "share of new viewers who want this title"},
-	"front-kill":   {"front", ""}, // it is started again after For
+	"list-late":    {"", "additional seconds of delay"},
+	"list-wrong":   {"nodes", ""}, // the list reports them as gone while they run
+	"crowd":        {"title", "share of new viewers that request this title"},
+	"front-kill":   {"front", ""}, // restarts after Duration
 	"front-stall":  {"front", ""},
-	"ageing":       {"nodes", "so many times slower in the end, after For; then they die and come back cold"},
-	"reports-late": {"", "seconds that loads and shares are told later"},
-	"zone-cut":     {"zone", ""}, // between this zone's fronts and nodes and all others
-	"shift":        {"front", "share of new viewers who ask this front first"},
+	"ageing":       {"nodes", "factor on the duration of set-ups after Duration, when they crash and restart cold"},
+	"reports-late": {"", "additional seconds of delay of loads and delivered shares"},
+	"zone-cut":     {"zone", ""}, // isolates the fronts and nodes of this zone from all others
+	"shift":        {"front", "share of new viewers that ask this front first"},
 }
 
-// ReadScenario reads and checks a day.
+// ReadScenario reads and validates a scenario file.
 func ReadScenario(file string) (*Scenario, error) {
 	doc, v, err := config.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	return readDay(doc, v)
+	return readScenario(doc, v)
 }
 
-// ParseScenario reads a day from text.
+// ParseScenario reads and validates the text of a scenario file. Errors refer to it as file.
 func ParseScenario(file string, text []byte) (*Scenario, error) {
 	doc, v, err := config.Parse(file, text)
 	if err != nil {
 		return nil, err
 	}
-	return readDay(doc, v)
+	return readScenario(doc, v)
 }
 
-func readDay(doc *config.Doc, v config.Value) (*Scenario, error) {
+func readScenario(doc *config.Doc, v config.Value) (*Scenario, error) {
 	v.Object(true)
-	sv, d := v.At("service"), &Scenario{}
+	serviceValue, sc := v.At("service"), &Scenario{}
 	var shared *config.Doc
-	if file := v.At("service_file"); file.Present() { // a service that several days share
+	if file := v.At("service_file"); file.Present() { // settings that several scenarios share
 		var err error
-		if shared, sv, err = config.Open(filepath.Join(filepath.Dir(doc.File()), file.Text())); err != nil {
+		if shared, serviceValue, err = config.Open(filepath.Join(filepath.Dir(doc.File()), file.Text())); err != nil {
 			return nil, err
 		}
 	}
-	d.Service = config.ReadService(sv)
-	if sv.Present() {
-		d.RawService = sv.Raw()
+	sc.Service = config.ReadService(serviceValue)
+	if serviceValue.Present() {
+		sc.RawService = serviceValue.Raw()
 	}
 	if shared != nil && shared.Err() != nil {
 		return nil, shared.Err()
 	}
-	e := v.At("day").Object(true)
-	d.Seconds, d.Seed = e.At("seconds").Float(1, 86400), uint64(e.At("seed").IntOr(1, 0, 1<<53))
-	d.Nodes, d.ViewersPerSecond = e.At("nodes").Int(1, 10000), e.At("rate").Float(0, 10000)
-	d.ZipfExponent, d.SmallScreenShare = e.At("zipf").FloatOr(0.9, 0, 5), e.At("small_screens").FloatOr(0.25, 0, 1)
-	d.BandwidthSpread, d.MaxLinkLoad = e.At("uneven").FloatOr(0.2, 0, 0.9), e.At("guard").FloatOr(1, 0, 100)
-	d.SetUpMs = pair(e.At("set_up_ms"), [2]float64{40, 120})
-	d.ListLateMs, d.IdleMs = e.At("list_late_ms").FloatOr(2000, 0, 3.6e6), e.At("idle_ms").FloatOr(6000, 100, 3.6e6)
-	d.KeepRecords = e.At("records").BoolOr(true)
-	w := e.At("viewers").Object(false)
-	d.MaxRetries, d.PauseMs = w.At("tries").IntOr(3, 0, 1000), w.At("pause_ms").FloatOr(1500, 0, 3.6e6)
-	d.RetryAfterShare, d.SocketShare = w.At("honour").FloatOr(0.6, 0, 1), w.At("sockets").FloatOr(0, 0, 1)
-	w.RejectUnknown()
-	for _, p := range e.At("products").List(true) {
+	dayValue := v.At("day").Object(true)
+	sc.Seconds, sc.Seed = dayValue.At("seconds").Float(1, 86400), uint64(dayValue.At("seed").IntOr(1, 0, 1<<53))
+	sc.Nodes, sc.ViewersPerSecond = dayValue.At("nodes").Int(1, 10000), dayValue.At("rate").Float(0, 10000)
+	sc.ZipfExponent, sc.SmallScreenShare = dayValue.At("zipf").FloatOr(0.9, 0, 5), dayValue.At("small_screens").FloatOr(0.25, 0, 1)
+	sc.BandwidthSpread, sc.MaxLinkLoad = dayValue.At("uneven").FloatOr(0.2, 0, 0.9), dayValue.At("guard").FloatOr(1, 0, 100)
+	sc.SetUpMs = readRange(dayValue.At("set_up_ms"), [2]float64{40, 120})
+	sc.ListLateMs, sc.IdleMs = dayValue.At("list_late_ms").FloatOr(2000, 0, 3.6e6), dayValue.At("idle_ms").FloatOr(6000, 100, 3.6e6)
+	sc.KeepRecords = dayValue.At("records").BoolOr(true)
+	viewersValue := dayValue.At("viewers").Object(false)
+	sc.MaxRetries, sc.PauseMs = viewersValue.At("tries").IntOr(3, 0, 1000), viewersValue.At("pause_ms").FloatOr(1500, 0, 3.6e6)
+	sc.RetryAfterShare, sc.SocketShare = viewersValue.At("honour").FloatOr(0.6, 0, 1), viewersValue.At("sockets").FloatOr(0, 0, 1)
+	viewersValue.RejectUnknown()
+	for _, p := range dayValue.At("products").List(true) {
 		p.Object(true)
-		n, ok := d.Service.ProductNumber(p.At("name").Text())
+		n, ok := sc.Service.ProductNumber(p.At("name").Text())
 		if !ok {
 			p.At("name").Report("the service has no such product")
 		}
-		d.Products = append(d.Products, ScenarioProduct{n, p.At("share").Float(0, 1), pair(p.At("watch_s"), [2]float64{20, 60})})
+		sc.Products = append(sc.Products, ScenarioProduct{n, p.At("share").Float(0, 1), readRange(p.At("watch_s"), [2]float64{20, 60})})
 		p.RejectUnknown()
 	}
-	for _, x := range e.At("faults").List(false) {
-		d.Faults = append(d.Faults, d.fault(x))
+	for _, x := range dayValue.At("faults").List(false) {
+		sc.Faults = append(sc.Faults, sc.readFault(x))
 	}
-	e.RejectUnknown()
+	dayValue.RejectUnknown()
 	v.RejectUnknown()
-	return d, doc.Err()
+	return sc, doc.Err()
 }
 
-func pair(v config.Value, or [2]float64) [2]float64 {
+// readRange reads a lower and an upper bound.
+func readRange(v config.Value, fallback [2]float64) [2]float64 {
 	if !v.Present() {
-		return or
+		return fallback
 	}
 	n := v.Floats(0, 3.6e6)
 	if len(n) != 2 || n[1] < n[0] {
-		v.Report("two numbers, the lower first, are needed here")
-		return or
+		v.Report("must be two numbers, the lower one first")
+		return fallback
 	}
 	return [2]float64{n[0], n[1]}
 }
 
-func (d *Scenario) fault(v config.Value) Fault {
+func (sc *Scenario) readFault(v config.Value) Fault {
 	v.Object(true)
-	f := Fault{At: v.At("at_s").Float(0, d.Seconds), Action: v.At("do").Text(), Duration: v.At("for_s").FloatOr(0, 0, 86400)}
-	kind, ok := faults[f.Action]
+	f := Fault{At: v.At("at_s").Float(0, sc.Seconds), Action: v.At("do").Text(), Duration: v.At("for_s").FloatOr(0, 0, 86400)}
+	kind, ok := faultKinds[f.Action]
 	if !ok {
 		v.At("do").Report("no such fault: %.40q", f.Action)
 		return f
@@ -164,25 +165,25 @@
 	switch kind.needs {
 	case "nodes":
 		for _, n := range v.At("nodes").List(true) {
-			f.Nodes = append(f.Nodes, n.Int(0, d.Nodes-1))
+			f.Nodes = append(f.Nodes, n.Int(0, sc.Nodes-1))
 		}
 	case "front":
-		f.Front = v.At("front").Int(0, d.Service.Fronts-1)
+		f.Front = v.At("front").Int(0, sc.Service.Fronts-1)
 	case "rack":
-		f.Rack = v.At("rack").Int(0, d.Service.Racks-1)
+		f.Rack = v.At("rack").Int(0, sc.Service.Racks-1)
 	case "zone":
 		name := v.At("zone").Text()
-		if f.Zone = slices.Index(d.Service.Zones, name); f.Zone < 0 {
+		if f.Zone = slices.Index(sc.Service.Zones, name); f.Zone < 0 {
 			v.At("zone").Report("the service has no such zone")
 		}
 	case "title":
 		f.Title = v.At("title").Text()
-		if _, ok := d.Service.Lookup(f.Title); !ok {
+		if _, ok := sc.Service.Lookup(f.Title); !ok {
 			v.At("title").Report("the service has no such title")
 		}
 	}
 	if f.Action == "ageing" && f.Duration <= 0 {
-		v.At("for_s").Report("how long they age is needed here")
+		v.At("for_s").Report("must be above 0 for ageing")
 	}
 	if kind.amount != "" {
 		f.Amount = v.At("amount").Float(0, 1e6)
@@ -193,7 +194,7 @@
 
 func (f Fault) String() string {
 	s := f.Action
-	switch faults[f.Action].needs {
+	switch faultKinds[f.Action].needs {
 	case "nodes":
 		s += fmt.Sprintf(" nodes %v", f.Nodes)
 	case "front":
--- a/testbed/list.go
+++ b/testbed/list.go
@@ -12,63 +12,63 @@
 	"gullrail/testbed/trace"
 )
 
-// ListService is the stand-in list service: it knows the fleet and tells each front late.
+// ListService is the emulated list service. It sends the list of nodes and its changes to fronts, after a delay.
 type ListService struct {
-	tape   *trace.Recorder
-	mu     sync.Mutex
-	lines  map[string]nodes.Line
-	order  []string
-	past   []nodes.Change // by version, from 1
-	due    []time.Time    // when each may be told
-	woken  chan struct{}  // closed at each change
-	late   time.Duration
-	server *http.Server
-	addr   string
-	wg     sync.WaitGroup
+	recorder *trace.Recorder
+	mu       sync.Mutex
+	current  map[string]nodes.Line
+	names    []string       // in order of first appearance
+	changes  []nodes.Change // in order of versions, the first is version 1
+	sendAt   []time.Time    // earliest time to send each change
+	changed  chan struct{}  // closed and replaced at each change
+	delay    time.Duration
+	server   *http.Server
+	addr     string
+	wg       sync.WaitGroup
 }
 
-// NewListService makes a list service that tells changes so late.
-func NewListService(t *trace.Recorder, late time.Duration) *ListService {
-	return &ListService{tape: t, lines: map[string]nodes.Line{}, woken: make(chan struct{}), late: late}
+// NewListService returns a list service that sends changes after a delay.
+func NewListService(t *trace.Recorder, delay time.Duration) *ListService {
+	return &ListService{recorder: t, current: map[string]nodes.Line{}, changed: make(chan struct{}), delay: delay}
 }
 
-// UpdateNodes enters what became of some nodes, as one version.
+// UpdateNodes records changes of nodes as one new version of the list. The first version is sent without delay.
 func (s *ListService) UpdateNodes(lines ...nodes.Line) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range lines {
-		if _, ok := s.lines[l.Name]; !ok {
-			s.order = append(s.order, l.Name)
+		if _, ok := s.current[l.Name]; !ok {
+			s.names = append(s.names, l.Name)
 		}
-		s.lines[l.Name] = l
+		s.current[l.Name] = l
 	}
-	at := time.Now().Add(s.late)
-	if k := len(s.due); k > 0 && s.due[k-1].After(at) {
-		at = s.due[k-1] // changes are told in their order
+	sendAt := time.Now().Add(s.delay)
+	if k := len(s.sendAt); k > 0 && s.sendAt[k-1].After(sendAt) {
+		sendAt = s.sendAt[k-1] // changes are sent in order
 	}
-	if len(s.past) == 0 {
-		at = time.Now()
+	if len(s.changes) == 0 {
+		sendAt = time.Now()
 	}
-	s.past = append(s.past, nodes.Change{Version: int64(len(s.past) + 1), Nodes: lines})
-	s.due = append(s.due, at)
-	s.wake()
+	s.changes = append(s.changes, nodes.Change{Version: int64(len(s.changes) + 1), Nodes: lines})
+	s.sendAt = append(s.sendAt, sendAt)
+	s.notify()
 }
 
-func (s *ListService) wake() {
-	close(s.woken)
-	s.woken = make(chan struct{})
+func (s *ListService) notify() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// SetDelay changes how late changes are told from now on.
+// SetDelay sets the delay of future changes.
 func (s *ListService) SetDelay(d time.Duration) {
 	s.mu.Lock()
-	s.late = d
+	s.delay = d
 	s.mu.Unlock()
 }
 
-// Start opens the service's socket at an address.
+// Start listens at an address and serves the list there.
 func (s *ListService) Start(addr string) error {
-	listen, err := listenAgain(addr)
+	listen, err := listenWithRetry(addr)
 	if err != nil {
 		return err
 	}
@@ -81,45 +81,46 @@
 	return nil
 }
 
-// Stop cuts the service off.
+// Stop closes the listener and all connections. Start may be called again.
 func (s *ListService) Stop() {
 	s.server.Close()
 	s.wg.Wait()
 }
 
+// serve streams the full list and then its changes to one front, with a heartbeat every second.
 func (s *ListService) serve(w http.ResponseWriter, r *http.Request) {
 	front := r.URL.Query().Get("front")
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	sent := 0
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	heartbeat := time.NewTicker(time.Second)
+	defer heartbeat.Stop()
 	for {
 		s.mu.Lock()
-		woken := s.woken
+		changed := s.changed
 		var next []nodes.Change
 		var wait time.Duration = time.Hour
-		for v := sent; v < len(s.past); v++ {
-			if d := time.Until(s.due[v]); d > 0 {
+		for v := sent; v < len(s.changes); v++ {
+			if d := time.Until(s.sendAt[v]); d > 0 {
 				wait = d
 				break
 			}
-			next = append(next, s.past[v])
+			next = append(next, s.changes[v])
 		}
-		if sent == 0 && len(next) > 0 { // the whole list, as old as its last version that is due
+		if sent == 0 && len(next) > 0 { // the full list, as of the last version that is due
 			last := next[len(next)-1].Version
-			at := map[string]nodes.Line{}
+			latest := map[string]nodes.Line{}
 			for _, c := range next {
 				for _, l := range c.Nodes {
-					at[l.Name] = l
+					latest[l.Name] = l
 				}
 			}
-			whole := nodes.Change{Version: last, Full: true}
-			for _, name := range s.order {
-				if l, ok := at[name]; ok && l.Phase != "gone" {
-					whole.Nodes = append(whole.Nodes, l)
+			full := nodes.Change{Version: last, Full: true}
+			for _, name := range s.names {
+				if l, ok := latest[name]; ok && l.Phase != "gone" {
+					full.Nodes = append(full.Nodes, l)
 				}
 			}
-			next = []nodes.Change{whole}
+			next = []nodes.Change{full}
 		}
 		s.mu.Unlock()
 		for _, c := range next {
@@ -128,25 +129,25 @@
 			}
 			sent = int(c.Version)
 			for _, l := range c.Nodes {
-				s.tape.Add(trace.Event{Kind: trace.ListSent, Front: front, Node: l.Name, Note: l.Phase})
+				s.recorder.Add(trace.Event{Kind: trace.ListSent, Front: front, Node: l.Name, Note: l.Phase})
 			}
 		}
 		if flush.Flush() != nil {
 			return
 		}
-		due := time.NewTimer(wait)
+		timer := time.NewTimer(wait)
 		select {
-		case <-due.C:
-		case <-woken:
-		case <-beat.C:
+		case <-timer.C:
+		case <-changed:
+		case <-heartbeat.C:
 			if enc.Encode(nodes.Change{Beat: true, Version: int64(sent)}) != nil {
-				due.Stop()
+				timer.Stop()
 				return
 			}
 		case <-r.Context().Done():
-			due.Stop()
+			timer.Stop()
 			return
 		}
-		due.Stop()
+		timer.Stop()
 	}
 }
--- a/testbed/load.go
+++ b/testbed/load.go
@@ -17,31 +17,31 @@
 	"gullrail/dash"
 )
 
-// Load asks fronts for plays in an open loop: each request has its time, whether earlier ones were
-// answered or not, and its latency counts from that time, so that a front that stands still is not
-// spared the requests that came meanwhile.
+// Load requests plays from fronts in an open loop: the send time of each request is independent of the answers
+// to earlier ones, and latency is measured from that time. Measurements thus include the requests that queue
+// up while a front stalls.
 type Load struct {
-	Scenario       *Scenario // its products' shares, its titles by their Zipf, its seed
+	Scenario       *Scenario // supplies the mix of products, the distribution of titles and the seed
 	Fronts         []FrontAddress
-	PlaysPerSecond float64       // new plays a second
-	Duration       time.Duration // of asking
-	PlayTime       time.Duration // a play that plays is left after this
-	Name           string        // of this run, so that its viewers are nobody else's
+	PlaysPerSecond float64
+	Duration       time.Duration // of the request phase
+	PlayTime       time.Duration // time from a successful answer to the end of the play
+	Name           string        // prefix of viewer names, unique to the run
 }
 
-// LoadResult is what a load run saw.
+// LoadResult holds the measurements of a load run.
 type LoadResult struct {
 	Requests, Plays, Declined, Failed, Broken int
-	Latency                                   *hdrhistogram.Histogram // microseconds, of all that were answered
-	MetricsBefore, MetricsAfter               []map[string]float64    // metrics of each front
+	Latency                                   *hdrhistogram.Histogram // microseconds, over all answered requests
+	MetricsBefore, MetricsAfter               []map[string]float64    // by front, in the order of Load.Fronts
 	Took                                      time.Duration
 }
 
-const loadRedials = 4096 // connections kept to a front, so that the tool measures no handshakes
+const idleConnsPerFront = 4096 // high enough to reuse connections, so that latencies exclude handshakes
 
-// Run runs the load and waits for its last answer.
+// Run runs the load and returns after the last request has been answered and its play has ended.
 func (l *Load) Run(ctx context.Context) (*LoadResult, error) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: loadRedials, MaxIdleConns: loadRedials * len(l.Fronts)},
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnsPerFront, MaxIdleConns: idleConnsPerFront * len(l.Fronts)},
 		Timeout: 30 * time.Second}
 	defer client.CloseIdleConnections()
 	res := &LoadResult{Latency: hdrhistogram.New(1, 60_000_000, 3)}
@@ -49,18 +49,18 @@
 	if res.MetricsBefore, err = l.scrape(ctx, client); err != nil {
 		return nil, err
 	}
-	day := *l.Scenario
-	day.ViewersPerSecond, day.Seconds = l.PlaysPerSecond, l.Duration.Seconds()
+	scenario := *l.Scenario
+	scenario.ViewersPerSecond, scenario.Seconds = l.PlaysPerSecond, l.Duration.Seconds()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	start, n := time.Now(), 0
-	for a := range day.arrivals(len(l.Fronts)) {
-		due := start.Add(time.Duration(a.at * float64(time.Second)))
-		q := url.Values{"product": {a.v.Product.Name}, "viewer": {l.Name + "-" + a.v.Name}}
-		target := "http://" + l.Fronts[n%len(l.Fronts)].Address + "/v1/titles/" + url.PathEscape(a.v.Title) + "/manifest.mpd?" + q.Encode()
+	for a := range scenario.arrivals(len(l.Fronts)) {
+		scheduled := start.Add(time.Duration(a.at * float64(time.Second)))
+		q := url.Values{"product": {a.viewer.Product.Name}, "viewer": {l.Name + "-" + a.viewer.Name}}
+		target := "http://" + l.Fronts[n%len(l.Fronts)].Address + "/v1/titles/" + url.PathEscape(a.viewer.Title) + "/manifest.mpd?" + q.Encode()
 		n++
 		select {
-		case <-time.After(time.Until(due)):
+		case <-time.After(time.Until(scheduled)):
 		case <-ctx.Done():
 			wg.Wait()
 			return nil, ctx.Err()
@@ -68,8 +68,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			status, location := get(ctx, client, target)
-			took := time.Since(due)
+			status, location := requestManifest(ctx, client, target)
+			took := time.Since(scheduled)
 			mu.Lock()
 			res.Requests++
 			switch status {
@@ -115,7 +115,9 @@
 	return res, nil
 }
 
-func get(ctx context.Context, client *http.Client, target string) (status int, location string) {
+// requestManifest requests a play. It returns the status, 0 without a valid answer, and the URL of the play if
+// the request succeeded.
+func requestManifest(ctx context.Context, client *http.Client, target string) (status int, location string) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return 0, ""
@@ -143,9 +145,10 @@
 	return resp.StatusCode, ""
 }
 
-// scrape reads the plain metrics of each front: those without labels but the front's name.
+// scrape reads the metrics of each front by name. Labels are dropped, so values are only meaningful for metrics
+// without labels other than the name of the front.
 func (l *Load) scrape(ctx context.Context, client *http.Client) ([]map[string]float64, error) {
-	var all []map[string]float64
+	var metrics []map[string]float64
 	for _, f := range l.Fronts {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.Address+"/metrics", nil)
 		if err != nil {
@@ -165,12 +168,12 @@
 			}
 		}
 		resp.Body.Close()
-		all = append(all, m)
+		metrics = append(metrics, m)
 	}
-	return all, nil
+	return metrics, nil
 }
 
-// MetricIncrease is how much a metric grew over the run, all fronts together.
+// MetricIncrease returns the increase of a metric over the request phase, summed over all fronts.
 func (r *LoadResult) MetricIncrease(name string) (sum float64) {
 	for i := range r.MetricsAfter {
 		sum += r.MetricsAfter[i][name] - r.MetricsBefore[i][name]
@@ -178,7 +181,7 @@
 	return sum
 }
 
-// MetricAtEnd is a metric at the end of asking, all fronts together.
+// MetricAtEnd returns the value of a metric at the end of the request phase, summed over all fronts.
 func (r *LoadResult) MetricAtEnd(name string) (sum float64) {
 	for i := range r.MetricsAfter {
 		sum += r.MetricsAfter[i][name]
@@ -186,16 +189,16 @@
 	return sum
 }
 
-// FrontAddress is a front as viewers reach it.
+// FrontAddress is the name of a front and the host and port at which it serves viewers.
 type FrontAddress struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
 }
 
-// Fronts are those that Start started.
-func (r *Rehearsal) Fronts() (all []FrontAddress) {
+// Fronts returns the fronts that Start started.
+func (r *Rehearsal) Fronts() (addresses []FrontAddress) {
 	for _, f := range r.fronts {
-		all = append(all, FrontAddress{f.name, f.addr})
+		addresses = append(addresses, FrontAddress{f.name, f.addr})
 	}
-	return all
+	return addresses
 }
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -41,7 +41,7 @@
 	})
 	r.fleet.mu.Lock()
 	for _, n := range r.nodes {
-		n.given = 4000
+		n.linkKB = 4000
 	}
 	r.fleet.mu.Unlock()
 	moved := *r.set
@@ -107,7 +107,7 @@
 			asking.Add(1)
 			go func() {
 				defer asking.Done()
-				players.ask(context.Background(), v, i, players.firstURL(v, i, v.WatchTime), "", true, false)
+				players.requestManifest(context.Background(), v, i, players.initialURL(v, i, v.WatchTime), "", true, false)
 			}()
 		}
 		asking.Wait()
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -1,5 +1,7 @@
-// Package testbed holds the stand-ins that the project rehearses against: playout nodes, the list service
-// and viewers, with the faults of a script. Nothing of the product imports it.
+// Package testbed runs front ends against emulated playout nodes, an emulated list service and emulated
+// viewers, and injects the faults of a scenario. Rehearsal does so on loopback sockets in real time, Sim
+// without sockets in simulated time. Load generates load on running front ends. The serving code does not
+// import this package.
 package testbed
 
 import (
@@ -28,50 +30,52 @@
 	"gullrail/token"
 )
 
-// DeliveredShareHeader tells a simulated player what share of its rate it is delivered: the stand-in's segments are
-// small, and its links are reckoned, not filled.
+// DeliveredShareHeader is a response header of segments that tells an emulated viewer which share of its
+// bit rate is delivered. Emulated nodes send small segments and compute link usage instead of filling a link.
 const DeliveredShareHeader = "Lab-Share"
 
-// suggested is CTA-5006's dynamic response header; its key mb suggests the most bitrate, in kbit/s.
-const suggested = "CMSD-Dynamic"
+// suggestedRateHeader is the dynamic response header of CTA-5006; its key mb is the maximum suggested bit
+// rate in kbit/s.
+const suggestedRateHeader = "CMSD-Dynamic"
 
-// Fleet is all stand-in nodes and what they share: racks with their uplinks. One lock covers it, as
-// the figures of a rack need those of all its nodes.
+// Fleet holds the emulated nodes of this process and the uplinks of their racks. A single lock guards all of
+// it, because the load of an uplink depends on all nodes of the rack.
 type Fleet struct {
-	set     *config.Service
-	check   *token.Checker
-	tape    *trace.Recorder
-	setUpMs [2]float64 // a set-up takes from so long to so long
-	idle    time.Duration
-	tls     *tls.Config // nil speaks plainly
-	guard   float64     // set-ups are turned away while so much of the link is asked; 0 is never
-
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	nodes map[string]*Node
-	racks []rack
-	late  float64 // seconds that loads and shares are told later
-	apart int     // zone that is cut off, from 1; 0 is none
-}
-
-// cut cuts a zone off from the others, or none for -1. The lock is held.
-func (f *Fleet) cut(zone int) { f.apart = zone + 1 }
-
-// reaches tells that a front and this node are on one side of a cut. The lock is held.
-func (n *Node) reaches(front string) bool {
-	apart, zones := n.fleet.apart, n.fleet.set.Zones
-	if apart == 0 {
+	service      *config.Service
+	tokenChecker *token.Checker
+	recorder     *trace.Recorder
+	setUpMs      [2]float64 // shortest and longest duration of a set-up
+	idleTimeout  time.Duration
+	tls          *tls.Config // nil serves without TLS
+	maxLinkLoad  float64     // set-ups are refused while the link load is at least this; 0 disables the check
+
+	mu           sync.Mutex
+	random       *rand.Rand
+	nodes        map[string]*Node
+	racks        []rack
+	reportDelay  float64 // seconds by which a fault delays reported loads and delivered shares
+	isolatedZone int     // 1 + index of the zone isolated by a fault; 0 is none
+}
+
+// isolateZone isolates a zone from all others; -1 ends the isolation. The caller holds the lock.
+func (f *Fleet) isolateZone(zone int) { f.isolatedZone = zone + 1 }
+
+// canReach reports whether no zone isolation separates the front from this node. A front's zone follows from
+// the number in its name. The caller holds the lock.
+func (n *Node) canReach(front string) bool {
+	isolated, zones := n.fleet.isolatedZone, n.fleet.service.Zones
+	if isolated == 0 {
 		return true
 	}
 	number, err := strconv.Atoi(strings.TrimPrefix(front, "f"))
-	return err != nil || (number%len(zones) == apart-1) == (n.line.Zone == zones[apart-1])
+	return err != nil || (number%len(zones) == isolated-1) == (n.line.Zone == zones[isolated-1])
 }
 
-// cutOff hangs up on a front that can't reach this node: a cut without privileges is a connection that
-// breaks at once.
-func (n *Node) cutOff(w http.ResponseWriter, front string) bool {
+// closeIfUnreachable closes the connection of a front that can't reach this node, and reports whether it
+// did. Dropping packets would need privileges, so isolation is emulated by connections that break at once.
+func (n *Node) closeIfUnreachable(w http.ResponseWriter, front string) bool {
 	n.fleet.mu.Lock()
-	ok := n.reaches(front)
+	ok := n.canReach(front)
 	n.fleet.mu.Unlock()
 	if ok {
 		return false
@@ -82,55 +86,59 @@
 	return true
 }
 
+// rack holds the uplink of a rack.
 type rack struct {
-	given   float64 // kB a second
-	divided float64 // by a fault
+	uplinkKB      float64 // capacity in kB/s
+	uplinkDivisor float64 // by which a fault divides the capacity; 1 is no fault
 }
 
-// Node is one stand-in playout node.
+// Node is an emulated playout node.
 type Node struct {
 	fleet  *Fleet
 	line   nodes.Line
 	cell   int
 	server *http.Server
 	ctx    context.Context
-	kill   context.CancelFunc
+	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	// Under the fleet's lock.
-	up       bool
-	fallen   bool
-	draining bool
-	life     int64
-	mark     int64
-	coldAt   time.Time // start of a cold process; zero is warm
-	plays    map[string]*running
-	streams  map[string]*stream
-	epochs   map[string]int64
-	setUps   []time.Time
-	shares   []shareAt
-	given    float64 // kB a second
-
-	silent chan struct{} // closed when a silence ends; nil when there is none
-	vanish float64       // share of answers that vanish
-	errors float64       // share of set-ups that fail
-	slow   float64       // set-ups take so many times as long
-	taken  float64       // share of the link that another program takes
-}
-
-type shareAt struct {
+	// Guarded by the fleet's lock.
+	up         bool
+	overloaded bool                 // the last set-up on a cold process exceeded its allowance
+	draining   bool                 // refuses set-ups
+	life       int64                // identifies the process; start time in Unix nanoseconds
+	mark       int64                // number of plays started by this process
+	coldSince  time.Time            // start of a cold process; zero if the process is warm
+	plays      map[string]*nodePlay // by play, set-ups in progress included
+	streams    map[string]*stream   // latest note stream by front
+	epochs     map[string]int64     // highest epoch seen by front
+	coldSetUps []time.Time          // set-ups on a cold process within the overload window
+	samples    []loadSample         // one per second, the last 64
+	linkKB     float64              // link capacity in kB/s
+
+	// Set by faults, guarded by the fleet's lock.
+	silenceEnd      chan struct{} // closed at the end of a silence; nil without one
+	lostAnswerShare float64       // share of set-ups that succeed without an answer
+	errorShare      float64       // share of set-ups that fail
+	setUpSlowdown   float64       // factor on the duration of set-ups
+	linkShareTaken  float64       // share of the link used by other traffic
+}
+
+// loadSample holds the loads of a node and the delivered share of the bit rate at one time.
+type loadSample struct {
 	at           time.Time
 	share        float64
 	link, uplink float64
 }
 
-// told is what the node tells of its loads: as they are, or as they were where reports are late.
-func (n *Node) told() (link, uplink float64) {
+// reportedLoads returns the loads that the node reports: the current ones, or earlier ones if a fault delays
+// reports.
+func (n *Node) reportedLoads() (link, uplink float64) {
 	link, uplink = n.loads()
-	if n.fleet.late > 0 {
-		old := time.Now().Add(-time.Duration(n.fleet.late * float64(time.Second)))
-		for _, s := range n.shares {
-			if link, uplink = s.link, s.uplink; s.at.After(old) {
+	if n.fleet.reportDelay > 0 {
+		asOf := time.Now().Add(-time.Duration(n.fleet.reportDelay * float64(time.Second)))
+		for _, sample := range n.samples {
+			if link, uplink = sample.link, sample.uplink; sample.at.After(asOf) {
 				break
 			}
 		}
@@ -138,99 +146,108 @@
 	return link, uplink
 }
 
-type running struct {
+// nodePlay is a play on a node, from the arrival of its set-up on.
+type nodePlay struct {
 	nodes.Play
-	front    string
-	product  *config.Product
-	playing  bool
-	began    time.Time
-	until    time.Time
-	lastUsed time.Time
+	front      string
+	product    *config.Product
+	playing    bool // the set-up has succeeded
+	startedAt  time.Time
+	endsAt     time.Time // as stated by the set-up; zero if not stated
+	lastActive time.Time // start or last segment request
 }
 
+// stream is the note stream of one front.
 type stream struct {
-	notes  chan nodes.Note
-	goneAt time.Time // zero while it is open
+	notes    chan nodes.Note
+	closedAt time.Time // zero while it is open
 }
 
-func (f *Fleet) rate(r *running) float64 { return f.set.RatesKB[r.Rung] * r.product.RateFactor }
+// rateKB returns the bit rate of a play in kB/s.
+func (f *Fleet) rateKB(r *nodePlay) float64 { return f.service.RatesKB[r.Rung] * r.product.RateFactor }
 
-// asked is what is asked of a node's link, kB a second.
-func (n *Node) asked() (sum float64) {
+// demandKB returns the sum of the bit rates of the node's plays in kB/s.
+func (n *Node) demandKB() (sum float64) {
 	for _, r := range n.plays {
-		sum += n.fleet.rate(r)
+		sum += n.fleet.rateKB(r)
 	}
 	return sum
 }
 
-func (n *Node) warmth() float64 {
-	if n.coldAt.IsZero() {
+// warmUpShare returns the share of the link capacity that the process can use. It grows from ColdShare to 1
+// over ColdDurationMs after a cold start.
+func (n *Node) warmUpShare() float64 {
+	if n.coldSince.IsZero() {
 		return 1
 	}
-	age := float64(time.Since(n.coldAt).Milliseconds())
-	return min(1, n.fleet.set.ColdShare+(1-n.fleet.set.ColdShare)*age/n.fleet.set.ColdDurationMs)
+	age := float64(time.Since(n.coldSince).Milliseconds())
+	return min(1, n.fleet.service.ColdShare+(1-n.fleet.service.ColdShare)*age/n.fleet.service.ColdDurationMs)
 }
 
-func (n *Node) link() float64 { return n.given * (1 - n.taken) * n.warmth() }
+// capacityKB returns the link capacity in kB/s that is available to plays now.
+func (n *Node) capacityKB() float64 { return n.linkKB * (1 - n.linkShareTaken) * n.warmUpShare() }
 
-// loads are what is asked of the link and of the rack's uplink over what they give.
+// loads returns demand divided by capacity, for the node's link and its rack's uplink.
 func (n *Node) loads() (link, uplink float64) {
 	f := n.fleet
-	rk := n.cell % len(f.racks)
+	rackNumber := n.cell % len(f.racks)
 	sum := 0.0
-	for _, o := range f.nodes {
-		if o.cell%len(f.racks) == rk {
-			sum += o.asked()
+	for _, other := range f.nodes {
+		if other.cell%len(f.racks) == rackNumber {
+			sum += other.demandKB()
 		}
 	}
-	return n.asked() / n.link(), sum * f.racks[rk].divided / f.racks[rk].given
+	return n.demandKB() / n.capacityKB(), sum * f.racks[rackNumber].uplinkDivisor / f.racks[rackNumber].uplinkKB
 }
 
-func (n *Node) share() float64 {
+// deliveredShare returns the share of their bit rate that the node's plays receive.
+func (n *Node) deliveredShare() float64 {
 	link, uplink := n.loads()
 	return 1 / max(1, link, uplink)
 }
 
-// start opens the node's socket and runs a process's life.
+// start opens the node's socket and emulates the start of a process on it. A cold process has a reduced link
+// capacity and fails if it gets too many set-ups.
 func (n *Node) start(cold bool) error {
-	listen, err := listenAgain(n.line.Address)
+	listen, err := listenWithRetry(n.line.Address)
 	if err != nil {
-		return fmt.Errorf("stand-in node %s: %w", n.line.Name, err)
+		return fmt.Errorf("emulated node %s: %w", n.line.Name, err)
 	}
 	f := n.fleet
 	if f.tls != nil {
 		listen = tls.NewListener(listen, f.tls)
 	}
 	f.mu.Lock()
-	n.ctx, n.kill = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	n.up, n.draining, n.life, n.mark = true, false, time.Now().UnixNano(), 0
-	n.plays, n.streams, n.setUps, n.shares = map[string]*running{}, map[string]*stream{}, nil, nil
+	n.plays, n.streams, n.coldSetUps, n.samples = map[string]*nodePlay{}, map[string]*stream{}, nil, nil
 	n.epochs = map[string]int64{}
-	n.coldAt = time.Time{}
+	n.coldSince = time.Time{}
 	note := "warm"
 	if cold {
-		n.coldAt, note = time.Now(), "cold"
+		n.coldSince, note = time.Now(), "cold"
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/plays/{play}", n.setUp)
-	mux.HandleFunc("PUT /v1/plays/{play}/rung", n.setRung)
-	mux.HandleFunc("DELETE /v1/plays/{play}", n.endPlay)
-	mux.HandleFunc("GET /v1/load", n.load)
+	mux.HandleFunc("POST /v1/plays/{play}", n.serveSetUp)
+	mux.HandleFunc("PUT /v1/plays/{play}/rung", n.serveSetRung)
+	mux.HandleFunc("DELETE /v1/plays/{play}", n.serveEndPlay)
+	mux.HandleFunc("GET /v1/load", n.serveLoad)
 	mux.HandleFunc("GET /v1/stream", n.serveStream)
-	mux.HandleFunc("GET /v1/media/{token}/{title}/{rep}/{seg}", n.media)
+	mux.HandleFunc("GET /v1/media/{token}/{title}/{rep}/{seg}", n.serveMedia)
 	ctx := n.ctx
 	n.server = &http.Server{Handler: mux, BaseContext: func(net.Listener) context.Context { return ctx }}
 	server := n.server
-	f.tape.Add(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
+	f.recorder.Add(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
 	f.mu.Unlock()
 	n.wg.Add(2)
 	go func() { defer n.wg.Done(); server.Serve(listen) }()
-	go func() { defer n.wg.Done(); n.tick(ctx) }()
+	go func() { defer n.wg.Done(); n.runPeriodic(ctx) }()
 	return nil
 }
 
-// listenAgain opens a port that was closed a moment ago.
-func listenAgain(addr string) (l net.Listener, err error) {
+// listenWithRetry listens at an address for up to a second: the address may have been closed a moment ago
+// and still be in use.
+func listenWithRetry(addr string) (l net.Listener, err error) {
 	for range 50 {
 		if l, err = net.Listen("tcp", addr); err == nil {
 			return l, nil
@@ -240,46 +257,47 @@
 	return nil, err
 }
 
-// crash ends the process at once: its sockets are cut, its plays are lost.
-func (n *Node) crash(what string) {
+// crash emulates the death of the process: it closes all connections, loses all plays and records an event
+// of the given kind.
+func (n *Node) crash(eventKind string) {
 	n.fleet.mu.Lock()
 	if !n.up {
 		n.fleet.mu.Unlock()
 		return
 	}
 	n.up = false
-	n.plays = map[string]*running{}
-	n.fleet.tape.Add(trace.Event{Kind: what, Node: n.line.Name})
+	n.plays = map[string]*nodePlay{}
+	n.fleet.recorder.Add(trace.Event{Kind: eventKind, Node: n.line.Name})
 	n.fleet.mu.Unlock()
-	n.kill()
+	n.cancel()
 	n.server.Close()
 }
 
-// hush makes the node silent until the returned function is called: it takes connections and requests, and
-// answers nothing.
-func (n *Node) hush() (end func()) {
+// silence makes the node accept connections and requests without answering any, until the returned function
+// is called.
+func (n *Node) silence() (end func()) {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
-	silent := make(chan struct{})
-	n.silent = silent
+	silenceEnd := make(chan struct{})
+	n.silenceEnd = silenceEnd
 	return func() {
 		n.fleet.mu.Lock()
-		if n.silent == silent {
-			n.silent = nil
+		if n.silenceEnd == silenceEnd {
+			n.silenceEnd = nil
 		}
 		n.fleet.mu.Unlock()
-		close(silent)
+		close(silenceEnd)
 	}
 }
 
-// hushed waits while the node is silent; false says that the request is over.
-func (n *Node) hushed(ctx context.Context) bool {
+// waitForSilenceEnd waits while the node is silent. It returns false if ctx ends first.
+func (n *Node) waitForSilenceEnd(ctx context.Context) bool {
 	n.fleet.mu.Lock()
-	silent := n.silent
+	silenceEnd := n.silenceEnd
 	n.fleet.mu.Unlock()
-	if silent != nil {
+	if silenceEnd != nil {
 		select {
-		case <-silent:
+		case <-silenceEnd:
 		case <-ctx.Done():
 			return false
 		}
@@ -287,127 +305,129 @@
 	return true
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(body)
 }
 
-func (n *Node) report(w http.ResponseWriter) {
-	link, uplink := n.told()
+// setLoadHeader sets the response header with the reported loads. The caller holds the fleet's lock.
+func (n *Node) setLoadHeader(w http.ResponseWriter) {
+	link, uplink := n.reportedLoads()
 	l := decision.Load{Streams: float64(len(n.plays)), Link: link, Uplink: -1}
-	if n.fleet.set.ReportUplinks {
+	if n.fleet.service.ReportUplinks {
 		l.Uplink = uplink
 	}
 	w.Header().Set(nodes.LoadHeader, nodes.FormatLoad(l))
 }
 
-func (n *Node) setUp(w http.ResponseWriter, r *http.Request) {
+func (n *Node) serveSetUp(w http.ResponseWriter, r *http.Request) {
 	f, id := n.fleet, r.PathValue("play")
-	var ask nodes.SetUp
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&ask); err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{NeverRan: true, Reason: err.Error()})
+	var request nodes.SetUp
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&request); err != nil {
+		writeJSON(w, http.StatusBadRequest, nodes.Refusal{NeverRan: true, Reason: err.Error()})
 		return
 	}
-	if n.cutOff(w, ask.Front) {
+	if n.closeIfUnreachable(w, request.Front) {
 		return
 	}
-	line := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: ask.Front, Play: id, Attempt: ask.Attempt, Product: ask.Product,
-		Title: ask.Title, Viewer: ask.Viewer, Rung: ask.Rung}
-	f.tape.Add(line)
-	ends := func(what, why string) { line.Kind, line.Note = what, why; f.tape.Add(line) }
+	event := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: request.Front, Play: id, Attempt: request.Attempt, Product: request.Product,
+		Title: request.Title, Viewer: request.Viewer, Rung: request.Rung}
+	f.recorder.Add(event)
+	recordEnd := func(eventKind, note string) { event.Kind, event.Note = eventKind, note; f.recorder.Add(event) }
 	f.mu.Lock()
-	wait := time.Duration((f.setUpMs[0] + f.rnd.Float64()*(f.setUpMs[1]-f.setUpMs[0])) * n.slow * float64(time.Millisecond))
-	fails, vanishes := f.rnd.Float64() < n.errors, f.rnd.Float64() < n.vanish
-	refusal, p := n.refusal(&ask, id)
+	delay := time.Duration((f.setUpMs[0] + f.random.Float64()*(f.setUpMs[1]-f.setUpMs[0])) * n.setUpSlowdown * float64(time.Millisecond))
+	fails, answerLost := f.random.Float64() < n.errorShare, f.random.Float64() < n.lostAnswerShare
+	refusal, p := n.refusalReason(&request, id)
 	if refusal == "" {
-		number, _ := f.set.ProductNumber(ask.Product)
-		p = &running{Play: nodes.Play{Play: id, Epoch: ask.Epoch, Attempt: ask.Attempt, Product: ask.Product, Title: ask.Title,
-			Viewer: ask.Viewer, Rung: ask.Rung, Seq: ask.Seq, MaxRung: ask.MaxRung}, front: ask.Front, product: &f.set.Products[number]}
-		n.plays[id] = p // it takes its place, and its part of the link, from here on
-		n.epochs[ask.Front] = max(n.epochs[ask.Front], ask.Epoch)
+		number, _ := f.service.ProductNumber(request.Product)
+		p = &nodePlay{Play: nodes.Play{Play: id, Epoch: request.Epoch, Attempt: request.Attempt, Product: request.Product, Title: request.Title,
+			Viewer: request.Viewer, Rung: request.Rung, Seq: request.Seq, MaxRung: request.MaxRung}, front: request.Front, product: &f.service.Products[number]}
+		n.plays[id] = p // uses a stream and its share of the link from here on
+		n.epochs[request.Front] = max(n.epochs[request.Front], request.Epoch)
 	}
-	fell := n.pushed()
+	overloaded := n.countColdSetUp()
 	f.mu.Unlock()
-	if fell {
+	if overloaded {
 		n.crash(trace.Overloaded)
 		return
 	}
 	if refusal != "" {
-		if !n.hushed(r.Context()) {
-			ends(trace.Dropped, "silent")
+		if !n.waitForSilenceEnd(r.Context()) {
+			recordEnd(trace.Dropped, "silent")
 			return
 		}
-		ends(trace.Refused, refusal)
+		recordEnd(trace.Refused, refusal)
 		f.mu.Lock()
-		if f.set.ReportMode == "answers" {
-			n.report(w)
+		if f.service.ReportMode == "answers" {
+			n.setLoadHeader(w)
 		}
 		f.mu.Unlock()
-		answer(w, http.StatusServiceUnavailable, nodes.Refusal{NeverRan: true, Reason: refusal})
+		writeJSON(w, http.StatusServiceUnavailable, nodes.Refusal{NeverRan: true, Reason: refusal})
 		return
 	}
 	select {
-	case <-time.After(wait):
+	case <-time.After(delay):
 	case <-r.Context().Done():
 	}
-	if r.Context().Err() != nil || !n.hushed(r.Context()) {
-		n.drop(id, p)
+	if r.Context().Err() != nil || !n.waitForSilenceEnd(r.Context()) {
+		n.removePlay(id, p)
 		if n.ctx.Err() == nil {
-			ends(trace.Dropped, "the front let go")
+			recordEnd(trace.Dropped, "the front let go")
 		}
 		return
 	}
 	if fails {
-		n.drop(id, p)
-		ends(trace.Errored, "")
-		answer(w, http.StatusInternalServerError, nodes.Refusal{Reason: "fault"})
+		n.removePlay(id, p)
+		recordEnd(trace.Errored, "")
+		writeJSON(w, http.StatusInternalServerError, nodes.Refusal{Reason: "fault"})
 		return
 	}
 	f.mu.Lock()
-	if n.plays[id] != p { // ended while it was set up
+	if n.plays[id] != p { // ended during the set-up
 		f.mu.Unlock()
-		ends(trace.Errored, "ended")
-		answer(w, http.StatusGone, nodes.Refusal{Reason: "ended"})
+		recordEnd(trace.Errored, "ended")
+		writeJSON(w, http.StatusGone, nodes.Refusal{Reason: "ended"})
 		return
 	}
 	n.mark++
-	p.playing, p.began, p.lastUsed = true, time.Now(), time.Now()
-	if ask.LengthMs > 0 {
-		p.until = time.Now().Add(time.Duration(ask.LengthMs) * time.Millisecond)
+	p.playing, p.startedAt, p.lastActive = true, time.Now(), time.Now()
+	if request.LengthMs > 0 {
+		p.endsAt = time.Now().Add(time.Duration(request.LengthMs) * time.Millisecond)
 	}
-	out := nodes.Started{Life: n.life, Mark: n.mark, Rung: p.Rung}
-	if f.set.ReportMode == "answers" {
-		n.report(w)
+	started := nodes.Started{Life: n.life, Mark: n.mark, Rung: p.Rung}
+	if f.service.ReportMode == "answers" {
+		n.setLoadHeader(w)
 	}
 	f.mu.Unlock()
-	if vanishes { // it runs, and nobody is told
+	if answerLost { // the play runs, but the front is not told
 		<-r.Context().Done()
-		ends(trace.Dropped, "its answer vanished")
+		recordEnd(trace.Dropped, "its answer vanished")
 		return
 	}
-	ends(trace.Started, "")
-	answer(w, http.StatusCreated, out)
+	recordEnd(trace.Started, "")
+	writeJSON(w, http.StatusCreated, started)
 }
 
-// refusal tells why a set-up is turned away, if it is. The lock is held.
-func (n *Node) refusal(ask *nodes.SetUp, id string) (string, *running) {
+// refusalReason returns the reason to refuse a set-up, empty to accept it. The reasons appear on the wire and
+// in traces. The second result is always nil. The caller holds the fleet's lock.
+func (n *Node) refusalReason(request *nodes.SetUp, id string) (string, *nodePlay) {
 	f := n.fleet
-	number, known := f.set.ProductNumber(ask.Product)
-	t, ok := f.set.Lookup(ask.Title)
-	kind := f.set.Kinds[0]
-	for _, k := range f.set.Kinds {
+	number, productKnown := f.service.ProductNumber(request.Product)
+	t, titleKnown := f.service.Lookup(request.Title)
+	kind := f.service.Kinds[0]
+	for _, k := range f.service.Kinds {
 		if k.Name == n.line.Kind {
 			kind = k
 		}
 	}
 	link, _ := n.loads()
 	switch {
-	case !known || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) || ask.Rung < f.set.Products[number].MinRung:
+	case !productKnown || request.Rung < 0 || request.Rung >= len(f.service.RatesKB) || request.Rung < f.service.Products[number].MinRung:
 		return "malformed", nil
-	case !ok || ((n.cell-t.FirstCell)%f.set.Cells+f.set.Cells)%f.set.Cells >= t.CellCount:
+	case !titleKnown || ((n.cell-t.FirstCell)%f.service.Cells+f.service.Cells)%f.service.Cells >= t.CellCount:
 		return "the title is not here", nil
-	case ask.Epoch < n.epochs[ask.Front]:
+	case request.Epoch < n.epochs[request.Front]:
 		return "an older life of the front", nil
 	case n.plays[id] != nil:
 		return "the play is here already", nil
@@ -415,29 +435,31 @@
 		return "draining", nil
 	case len(n.plays) >= kind.MaxStreams:
 		return "no stream free", nil
-	case f.guard > 0 && link >= f.guard:
+	case f.maxLinkLoad > 0 && link >= f.maxLinkLoad:
 		return "link full", nil
 	}
 	return "", nil
 }
 
-// pushed counts a set-up against what a cold node stands. The lock is held.
-func (n *Node) pushed() bool {
+// countColdSetUp counts a set-up on a cold process, and reports whether the process fails from overload. It
+// tolerates 2 set-ups more than the allowance, as the audit does, because chance may bring them into one
+// window. The caller holds the fleet's lock.
+func (n *Node) countColdSetUp() bool {
 	f := n.fleet
-	age := float64(time.Since(n.coldAt).Milliseconds())
-	if n.coldAt.IsZero() || age > f.set.ColdDurationMs {
+	age := float64(time.Since(n.coldSince).Milliseconds())
+	if n.coldSince.IsZero() || age > f.service.ColdDurationMs {
 		return false
 	}
 	now := time.Now()
-	n.setUps = append(n.setUps, now)
-	for now.Sub(n.setUps[0]) > time.Duration(f.set.OverloadWindowMs)*time.Millisecond {
-		n.setUps = n.setUps[1:]
+	n.coldSetUps = append(n.coldSetUps, now)
+	for now.Sub(n.coldSetUps[0]) > time.Duration(f.service.OverloadWindowMs)*time.Millisecond {
+		n.coldSetUps = n.coldSetUps[1:]
 	}
-	n.fallen = float64(len(n.setUps)) > audit.Allowance(f.set, f.set.Kinds[0].MaxStreams, age)+2
-	return n.fallen
+	n.overloaded = float64(len(n.coldSetUps)) > audit.Allowance(f.service, f.service.Kinds[0].MaxStreams, age)+2
+	return n.overloaded
 }
 
-func (n *Node) drop(id string, p *running) {
+func (n *Node) removePlay(id string, p *nodePlay) {
 	n.fleet.mu.Lock()
 	if n.plays[id] == p {
 		delete(n.plays, id)
@@ -445,72 +467,72 @@
 	n.fleet.mu.Unlock()
 }
 
-func (n *Node) setRung(w http.ResponseWriter, r *http.Request) {
-	var ask nodes.SetRung
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&ask); err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: err.Error()})
+func (n *Node) serveSetRung(w http.ResponseWriter, r *http.Request) {
+	var request nodes.SetRung
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10)).Decode(&request); err != nil {
+		writeJSON(w, http.StatusBadRequest, nodes.Refusal{Reason: err.Error()})
 		return
 	}
-	if !n.hushed(r.Context()) {
+	if !n.waitForSilenceEnd(r.Context()) {
 		return
 	}
 	f := n.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
-	if p == nil || p.Attempt != ask.Attempt || p.front != ask.Front || ask.Rung < 0 || ask.Rung >= len(f.set.RatesKB) {
-		answer(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
+	if p == nil || p.Attempt != request.Attempt || p.front != request.Front || request.Rung < 0 || request.Rung >= len(f.service.RatesKB) {
+		writeJSON(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
 		return
 	}
-	if ask.Seq > p.Seq {
-		p.Rung, p.Seq = ask.Rung, ask.Seq
-		f.tape.Add(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Attempt: p.Attempt, Product: p.Product, Rung: p.Rung})
+	if request.Seq > p.Seq {
+		p.Rung, p.Seq = request.Rung, request.Seq
+		f.recorder.Add(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: p.front, Play: p.Play.Play, Attempt: p.Attempt, Product: p.Product, Rung: p.Rung})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (n *Node) endPlay(w http.ResponseWriter, r *http.Request) {
+func (n *Node) serveEndPlay(w http.ResponseWriter, r *http.Request) {
 	f, q := n.fleet, r.URL.Query()
-	if n.cutOff(w, q.Get("front")) {
+	if n.closeIfUnreachable(w, q.Get("front")) {
 		return
 	}
-	try, err := strconv.Atoi(q.Get("try"))
+	attempt, err := strconv.Atoi(q.Get("try"))
 	if err != nil {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: "try is needed"})
+		writeJSON(w, http.StatusBadRequest, nodes.Refusal{Reason: "try is needed"})
 		return
 	}
-	f.tape.Add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Attempt: try, Note: q.Get("why")})
-	if !n.hushed(r.Context()) {
+	f.recorder.Add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: q.Get("front"), Play: r.PathValue("play"), Attempt: attempt, Note: q.Get("why")})
+	if !n.waitForSilenceEnd(r.Context()) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := n.plays[r.PathValue("play")]
-	if p == nil || p.Attempt != try || p.front != q.Get("front") {
-		answer(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
+	if p == nil || p.Attempt != attempt || p.front != q.Get("front") {
+		writeJSON(w, http.StatusNotFound, nodes.Refusal{Reason: "no such play"})
 		return
 	}
 	delete(n.plays, p.Play.Play)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (n *Node) load(w http.ResponseWriter, r *http.Request) {
-	if n.cutOff(w, r.URL.Query().Get("front")) || !n.hushed(r.Context()) {
+func (n *Node) serveLoad(w http.ResponseWriter, r *http.Request) {
+	if n.closeIfUnreachable(w, r.URL.Query().Get("front")) || !n.waitForSilenceEnd(r.Context()) {
 		return
 	}
 	n.fleet.mu.Lock()
-	n.report(w)
+	n.setLoadHeader(w)
 	n.fleet.mu.Unlock()
 	w.WriteHeader(http.StatusOK)
 }
 
-// media serves a segment, by the token alone and the rung in force.
-func (n *Node) media(w http.ResponseWriter, r *http.Request) {
-	w.Header().Set("Access-Control-Allow-Origin", "*") // a page of any site may play it: its token is in the address
-	if !n.hushed(r.Context()) {
+// serveMedia serves a segment. Access depends only on the token and the current rung of the play.
+func (n *Node) serveMedia(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("Access-Control-Allow-Origin", "*") // pages of any origin may play: the URL contains the token
+	if !n.waitForSilenceEnd(r.Context()) {
 		return
 	}
-	cl, err := n.fleet.check.Check(r.PathValue("token"), time.Now())
+	cl, err := n.fleet.tokenChecker.Check(r.PathValue("token"), time.Now())
 	switch {
 	case errors.Is(err, token.ErrWrongType):
 		http.Error(w, err.Error(), http.StatusForbidden)
@@ -535,39 +557,40 @@
 		http.Error(w, "the play has ended", http.StatusGone)
 		return
 	}
-	p.lastUsed = time.Now()
-	share, allowed := n.share(), p.Rung
+	p.lastActive = time.Now()
+	share, allowed := n.deliveredShare(), p.Rung
 	f.mu.Unlock()
-	kbit := f.set.RatesKB[allowed] * p.product.RateFactor * 8
-	w.Header().Set(suggested, fmt.Sprintf("%q;mb=%d", n.line.Name, int64(kbit)))
+	kbit := f.service.RatesKB[allowed] * p.product.RateFactor * 8
+	w.Header().Set(suggestedRateHeader, fmt.Sprintf("%q;mb=%d", n.line.Name, int64(kbit)))
 	if rung > min(allowed, cl.Rung) || rung < p.product.MinRung {
 		http.Error(w, "rung not allowed", http.StatusForbidden)
 		return
 	}
-	f.tape.Add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
+	f.recorder.Add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: cl.Play, Rung: rung, Share: share})
 	w.Header().Set(DeliveredShareHeader, strconv.FormatFloat(share, 'f', 3, 64))
 	w.Header().Set("Content-Type", "video/mp4")
-	w.Write(segment[:512*(rung+1)])
+	w.Write(segmentBytes[:512*(rung+1)])
 }
 
-var segment [64 << 10]byte
+var segmentBytes [64 << 10]byte
 
-// serveStream is the stream of notes to one front.
+// serveStream serves the note stream of one front: a hello with the running plays of the front, then notes
+// and heartbeats.
 func (n *Node) serveStream(w http.ResponseWriter, r *http.Request) {
 	f, name := n.fleet, r.URL.Query().Get("front")
-	if n.cutOff(w, name) || !n.hushed(r.Context()) {
+	if n.closeIfUnreachable(w, name) || !n.waitForSilenceEnd(r.Context()) {
 		return
 	}
 	epoch, err := strconv.ParseInt(r.URL.Query().Get("epoch"), 10, 64)
 	if err != nil || name == "" {
-		answer(w, http.StatusBadRequest, nodes.Refusal{Reason: "front and epoch are needed"})
+		writeJSON(w, http.StatusBadRequest, nodes.Refusal{Reason: "front and epoch are needed"})
 		return
 	}
 	s := &stream{notes: make(chan nodes.Note, 4096)}
 	f.mu.Lock()
 	if epoch < n.epochs[name] {
 		f.mu.Unlock()
-		answer(w, http.StatusConflict, nodes.Refusal{Reason: "an older life of the front"})
+		writeJSON(w, http.StatusConflict, nodes.Refusal{Reason: "an older life of the front"})
 		return
 	}
 	n.epochs[name] = epoch
@@ -576,8 +599,8 @@
 	for _, p := range n.plays {
 		if p.front == name && p.playing {
 			play := p.Play
-			if !p.until.IsZero() {
-				play.LeftMs = max(1, time.Until(p.until).Milliseconds())
+			if !p.endsAt.IsZero() {
+				play.LeftMs = max(1, time.Until(p.endsAt).Milliseconds())
 			}
 			hello.Plays = append(hello.Plays, play)
 		}
@@ -586,13 +609,13 @@
 	sort.Slice(hello.Plays, func(i, j int) bool { return hello.Plays[i].Play < hello.Plays[j].Play })
 	defer func() {
 		f.mu.Lock()
-		s.goneAt = time.Now()
+		s.closedAt = time.Now()
 		f.mu.Unlock()
-		f.tape.Add(trace.Event{Kind: trace.StreamClosed, Node: n.line.Name, Front: name})
+		f.recorder.Add(trace.Event{Kind: trace.StreamClosed, Node: n.line.Name, Front: name})
 	}()
 	enc, flush := json.NewEncoder(w), http.NewResponseController(w)
 	send := func(note nodes.Note) bool {
-		if !n.hushed(r.Context()) || enc.Encode(note) != nil {
+		if !n.waitForSilenceEnd(r.Context()) || enc.Encode(note) != nil {
 			return false
 		}
 		return flush.Flush() == nil
@@ -600,16 +623,16 @@
 	if !send(hello) {
 		return
 	}
-	beat := time.NewTicker(session.Duration(liveness.HeartbeatInterval))
-	defer beat.Stop()
+	tick := time.NewTicker(session.Duration(liveness.HeartbeatInterval))
+	defer tick.Stop()
 	for {
 		note := nodes.Note{Kind: nodes.NoteHeartbeat}
-		if n.cutOff(w, name) {
+		if n.closeIfUnreachable(w, name) {
 			return
 		}
 		select {
 		case note = <-s.notes:
-		case <-beat.C:
+		case <-tick.C:
 		case <-r.Context().Done():
 			return
 		}
@@ -619,9 +642,10 @@
 	}
 }
 
-// tell queues a note to a front; one that does not read loses its stream. The lock is held.
-func (n *Node) tell(front string, note nodes.Note) {
-	if s := n.streams[front]; s != nil && s.goneAt.IsZero() {
+// sendNote queues a note to a front. It drops the note if the front has no open stream or the queue is full.
+// The caller holds the fleet's lock.
+func (n *Node) sendNote(front string, note nodes.Note) {
+	if s := n.streams[front]; s != nil && s.closedAt.IsZero() {
 		select {
 		case s.notes <- note:
 		default:
@@ -629,15 +653,16 @@
 	}
 }
 
-// tick ends plays that are over, idle or whose front is lost, and tells shares and loads.
-func (n *Node) tick(ctx context.Context) {
+// runPeriodic ends plays that are idle or whose front has had no stream for longer than the lease, and
+// reports delivered shares and loads, until ctx ends.
+func (n *Node) runPeriodic(ctx context.Context) {
 	f := n.fleet
-	every := time.NewTicker(250 * time.Millisecond)
-	defer every.Stop()
-	lag := time.Duration(f.set.ReportDelayMs) * time.Millisecond
-	for beat := 0; ; beat++ {
+	ticker := time.NewTicker(250 * time.Millisecond)
+	defer ticker.Stop()
+	lag := time.Duration(f.service.ReportDelayMs) * time.Millisecond
+	for tick := 0; ; tick++ {
 		select {
-		case <-every.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
@@ -650,68 +675,69 @@
 		sort.Strings(ids)
 		for _, id := range ids {
 			p := n.plays[id]
-			alone := p.began // since when nobody answers for the play
+			unattendedSince := p.startedAt // since when the front of the play has had no stream
 			if s := n.streams[p.front]; s != nil {
-				if alone = s.goneAt; s.goneAt.IsZero() {
-					alone = now
+				if unattendedSince = s.closedAt; s.closedAt.IsZero() {
+					unattendedSince = now
 				}
 			}
-			if !p.playing || now.Sub(p.lastUsed) <= f.idle && now.Sub(alone) <= session.Duration(liveness.Lease) {
+			if !p.playing || now.Sub(p.lastActive) <= f.idleTimeout && now.Sub(unattendedSince) <= session.Duration(liveness.Lease) {
 				continue
 			}
 			delete(n.plays, id)
-			f.tape.Add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Attempt: p.Attempt})
-			n.tell(p.front, nodes.Note{Kind: nodes.NoteEnded, Play: id, Attempt: p.Attempt, EndReason: nodes.EndOver})
+			f.recorder.Add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: p.front, Play: id, Attempt: p.Attempt})
+			n.sendNote(p.front, nodes.Note{Kind: nodes.NoteEnded, Play: id, Attempt: p.Attempt, EndReason: nodes.EndOver})
 		}
-		if beat%4 == 0 {
-			n.tellShares(now, lag, beat%12 == 0)
+		if tick%4 == 0 {
+			n.reportShares(now, lag, tick%12 == 0)
 		}
 		f.mu.Unlock()
 	}
 }
 
-// tellShares tells each front, on one of its plays here, the share delivered a while ago, while it is short
-// and once more, and now and then what is asked where reports come in answers. The lock is held.
-func (n *Node) tellShares(now time.Time, lag time.Duration, loads bool) {
+// reportShares takes a load sample. On one play of each front, it reports the delivered share of lag ago while
+// that is below 0.98 and once after it has recovered, and, if loads is set and the service reports loads in
+// answers, the loads. The caller holds the fleet's lock.
+func (n *Node) reportShares(now time.Time, lag time.Duration, loads bool) {
 	link, uplink := n.loads()
-	n.shares = append(n.shares, shareAt{now, n.share(), link, uplink})
-	n.fleet.tape.Add(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
-	if len(n.shares) > 64 {
-		n.shares = n.shares[1:]
-	}
-	lag += time.Duration(n.fleet.late * float64(time.Second))
-	old, before := 1.0, 1.0
-	for i, x := range n.shares {
-		if now.Sub(x.at) < lag {
+	n.samples = append(n.samples, loadSample{now, n.deliveredShare(), link, uplink})
+	n.fleet.recorder.Add(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	if len(n.samples) > 64 {
+		n.samples = n.samples[1:]
+	}
+	lag += time.Duration(n.fleet.reportDelay * float64(time.Second))
+	share, previousShare := 1.0, 1.0
+	for i, sample := range n.samples {
+		if now.Sub(sample.at) < lag {
 			break
 		}
-		old = x.share
+		share = sample.share
 		if i > 0 {
-			before = n.shares[i-1].share
+			previousShare = n.samples[i-1].share
 		}
 	}
-	one := map[string]*running{}
-	var names []string
+	firstPlays := map[string]*nodePlay{}
+	var fronts []string
 	for _, p := range n.plays {
-		if o := one[p.front]; p.playing && (o == nil || p.Play.Play < o.Play.Play) {
-			if o == nil {
-				names = append(names, p.front)
+		if current := firstPlays[p.front]; p.playing && (current == nil || p.Play.Play < current.Play.Play) {
+			if current == nil {
+				fronts = append(fronts, p.front)
 			}
-			one[p.front] = p
+			firstPlays[p.front] = p
 		}
 	}
-	sort.Strings(names)
-	link, uplink = n.told()
-	if !n.fleet.set.ReportUplinks {
+	sort.Strings(fronts)
+	link, uplink = n.reportedLoads()
+	if !n.fleet.service.ReportUplinks {
 		uplink = -1
 	}
-	for _, name := range names {
-		p := one[name]
-		if old < 0.98 || before < 0.98 {
-			n.tell(name, nodes.Note{Kind: nodes.NoteShare, Play: p.Play.Play, Attempt: p.Attempt, Share: old})
+	for _, name := range fronts {
+		p := firstPlays[name]
+		if share < 0.98 || previousShare < 0.98 {
+			n.sendNote(name, nodes.Note{Kind: nodes.NoteShare, Play: p.Play.Play, Attempt: p.Attempt, Share: share})
 		}
-		if loads && n.fleet.set.ReportMode == "answers" {
-			n.tell(name, nodes.Note{Kind: nodes.NoteLoad, Play: p.Play.Play, Attempt: p.Attempt, Link: link, Uplink: uplink})
+		if loads && n.fleet.service.ReportMode == "answers" {
+			n.sendNote(name, nodes.Note{Kind: nodes.NoteLoad, Play: p.Play.Play, Attempt: p.Attempt, Link: link, Uplink: uplink})
 		}
 	}
 }
--- a/testbed/path_test.go
+++ b/testbed/path_test.go
@@ -26,7 +26,7 @@
 		t.Fatalf("rungs %v: the floor is 1", x.manifest.Rungs)
 	}
 	top := x.manifest.Rungs[len(x.manifest.Rungs)-1]
-	if s := r.segment(x.manifest.Base, top); s.status != http.StatusOK || s.header.Get(suggested) == "" {
+	if s := r.segment(x.manifest.Base, top); s.status != http.StatusOK || s.header.Get(suggestedRateHeader) == "" {
 		t.Fatalf("segment: %d %s", s.status, s.body)
 	}
 	if s := r.segment(x.manifest.Base, top+1); s.status != http.StatusForbidden {
@@ -128,7 +128,7 @@
 
 func TestNodeSilentInMidManifest(t *testing.T) {
 	r := newRig(t, 4)
-	end := r.nodes[0].hush()
+	end := r.nodes[0].silence()
 	defer end()
 	var wg sync.WaitGroup
 	status := make([]int, 24)
@@ -166,7 +166,7 @@
 	r := newRig(t, 4)
 	x := r.playing("clip", "safe", "v1")
 	cl, _ := r.minter.Check(tokenOf(x.manifest), time.Now())
-	end := r.fleet.nodes[cl.Node].hush()
+	end := r.fleet.nodes[cl.Node].silence()
 	defer end()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -271,7 +271,7 @@
 
 func TestSameViewerTwiceAtOnce(t *testing.T) {
 	r := newRig(t, 1)
-	r.change(func() { r.nodes[0].slow = 40 })
+	r.change(func() { r.nodes[0].setUpSlowdown = 40 })
 	first := make(chan reply, 1)
 	go func() { first <- r.ask("clip", "safe", "v") }()
 	r.eventually("the first is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
@@ -287,7 +287,7 @@
 
 func TestClientWhoLeavesEndsItsSetUp(t *testing.T) {
 	r := newRig(t, 1)
-	r.change(func() { r.nodes[0].slow = 200 })
+	r.change(func() { r.nodes[0].setUpSlowdown = 200 })
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.addr+"/v1/titles/clip/manifest.mpd?product=paid&viewer=v", nil)
 	go r.client.Do(req)
@@ -318,7 +318,7 @@
 
 func TestListTakesANodeBackWhileASetUpIsOnItsWay(t *testing.T) {
 	r := newRig(t, 2)
-	r.change(func() { r.nodes[0].slow = 100 })
+	r.change(func() { r.nodes[0].setUpSlowdown = 100 })
 	got := make(chan reply, 1)
 	go func() { got <- r.ask("only-0", "paid", "v") }()
 	r.eventually("it is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
@@ -399,7 +399,7 @@
 
 func TestOrderlyEndGivesWhatIsOwed(t *testing.T) {
 	r := newRig(t, 1)
-	r.change(func() { r.nodes[0].slow = 60 })
+	r.change(func() { r.nodes[0].setUpSlowdown = 60 })
 	got := make(chan reply, 1)
 	go func() { got <- r.ask("clip", "safe", "v") }()
 	r.eventually("it is being set up", func() bool { return r.count(trace.SetUp, "") == 1 })
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -19,23 +19,23 @@
 	"gullrail/testbed/trace"
 )
 
-// Viewer is one simulated viewer: what it wants and how it behaves.
+// Viewer is an emulated viewer: its request and its behaviour.
 type Viewer struct {
 	Name            string
 	Product         *config.Product
 	Title           string
 	MaxRung         int
 	WatchTime       time.Duration
-	Fronts          []string      // addresses it may ask, the first one first
-	Names           []string      // of these fronts
-	MaxRetries      int           // further tries after a decline, a failure or a break
-	Pause           time.Duration // before one, where no advice is heeded
-	HeedsRetryAfter bool          // heeds Retry-After
-	Socket          bool          // asks over a socket, and not by manifests
+	Fronts          []string      // addresses of fronts, in the order in which they are tried
+	Names           []string      // names of Fronts, in the same order
+	MaxRetries      int           // after a decline, a failure or an interruption
+	Pause           time.Duration // mean pause before a retry, unless Retry-After is heeded
+	HeedsRetryAfter bool          // waits as long as Retry-After says
+	Socket          bool          // uses a WebSocket instead of DASH manifests
 	Rand            *rand.Rand
 }
 
-// ViewerClients are the simulated viewers' side of the sockets.
+// ViewerClients runs viewers on sockets and records their requests and answers.
 type ViewerClients struct {
 	Set    *config.Service
 	Trace  *trace.Recorder
@@ -44,165 +44,169 @@
 	Counts ViewerCounts
 }
 
-// ViewerCounts is what the viewers saw, for the report.
+// ViewerCounts counts the segments of all viewers.
 type ViewerCounts struct {
 	mu       sync.Mutex
 	Segments int
-	Short    int // delivered under 98%
-	Failed   int
+	Short    int // delivered at less than 0.98 of the bit rate
+	Failed   int // requests without a complete answer
 }
 
-func (s *ViewerCounts) add(f func(s *ViewerCounts)) { s.mu.Lock(); f(s); s.mu.Unlock() }
+// update calls f with the lock held.
+func (s *ViewerCounts) update(f func(s *ViewerCounts)) { s.mu.Lock(); f(s); s.mu.Unlock() }
 
-// NewViewerClients makes the players' side with connections of its own.
-func NewViewerClients(set *config.Service, t *trace.Recorder) *ViewerClients {
-	return &ViewerClients{Set: set, Trace: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
+// NewViewerClients returns a ViewerClients with its own HTTP connections.
+func NewViewerClients(service *config.Service, t *trace.Recorder) *ViewerClients {
+	return &ViewerClients{Set: service, Trace: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 10 * time.Second}}}
 }
 
-// result is what a request for a manifest came to.
-type result struct {
-	status   int
-	play     string
-	manifest dash.Manifest
-	back     time.Duration // advice; 0 is none
+// manifestResult is the result of a manifest request.
+type manifestResult struct {
+	status     int
+	play       string
+	manifest   dash.Manifest
+	retryAfter time.Duration // 0 if the answer has none
 }
 
-// ask sends one request for a manifest and records it with its answer. before is the play that the viewer
-// had, broken that its node does not deliver.
-func (p *ViewerClients) ask(ctx context.Context, v *Viewer, at int, target, before string, first, broken bool) (res result) {
+// requestManifest sends a manifest request and records it and its answer. previousPlay is the viewer's play so
+// far, if any; notDelivering means that the node of that play does not deliver.
+func (p *ViewerClients) requestManifest(ctx context.Context, v *Viewer, front int, target, previousPlay string, first, notDelivering bool) (res manifestResult) {
 	id := p.ids.Add(1)
-	line := trace.Event{Kind: trace.Ask, ID: id, Front: v.Names[at], Viewer: v.Name, Product: v.Product.Name,
-		Title: v.Title, LimitMs: int64(v.Product.DeadlineMs), Play: before, First: first}
-	if broken {
-		line.Note = "broken"
+	event := trace.Event{Kind: trace.Ask, ID: id, Front: v.Names[front], Viewer: v.Name, Product: v.Product.Name,
+		Title: v.Title, LimitMs: int64(v.Product.DeadlineMs), Play: previousPlay, First: first}
+	if notDelivering {
+		event.Note = "broken"
 	}
 	if first {
-		line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
+		event.WatchMs, event.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 	}
 	limit := time.Duration(v.Product.DeadlineMs) * time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, limit+2*time.Second) // longer than its limit, to see what comes late
+	ctx, cancel := context.WithTimeout(ctx, limit+2*time.Second) // past the limit, to record late answers
 	defer cancel()
-	p.Trace.Add(line)
-	got, err := client.RequestManifest(ctx, p.Client, target)
-	ans := trace.Event{Kind: trace.Answer, ID: id, Status: got.Status, Play: got.Play, Note: got.Reason}
+	p.Trace.Add(event)
+	resp, err := client.RequestManifest(ctx, p.Client, target)
+	answer := trace.Event{Kind: trace.Answer, ID: id, Status: resp.Status, Play: resp.Play, Note: resp.Reason}
 	if err != nil {
-		ans.Note = err.Error()
+		answer.Note = err.Error()
 	}
-	p.Trace.Add(ans)
-	return result{status: got.Status, play: got.Play, manifest: got.Manifest, back: got.RetryAfter}
+	p.Trace.Add(answer)
+	return manifestResult{status: resp.Status, play: resp.Play, manifest: resp.Manifest, retryAfter: resp.RetryAfter}
 }
 
-// firstURL asks for the title anew.
-func (p *ViewerClients) firstURL(v *Viewer, at int, left time.Duration) string {
-	return client.FirstManifestURL("http", v.Fronts[at], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: left})
+// initialURL returns the manifest URL for a new play.
+func (p *ViewerClients) initialURL(v *Viewer, front int, length time.Duration) string {
+	return client.FirstManifestURL("http", v.Fronts[front], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: length})
 }
 
-// Watch lives through one viewer's wish: asks, fetches, retries, returns after breaks and moves, and
-// leaves when its time is over or its patience is.
+// Watch runs a viewer: it requests a play, fetches segments, resumes after interruptions and moves, and retries
+// after declines and failures. It returns when the watch time is over or the retries are used up.
 func (p *ViewerClients) Watch(ctx context.Context, v *Viewer) {
 	if v.Socket {
 		p.watchSocket(ctx, v)
 		return
 	}
-	began := time.Now()
-	first, at, tries := true, 0, 0
-	target, before, broken := "", "", false
-	for ctx.Err() == nil && time.Since(began) < v.WatchTime {
+	startedAt := time.Now()
+	first, front, retries := true, 0, 0
+	target, previousPlay, notDelivering := "", "", false
+	for ctx.Err() == nil && time.Since(startedAt) < v.WatchTime {
 		if target == "" {
-			target = p.firstURL(v, at, v.WatchTime-time.Since(began))
+			target = p.initialURL(v, front, v.WatchTime-time.Since(startedAt))
 		}
-		res := p.ask(ctx, v, at, target, before, first, broken)
+		res := p.requestManifest(ctx, v, front, target, previousPlay, first, notDelivering)
 		first = false
 		if res.status == http.StatusOK {
-			how := p.play(ctx, v, at, &res, began)
-			if how == over {
-				p.leave(ctx, res.play, res.manifest.Location)
+			end := p.play(ctx, v, front, &res, startedAt)
+			if end == finished {
+				p.endPlay(ctx, res.play, res.manifest.Location)
 				return
 			}
-			// Told twice that it is gone, it says so to a front that does not know yet.
-			broken = how == stalled || res.play == before
-			before = res.play
+			// If the front returned the same play and it has ended at its node again, the front does not know
+			// of the end yet: report that the play is not delivered.
+			notDelivering = end == notDelivered || res.play == previousPlay
+			previousPlay = res.play
 			target = res.manifest.Location
-			if broken {
+			if notDelivering {
 				target += "?broken=1"
 			}
-			if how == away { // moved, or its node is lost: it is expected back at the same front
+			if end == endedAtNode { // moved, or the node is lost: the front expects a new request at once
 				continue
 			}
 		}
-		if tries++; tries > v.MaxRetries {
+		if retries++; retries > v.MaxRetries {
 			return
 		}
 		pause := time.Duration((0.5 + v.Rand.Float64()) * float64(v.Pause))
-		if v.HeedsRetryAfter && res.back > 0 {
-			pause = time.Duration((1 + v.Rand.Float64()) * float64(res.back))
+		if v.HeedsRetryAfter && res.retryAfter > 0 {
+			pause = time.Duration((1 + v.Rand.Float64()) * float64(res.retryAfter))
 		}
 		select {
 		case <-time.After(pause):
 		case <-ctx.Done():
 		}
-		if res.status != http.StatusOK { // another front, without the token: that one may not know it
-			at, target, before, broken = (at+1)%len(v.Fronts), "", "", false
+		if res.status != http.StatusOK { // try the next front with a new request, as it may not know the play
+			front, target, previousPlay, notDelivering = (front+1)%len(v.Fronts), "", "", false
 		}
 	}
 }
 
-// outcome is why a player stopped fetching.
-type outcome int
+// playEnd is the reason why a viewer stopped fetching segments.
+type playEnd int
 
 const (
-	over    outcome = iota // its time is over, or it was told to stop
-	away                   // the node says that the play ended there: ask again at once
-	stalled                // the node does not deliver
+	finished     playEnd = iota // the watch time is over, or ctx ended
+	endedAtNode                 // the node reports that the play has ended there: request the manifest again at once
+	notDelivered                // the node does not deliver segments
 )
 
-// play fetches segments until the viewer's time is over or the play breaks.
-func (p *ViewerClients) play(ctx context.Context, v *Viewer, at int, res *result, began time.Time) outcome {
-	every := time.Duration(res.manifest.Segment) * time.Millisecond
-	hint, fails := "", 0
-	for n := 1; time.Since(began) < v.WatchTime; n++ {
+// play fetches segments until the watch time is over or the play is interrupted. It requests the manifest again
+// when the node suggests another rate, and updates res.
+func (p *ViewerClients) play(ctx context.Context, v *Viewer, front int, res *manifestResult, startedAt time.Time) playEnd {
+	interval := time.Duration(res.manifest.Segment) * time.Millisecond
+	suggestedRate, failures := "", 0
+	for n := 1; time.Since(startedAt) < v.WatchTime; n++ {
 		m := &res.manifest
 		rung := m.Rungs[len(m.Rungs)-1]
-		status, suggest := p.fetch(ctx, m.Base+dash.RepresentationID(rung)+"/"+strconv.Itoa(n)+".m4s", every)
+		status, newRate := p.fetchSegment(ctx, m.Base+dash.RepresentationID(rung)+"/"+strconv.Itoa(n)+".m4s", interval)
 		switch {
 		case ctx.Err() != nil:
-			return over
+			return finished
 		case status == http.StatusGone:
-			return away
+			return endedAtNode
 		case status == http.StatusOK:
-			fails = 0
-		case status == http.StatusForbidden && suggest != hint: // a rung lower: the manifest is asked for again below
+			failures = 0
+		case status == http.StatusForbidden && newRate != suggestedRate: // the rung was lowered: the manifest is requested again below
 		default:
-			if fails++; fails >= 2 {
-				return stalled
+			if failures++; failures >= 2 {
+				return notDelivered
 			}
 			continue
 		}
-		if suggest != hint && hint != "" || status == http.StatusForbidden {
-			again := p.ask(ctx, v, at, m.Location, res.play, false, false)
+		if newRate != suggestedRate && suggestedRate != "" || status == http.StatusForbidden {
+			update := p.requestManifest(ctx, v, front, m.Location, res.play, false, false)
 			switch {
-			case again.status != http.StatusOK:
-				return stalled
-			case again.play != res.play: // the front had placed it anew
-				*res = again
+			case update.status != http.StatusOK:
+				return notDelivered
+			case update.play != res.play: // the front has started a new play
+				*res = update
 			default:
-				res.manifest = again.manifest
+				res.manifest = update.manifest
 			}
 		}
-		hint = suggest
+		suggestedRate = newRate
 		select {
-		case <-time.After(every):
+		case <-time.After(interval):
 		case <-ctx.Done():
-			return over
+			return finished
 		}
 	}
-	return over
+	return finished
 }
 
-// fetch fetches one segment and returns the rate that the node suggests.
-func (p *ViewerClients) fetch(ctx context.Context, target string, patience time.Duration) (status int, suggest string) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// fetchSegment fetches a segment. It returns the status, 0 without a complete answer, and the rate that the node
+// suggests.
+func (p *ViewerClients) fetchSegment(ctx context.Context, target string, timeout time.Duration) (status int, newRate string) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
@@ -215,12 +219,12 @@
 	}
 	if err != nil {
 		if !errors.Is(err, context.Canceled) {
-			p.Counts.add(func(s *ViewerCounts) { s.Failed++ })
+			p.Counts.update(func(s *ViewerCounts) { s.Failed++ })
 		}
 		return 0, ""
 	}
 	share, _ := strconv.ParseFloat(resp.Header.Get(DeliveredShareHeader), 64)
-	p.Counts.add(func(s *ViewerCounts) {
+	p.Counts.update(func(s *ViewerCounts) {
 		if resp.StatusCode == http.StatusOK {
 			s.Segments++
 			if share < 0.98 {
@@ -228,11 +232,12 @@
 			}
 		}
 	})
-	return resp.StatusCode, resp.Header.Get(suggested)
+	return resp.StatusCode, resp.Header.Get(suggestedRateHeader)
 }
 
-// leave tells the front that the viewer is done. It is recorded first: whatever the front does of it comes after the line.
-func (p *ViewerClients) leave(ctx context.Context, play, location string) {
+// endPlay tells the front that the viewer has left. The event is recorded before the request is sent, so that it
+// precedes all effects in the trace.
+func (p *ViewerClients) endPlay(ctx context.Context, play, location string) {
 	u, err := url.Parse(location)
 	if err != nil {
 		return
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -27,53 +27,53 @@
 	"gullrail/testbed/trace"
 )
 
-// Rehearsal runs a day: fronts as processes of their own, stand-in nodes, the list service and viewers in
-// this one, all on loopback.
+// Rehearsal runs a scenario on loopback sockets: each front end in a process of its own; the emulated nodes,
+// the list service and the viewers in this process, or spread over several, see StartRack.
 type Rehearsal struct {
 	Scenario *Scenario
-	Program  string                            // the gullrail that serves; empty runs the fronts in this process, where they can't be killed
-	Command  func(name, file string) *exec.Cmd // what starts a front, in place of Program
-	Folder   string                            // for the fronts' settings and logs
+	Program  string                            // gullrail executable for the fronts; if empty, fronts run in this process and can't be killed
+	Command  func(name, file string) *exec.Cmd // creates the command that starts a front; overrides Program
+	Folder   string                            // holds the settings, logs and state of the fronts
 	Logf     func(format string, args ...any)
 
-	tape     *trace.Recorder
-	fleet    *Fleet
-	registry *ListService // the list service, where it is in this process
-	list     NodeUpdater
-	rnd      *rand.Rand
-	fronts   []*frontProcess
-	byNumber map[int]*Node // those in this process
-	viewers  bool          // are in this process
-	all      []*Node
-	crowd    map[string]float64
-	lean     lean
-	mu       sync.Mutex // of crowd and lean
-	wg       sync.WaitGroup
-}
-
-// NodeUpdater is told what becomes of nodes: the list service, here or in another process.
+	recorder      *trace.Recorder
+	fleet         *Fleet
+	listService   *ListService // nil if it runs in another process
+	updater       NodeUpdater
+	random        *rand.Rand
+	fronts        []*frontProcess
+	nodesByNumber map[int]*Node      // nodes of the scenario in this process, by number
+	runsViewers   bool               // the viewers run in this process
+	allNodes      []*Node            // nodesByNumber and the replacements of drained nodes
+	titleShares   map[string]float64 // share of new viewers that a crowd fault directs to a title
+	shift         frontShift
+	mu            sync.Mutex // guards allNodes, titleShares and shift
+	wg            sync.WaitGroup
+}
+
+// NodeUpdater accepts changes of nodes: the list service, in this or another process.
 type NodeUpdater interface{ UpdateNodes(lines ...nodes.Line) }
 
-// frontProcess is one front end, in as many lives as the script gives it.
+// frontProcess is a front end and its current process, if any. Faults may kill and restart the process.
 type frontProcess struct {
 	name, file, log, addr string
 	mu                    sync.Mutex
 	cmd                   *exec.Cmd
-	ended                 chan struct{} // closed once the process is reaped
-	err                   error         // of its end, then
-	begun                 bool
-	here                  func() error // ends a front in this process
+	exited                chan struct{} // closed when the process has exited and exitErr is set
+	exitErr               error
+	startedBefore         bool         // by this rehearsal
+	stopInProcess         func() error // stops a front that runs in this process
 }
 
-// Outcome is what a rehearsal came to.
+// Outcome is the result of a rehearsal or simulation.
 type Outcome struct {
 	Report *audit.Report
 	Lines  []trace.Event
-	Short  float64 // share of segments delivered short
+	Short  float64 // share of segments delivered at less than 0.98 of their bit rate
 	Took   time.Duration
 }
 
-// freePort finds an address that is free now.
+// freePort returns a loopback address that is free at the moment.
 func freePort() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -83,10 +83,10 @@
 	return l.Addr().String(), nil
 }
 
-// Run runs the day to its end, or to that of the context. All that it started has ended when it returns.
+// Run runs the scenario until its end or the end of ctx. It stops everything it started before it returns.
 func (r *Rehearsal) Run(ctx context.Context) (out *Outcome, err error) {
-	began := time.Now()
-	d := r.Scenario
+	startedAt := time.Now()
+	sc := r.Scenario
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() {
 		cancel()
@@ -98,98 +98,100 @@
 	if err := r.Start(ctx); err != nil {
 		return nil, err
 	}
-	players := NewViewerClients(&d.Service, r.tape)
-	viewers, endViewers := context.WithCancel(ctx)
-	defer endViewers()
+	clients := NewViewerClients(&sc.Service, r.recorder)
+	viewersCtx, stopViewers := context.WithCancel(ctx)
+	defer stopViewers()
 	start := time.Now()
-	for _, f := range d.Faults {
+	for _, f := range sc.Faults {
 		r.wg.Add(1)
 		go func() { defer r.wg.Done(); r.inject(ctx, start, f) }()
 	}
-	r.arrive(viewers, start, players, r.Fronts())
-	wait(ctx, d.tail())
-	lined := r.tape.Events()
-	endViewers()
+	r.startViewers(viewersCtx, start, clients, r.Fronts())
+	waitSeconds(ctx, sc.tailSeconds())
+	events := r.recorder.Events()
+	stopViewers()
 	if ctx.Err() != nil {
 		return nil, fmt.Errorf("rehearsal: %w", context.Cause(ctx))
 	}
-	out = &Outcome{Report: audit.Check(&d.Service, lined), Lines: lined, Took: time.Since(began)}
-	players.Counts.mu.Lock()
-	out.Short = float64(players.Counts.Short) / max(1, float64(players.Counts.Segments))
-	players.Counts.mu.Unlock()
+	out = &Outcome{Report: audit.Check(&sc.Service, events), Lines: events, Took: time.Since(startedAt)}
+	clients.Counts.mu.Lock()
+	out.Short = float64(clients.Counts.Short) / max(1, float64(clients.Counts.Segments))
+	clients.Counts.mu.Unlock()
 	return out, nil
 }
 
-// tail is how long after the last arrival the day goes on, in seconds: what was asked last is still to
-// be answered.
-func (d *Scenario) tail() float64 { return d.Service.LongestLimitMs()/1000 + 1 }
+// tailSeconds returns how long the run continues after the last arrival, in seconds, so that the last requests
+// get their answers.
+func (sc *Scenario) tailSeconds() float64 { return sc.Service.LongestLimitMs()/1000 + 1 }
 
-// Start starts the nodes, the list service and the fronts, and waits until the fronts are ready. Stop is owed
-// after it, also when it fails.
+// Start starts the nodes, the list service and the fronts, and waits until the fronts are ready. The caller
+// must call Stop, also after an error.
 func (r *Rehearsal) Start(ctx context.Context) error {
 	key, err := r.prepare(trace.New())
 	if err != nil {
 		return err
 	}
-	r.viewers = true
-	r.registry = NewListService(r.tape, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
-	r.list = r.registry
+	r.runsViewers = true
+	r.listService = NewListService(r.recorder, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
+	r.updater = r.listService
 	lines, err := r.startNodes(func(int) bool { return true })
 	if err != nil {
 		return err
 	}
-	r.registry.UpdateNodes(lines...)
+	r.listService.UpdateNodes(lines...)
 	addr, err := freePort()
 	if err != nil {
 		return err
 	}
-	if err := r.registry.Start(addr); err != nil {
+	if err := r.listService.Start(addr); err != nil {
 		return err
 	}
-	return r.startFronts(ctx, key, r.registry.addr)
+	return r.startFronts(ctx, key, r.listService.addr)
 }
 
-// prepare makes what every part of a rehearsal needs, the same for all of them.
+// prepare sets up what every process of a rehearsal needs. All processes draw the same random values from the
+// seed of the scenario, so that they agree on the signing key and the capacities.
 func (r *Rehearsal) prepare(t *trace.Recorder) (config.Key, error) {
-	d := r.Scenario
-	r.tape = t
-	r.rnd = rand.New(rand.NewPCG(d.Seed, 1))
-	r.crowd, r.byNumber = map[string]float64{}, map[int]*Node{}
+	sc := r.Scenario
+	r.recorder = t
+	r.random = rand.New(rand.NewPCG(sc.Seed, 1))
+	r.titleShares, r.nodesByNumber = map[string]float64{}, map[int]*Node{}
 	if r.Logf == nil {
 		r.Logf = func(string, ...any) {}
 	}
 	key := config.Key{ID: "rehearsal", Seed: make([]byte, 32), Signs: true}
 	for i := range key.Seed {
-		key.Seed[i] = byte(r.rnd.UintN(256))
+		key.Seed[i] = byte(r.random.UintN(256))
 	}
 	minter, err := frontend.NewMinter([]config.Key{key})
 	if err != nil {
 		return key, err
 	}
-	r.fleet = &Fleet{set: &d.Service, check: minter.Checker, tape: r.tape, setUpMs: d.SetUpMs, guard: d.MaxLinkLoad,
-		idle: time.Duration(d.IdleMs) * time.Millisecond, rnd: rand.New(rand.NewPCG(d.Seed, 2)), nodes: map[string]*Node{}}
-	for range d.Service.Racks {
-		given := d.Service.UplinkKB
-		if given <= 0 {
-			given = math.Inf(1)
+	r.fleet = &Fleet{service: &sc.Service, tokenChecker: minter.Checker, recorder: r.recorder, setUpMs: sc.SetUpMs, maxLinkLoad: sc.MaxLinkLoad,
+		idleTimeout: time.Duration(sc.IdleMs) * time.Millisecond, random: rand.New(rand.NewPCG(sc.Seed, 2)), nodes: map[string]*Node{}}
+	for range sc.Service.Racks {
+		uplinkKB := sc.Service.UplinkKB
+		if uplinkKB <= 0 {
+			uplinkKB = math.Inf(1)
 		}
-		r.fleet.racks = append(r.fleet.racks, rack{given * r.about(), 1})
+		r.fleet.racks = append(r.fleet.racks, rack{uplinkKB * r.spreadFactor(), 1})
 	}
 	return key, nil
 }
 
-// startNodes starts the day's nodes that this process has, by their numbers.
-func (r *Rehearsal) startNodes(mine func(number int) bool) (lines []nodes.Line, err error) {
+// startNodes starts the selected nodes of the scenario. It draws a capacity for every node, selected or not, so
+// that all processes agree on them.
+func (r *Rehearsal) startNodes(selected func(number int) bool) (lines []nodes.Line, err error) {
 	for i := range r.Scenario.Nodes {
-		given := r.Scenario.Service.WeightKB * r.about()
-		if !mine(i) {
+		linkKB := r.Scenario.Service.WeightKB * r.spreadFactor()
+		if !selected(i) {
 			continue
 		}
-		n, err := r.newNode(fmt.Sprintf("n%d", i), i%r.Scenario.Service.Cells, i, given)
+		n, err := r.newNode(fmt.Sprintf("n%d", i), i%r.Scenario.Service.Cells, i, linkKB)
 		if err != nil {
 			return nil, err
 		}
-		r.byNumber[i] = n
+		r.nodesByNumber[i] = n
 		lines = append(lines, n.line)
 		if err := n.start(false); err != nil {
 			return nil, err
@@ -198,47 +200,50 @@
 	return lines, nil
 }
 
-// Stop ends all that Start started, the fronts in order first, and returns the first that did not end well.
+// Stop stops all that Start started: first the fronts, by a graceful shutdown, then nodes and list service. It
+// returns the error of the first front that failed.
 func (r *Rehearsal) Stop() (err error) {
 	for _, f := range r.fronts {
 		if e := f.stop(); e != nil && err == nil {
 			err = e
 		}
 	}
-	for _, n := range r.all {
+	for _, n := range r.allNodes {
 		n.crash(trace.Crash)
 		n.wg.Wait()
 	}
-	if r.registry != nil && r.registry.server != nil {
-		r.registry.Stop()
+	if r.listService != nil && r.listService.server != nil {
+		r.listService.Stop()
 	}
 	return err
 }
 
-// about draws a factor around 1, by the day's unevenness.
-func (r *Rehearsal) about() float64 { return 1 + r.Scenario.BandwidthSpread*(2*r.rnd.Float64()-1) }
+// spreadFactor draws a factor between 1-BandwidthSpread and 1+BandwidthSpread.
+func (r *Rehearsal) spreadFactor() float64 {
+	return 1 + r.Scenario.BandwidthSpread*(2*r.random.Float64()-1)
+}
 
-func (r *Rehearsal) newNode(name string, cell, i int, given float64) (*Node, error) {
+func (r *Rehearsal) newNode(name string, cell, i int, linkKB float64) (*Node, error) {
 	addr, err := freePort()
 	if err != nil {
 		return nil, err
 	}
-	set := &r.Scenario.Service
-	n := &Node{fleet: r.fleet, cell: cell, given: given, slow: 1, line: nodes.Line{Name: name,
-		Address: addr, Phase: "ready", Kind: set.Kinds[i%len(set.Kinds)].Name, Zone: set.Zones[i%len(set.Zones)],
+	service := &r.Scenario.Service
+	n := &Node{fleet: r.fleet, cell: cell, linkKB: linkKB, setUpSlowdown: 1, line: nodes.Line{Name: name,
+		Address: addr, Phase: "ready", Kind: service.Kinds[i%len(service.Kinds)].Name, Zone: service.Zones[i%len(service.Zones)],
 		Cell: cell, Weight: 1}}
 	r.fleet.mu.Lock()
 	r.fleet.nodes[name] = n
 	r.fleet.mu.Unlock()
-	r.all = append(r.all, n)
+	r.allNodes = append(r.allNodes, n)
 	return n, nil
 }
 
 // ---- Fronts ----
 
 func (r *Rehearsal) startFronts(ctx context.Context, key config.Key, list string) error {
-	d := r.Scenario
-	for i := range d.Service.Fronts {
+	sc := r.Scenario
+	for i := range sc.Service.Fronts {
 		addr, err := freePort()
 		if err != nil {
 			return err
@@ -246,10 +251,10 @@
 		f := &frontProcess{name: fmt.Sprintf("f%d", i), addr: addr, file: filepath.Join(r.Folder, fmt.Sprintf("front-%d.jsonc", i)),
 			log: filepath.Join(r.Folder, fmt.Sprintf("front-%d.log", i))}
 		state := filepath.Join(r.Folder, f.name+"-state")
-		if err := os.RemoveAll(state); err != nil { // of a run before
+		if err := os.RemoveAll(state); err != nil { // left over from an earlier run
 			return fmt.Errorf("rehearsal: %w", err)
 		}
-		text, err := d.FrontSettings(i, f.name, addr, list, state, key)
+		text, err := sc.FrontSettings(i, f.name, addr, list, state, key)
 		if err != nil {
 			return err
 		}
@@ -265,23 +270,23 @@
 		if err := f.awaitReady(ctx, 20*time.Second); err != nil {
 			return err
 		}
-		r.tape.Add(trace.Event{Kind: trace.FrontStarted, Front: f.name})
+		r.recorder.Add(trace.Event{Kind: trace.FrontStarted, Front: f.name})
 	}
 	return nil
 }
 
-// FrontSettings is the settings file of one front of the day.
-func (d *Scenario) FrontSettings(i int, name, listen, list, state string, key config.Key) ([]byte, error) {
-	settings := map[string]any{"name": name, "number": i, "zone": d.Service.Zones[i%len(d.Service.Zones)], "listen": listen, "seed": d.Seed}
-	if d.KeepRecords {
+// FrontSettings returns the text of the settings file of front i.
+func (sc *Scenario) FrontSettings(i int, name, listen, list, state string, key config.Key) ([]byte, error) {
+	settings := map[string]any{"name": name, "number": i, "zone": sc.Service.Zones[i%len(sc.Service.Zones)], "listen": listen, "seed": sc.Seed}
+	if sc.KeepRecords {
 		settings["state"] = state
 	}
-	own, err := json.Marshal(settings)
+	frontJSON, err := json.Marshal(settings)
 	if err != nil {
 		return nil, err
 	}
 	return fmt.Appendf(nil, "{\n\"front\": %s,\n\"list\": {\"url\": \"http://%s/v1/list\"},\n\"keys\": [{\"id\": %q, \"seed\": %q, \"signs\": true}],\n\"service\": %s\n}\n",
-		own, list, key.ID, base64.StdEncoding.EncodeToString(key.Seed), d.RawService), nil
+		frontJSON, list, key.ID, base64.StdEncoding.EncodeToString(key.Seed), sc.RawService), nil
 }
 
 func (r *Rehearsal) startFront(f *frontProcess) error {
@@ -291,15 +296,15 @@
 	case r.Program != "":
 		return f.start(exec.Command(r.Program, "serve", f.file))
 	}
-	return f.startHere()
+	return f.startInProcess()
 }
 
 func (f *frontProcess) start(cmd *exec.Cmd) error {
 	flags := os.O_CREATE | os.O_APPEND | os.O_WRONLY
-	if !f.begun { // a folder kept from a run before
+	if !f.startedBefore { // overwrite the log of an earlier run in the same folder
 		flags |= os.O_TRUNC
 	}
-	f.begun = true
+	f.startedBefore = true
 	log, err := os.OpenFile(f.log, flags, 0o600)
 	if err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
@@ -309,25 +314,26 @@
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("front %s: %w", f.name, err)
 	}
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	f.mu.Lock()
-	f.cmd, f.ended = cmd, ended
+	f.cmd, f.exited = cmd, exited
 	f.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		f.mu.Lock()
-		f.err = err
+		f.exitErr = err
 		f.mu.Unlock()
-		close(ended)
+		close(exited)
 	}()
 	return nil
 }
 
-func (f *frontProcess) awaitReady(ctx context.Context, patience time.Duration) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// awaitReady polls the front until it reports that it is ready.
+func (f *frontProcess) awaitReady(ctx context.Context, timeout time.Duration) error {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	f.mu.Lock()
-	ended := f.ended // nil, and never closed, for a front in this process
+	exited := f.exited // nil for a front in this process, blocks forever
 	f.mu.Unlock()
 	for {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.addr+"/readyz", nil)
@@ -339,10 +345,10 @@
 		}
 		select {
 		case <-time.After(30 * time.Millisecond):
-		case <-ended:
-			return fmt.Errorf("front %s ended at its start, see %s", f.name, f.log)
+		case <-exited:
+			return fmt.Errorf("front %s exited before it was ready, see its log %s", f.name, f.log)
 		case <-ctx.Done():
-			return fmt.Errorf("front %s does not get ready, see %s", f.name, f.log)
+			return fmt.Errorf("front %s did not become ready in time, see its log %s", f.name, f.log)
 		}
 	}
 }
@@ -355,148 +361,154 @@
 	}
 }
 
-// startHere runs the front in this process.
-func (f *frontProcess) startHere() error {
-	set, err := config.ReadFront(f.file)
+// startInProcess runs the front in this process.
+func (f *frontProcess) startInProcess() error {
+	settings, err := config.ReadFront(f.file)
 	if err != nil {
 		return err
 	}
-	claim, err := frontend.LockFolder(set.StateFolder)
+	stateLock, err := frontend.LockFolder(settings.StateFolder)
 	if err != nil {
 		return err
 	}
-	front, err := frontend.Listen(set, claim.Epoch, zerolog.Nop())
+	front, err := frontend.Listen(settings, stateLock.Epoch, zerolog.Nop())
 	if err != nil {
-		claim.Release()
+		stateLock.Release()
 		return err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- front.Run(ctx) }()
 	f.mu.Lock()
-	f.here = func() error { cancel(); defer claim.Release(); return <-done }
+	f.stopInProcess = func() error { cancel(); defer stateLock.Release(); return <-done }
 	f.mu.Unlock()
 	return nil
 }
 
-// kill ends the process as a crash does.
+// kill kills the process and waits for its exit.
 func (f *frontProcess) kill() {
 	f.mu.Lock()
-	cmd, ended := f.cmd, f.ended
+	cmd, exited := f.cmd, f.exited
 	f.cmd = nil
 	f.mu.Unlock()
 	if cmd != nil {
 		cmd.Process.Kill()
-		<-ended
+		<-exited
 	}
 }
 
-// stop ends the process in order, and at once if it takes too long.
+// stop shuts the front down gracefully, and kills its process if it has not exited after 15 s. It first resumes a
+// process that a fault has stopped.
 func (f *frontProcess) stop() error {
 	f.mu.Lock()
-	cmd, here, ended := f.cmd, f.here, f.ended
-	f.cmd, f.here = nil, nil
+	cmd, stopInProcess, exited := f.cmd, f.stopInProcess, f.exited
+	f.cmd, f.stopInProcess = nil, nil
 	f.mu.Unlock()
-	if here != nil {
-		return here()
+	if stopInProcess != nil {
+		return stopInProcess()
 	}
 	if cmd == nil {
 		return nil
 	}
 	cmd.Process.Signal(syscall.SIGCONT)
 	cmd.Process.Signal(syscall.SIGTERM)
-	late := time.AfterFunc(15*time.Second, func() { cmd.Process.Kill() })
-	defer late.Stop()
-	<-ended
+	killTimer := time.AfterFunc(15*time.Second, func() { cmd.Process.Kill() })
+	defer killTimer.Stop()
+	<-exited
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.err != nil {
-		return fmt.Errorf("front %s: %w, see %s", f.name, f.err, f.log)
+	if f.exitErr != nil {
+		return fmt.Errorf("front %s: %w, see its log %s", f.name, f.exitErr, f.log)
 	}
 	return nil
 }
 
 // ---- Viewers ----
 
-// arrival is a viewer's coming: when, to which front first, and a draw that decides whether a crowd takes it.
+// arrival is the arrival of a viewer.
 type arrival struct {
-	at    float64 // seconds
-	front int
-	drawn float64
-	lean  float64 // the same for a shift of viewers to one front
-	v     *Viewer
+	at        float64 // seconds after the start
+	front     int     // asked first
+	titleDraw float64 // uniform in [0, 1); decides whether a crowd fault changes the title
+	frontDraw float64 // the same for the front and a shift fault
+	viewer    *Viewer
 }
 
-// arrivals draws the day's viewers, the same for the same seed wherever the day is played.
-func (d *Scenario) arrivals(fronts int) iter.Seq[arrival] {
+// arrivals generates the viewers of the scenario. They depend only on the scenario, its seed included, and are
+// the same on sockets and in simulated time.
+func (sc *Scenario) arrivals(fronts int) iter.Seq[arrival] {
 	return func(yield func(arrival) bool) {
-		rnd, leans := rand.New(rand.NewPCG(d.Seed, 3)), rand.New(rand.NewPCG(d.Seed, 5)) // apart, so that a day's draws stay
-		weights := make([]float64, len(d.Service.Titles))
+		// frontDraw has a source of its own, which leaves the sequence of all other draws unchanged.
+		random, shiftRandom := rand.New(rand.NewPCG(sc.Seed, 3)), rand.New(rand.NewPCG(sc.Seed, 5))
+		weights := make([]float64, len(sc.Service.Titles))
 		sum := 0.0
 		for i := range weights {
-			weights[i] = 1 / math.Pow(float64(i+1), d.ZipfExponent)
+			weights[i] = 1 / math.Pow(float64(i+1), sc.ZipfExponent)
 			sum += weights[i]
 		}
-		for n, at := 0, 0.0; d.ViewersPerSecond > 0; n++ {
-			if at += rnd.ExpFloat64() / d.ViewersPerSecond; at >= d.Seconds {
+		for n, atSeconds := 0, 0.0; sc.ViewersPerSecond > 0; n++ {
+			if atSeconds += random.ExpFloat64() / sc.ViewersPerSecond; atSeconds >= sc.Seconds {
 				return
 			}
-			v := &Viewer{Name: fmt.Sprintf("v%d", n), MaxRetries: d.MaxRetries, Pause: time.Duration(d.PauseMs) * time.Millisecond,
-				HeedsRetryAfter: rnd.Float64() < d.RetryAfterShare, MaxRung: len(d.Service.RatesKB) - 1, Rand: rand.New(rand.NewPCG(d.Seed, uint64(n)+10))}
-			_, part := math.Modf(float64(n) * math.Phi) // spread evenly, and apart from the day's draws
-			v.Socket = part < d.SocketShare
-			pick := rnd.Float64()
-			for _, p := range d.Products {
-				v.Product = &d.Service.Products[p.Number]
-				v.WatchTime = time.Duration((p.Watch[0] + rnd.Float64()*(p.Watch[1]-p.Watch[0])) * float64(time.Second))
-				if pick -= p.Share; pick < 0 {
+			v := &Viewer{Name: fmt.Sprintf("v%d", n), MaxRetries: sc.MaxRetries, Pause: time.Duration(sc.PauseMs) * time.Millisecond,
+				HeedsRetryAfter: random.Float64() < sc.RetryAfterShare, MaxRung: len(sc.Service.RatesKB) - 1, Rand: rand.New(rand.NewPCG(sc.Seed, uint64(n)+10))}
+			_, fraction := math.Modf(float64(n) * math.Phi) // evenly distributed, and leaves the draws from random unchanged
+			v.Socket = fraction < sc.SocketShare
+			draw := random.Float64()
+			for _, p := range sc.Products {
+				v.Product = &sc.Service.Products[p.Number]
+				v.WatchTime = time.Duration((p.Watch[0] + random.Float64()*(p.Watch[1]-p.Watch[0])) * float64(time.Second))
+				if draw -= p.Share; draw < 0 {
 					break
 				}
 			}
-			if rnd.Float64() < d.SmallScreenShare {
-				v.MaxRung = max(v.Product.MinRung, v.MaxRung-1-rnd.IntN(2))
+			if random.Float64() < sc.SmallScreenShare {
+				v.MaxRung = max(v.Product.MinRung, v.MaxRung-1-random.IntN(2))
 			}
-			x := rnd.Float64() * sum
+			titlePick := random.Float64() * sum
 			for i, w := range weights {
-				v.Title = d.Service.Titles[i].Name
-				if x -= w; x < 0 {
+				v.Title = sc.Service.Titles[i].Name
+				if titlePick -= w; titlePick < 0 {
 					break
 				}
 			}
-			if !yield(arrival{at, rnd.IntN(fronts), rnd.Float64(), leans.Float64(), v}) {
+			if !yield(arrival{atSeconds, random.IntN(fronts), random.Float64(), shiftRandom.Float64(), v}) {
 				return
 			}
 		}
 	}
 }
 
-// lean is a shift of viewers to one front.
-type lean struct {
+// frontShift makes a share of new viewers ask one front first.
+type frontShift struct {
 	front int
 	share float64
 }
 
-func (l lean) first(a arrival) int {
-	if a.lean < l.share {
-		return l.front
+// firstFront returns the front that an arriving viewer asks first.
+func (s frontShift) firstFront(a arrival) int {
+	if a.frontDraw < s.share {
+		return s.front
 	}
 	return a.front
 }
 
-// crowded is the title that a viewer wants while crowds come for some.
-func (d *Scenario) crowded(a arrival, crowd map[string]float64) string {
-	for _, t := range d.Service.Titles {
-		if a.drawn < crowd[t.Name] {
+// titleFor returns the title that an arriving viewer requests, given the shares of new viewers that crowd faults
+// direct to titles.
+func (sc *Scenario) titleFor(a arrival, titleShares map[string]float64) string {
+	for _, t := range sc.Service.Titles {
+		if a.titleDraw < titleShares[t.Name] {
 			return t.Name
 		}
 	}
-	return a.v.Title
+	return a.viewer.Title
 }
 
-// arrive lets viewers come until the day is over; they don't wait for each other.
-func (r *Rehearsal) arrive(ctx context.Context, start time.Time, players *ViewerClients, fronts []FrontAddress) {
-	d := r.Scenario
-	until := func(at float64) bool {
+// startViewers starts each viewer at its arrival time, until the end of the scenario or of ctx. Arrivals don't
+// depend on the progress of earlier viewers.
+func (r *Rehearsal) startViewers(ctx context.Context, start time.Time, clients *ViewerClients, fronts []FrontAddress) {
+	sc := r.Scenario
+	waitUntil := func(at float64) bool {
 		select {
 		case <-time.After(time.Until(start.Add(time.Duration(at * float64(time.Second))))):
 			return true
@@ -504,29 +516,30 @@
 			return false
 		}
 	}
-	for a := range d.arrivals(len(fronts)) {
+	for a := range sc.arrivals(len(fronts)) {
 		r.mu.Lock()
-		a.front = r.lean.first(a)
+		a.front = r.shift.firstFront(a)
 		r.mu.Unlock()
 		for i := range fronts {
 			f := fronts[(a.front+i)%len(fronts)]
-			a.v.Fronts, a.v.Names = append(a.v.Fronts, f.Address), append(a.v.Names, f.Name)
+			a.viewer.Fronts, a.viewer.Names = append(a.viewer.Fronts, f.Address), append(a.viewer.Names, f.Name)
 		}
-		if !until(a.at) {
+		if !waitUntil(a.at) {
 			return
 		}
 		r.mu.Lock()
-		a.v.Title = d.crowded(a, r.crowd)
+		a.viewer.Title = sc.titleFor(a, r.titleShares)
 		r.mu.Unlock()
 		r.wg.Add(1)
-		go func() { defer r.wg.Done(); players.Watch(ctx, a.v) }()
+		go func() { defer r.wg.Done(); clients.Watch(ctx, a.viewer) }()
 	}
-	until(d.Seconds)
+	waitUntil(sc.Seconds)
 }
 
 // ---- Faults ----
 
-func wait(ctx context.Context, seconds float64) bool {
+// waitSeconds waits and reports whether the time has passed; false means that ctx ended first.
+func waitSeconds(ctx context.Context, seconds float64) bool {
 	select {
 	case <-time.After(time.Duration(seconds * float64(time.Second))):
 		return true
@@ -535,131 +548,132 @@
 	}
 }
 
-// inject does one fault of the script at its time, and undoes it.
+// inject waits for the time of a fault, applies it to the parts that run in this process, and reverts it after
+// its duration.
 func (r *Rehearsal) inject(ctx context.Context, start time.Time, f Fault) {
-	if !wait(ctx, f.At-time.Since(start).Seconds()) {
+	if !waitSeconds(ctx, f.At-time.Since(start).Seconds()) {
 		return
 	}
 	r.Logf("%5.1f s  %s", time.Since(start).Seconds(), f)
-	r.tape.Add(trace.Event{Kind: trace.Fault, Note: f.String()})
-	var all sync.WaitGroup
-	defer all.Wait()
-	each := func(do func(n *Node)) {
+	r.recorder.Add(trace.Event{Kind: trace.Fault, Note: f.String()})
+	var running sync.WaitGroup
+	defer running.Wait()
+	forEachNode := func(do func(n *Node)) {
 		for _, i := range f.Nodes {
-			all.Add(1)
+			running.Add(1)
 			go func() {
-				defer all.Done()
-				if n := r.byNumber[i]; n != nil { // else another process has it
+				defer running.Done()
+				if n := r.nodesByNumber[i]; n != nil { // nil for nodes of another process
 					do(n)
 				}
 			}()
 		}
 	}
-	set := func(at func(n *Node) *float64, usual float64) {
-		each(func(n *Node) {
-			r.change(func() { *at(n) = f.Amount })
-			if f.Duration > 0 && wait(ctx, f.Duration) {
-				r.change(func() { *at(n) = usual })
+	setField := func(field func(n *Node) *float64, normal float64) {
+		forEachNode(func(n *Node) {
+			r.withFleetLock(func() { *field(n) = f.Amount })
+			if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+				r.withFleetLock(func() { *field(n) = normal })
 			}
 		})
 	}
 	switch f.Action {
 	case "drain":
-		each(func(n *Node) { r.drain(ctx, n, f) })
+		forEachNode(func(n *Node) { r.drain(ctx, n, f) })
 	case "crash":
-		each(func(n *Node) {
+		forEachNode(func(n *Node) {
 			n.crash(trace.Crash)
-			if f.Duration > 0 && wait(ctx, f.Duration) {
-				r.back(n)
+			if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+				r.startCold(n)
 			}
 		})
 	case "list-wrong":
-		each(func(n *Node) {
+		forEachNode(func(n *Node) {
 			line := n.line
 			line.Phase = "gone"
-			r.list.UpdateNodes(line)
-			if f.Duration > 0 && wait(ctx, f.Duration) {
-				r.list.UpdateNodes(n.line)
+			r.updater.UpdateNodes(line)
+			if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+				r.updater.UpdateNodes(n.line)
 			}
 		})
 	case "silence":
-		each(func(n *Node) {
-			end := n.hush()
-			wait(ctx, f.Duration)
-			end()
+		forEachNode(func(n *Node) {
+			endSilence := n.silence()
+			waitSeconds(ctx, f.Duration)
+			endSilence()
 		})
 	case "slow":
-		set(func(n *Node) *float64 { return &n.slow }, 1)
+		setField(func(n *Node) *float64 { return &n.setUpSlowdown }, 1)
 	case "errors":
-		set(func(n *Node) *float64 { return &n.errors }, 0)
+		setField(func(n *Node) *float64 { return &n.errorShare }, 0)
 	case "vanish":
-		set(func(n *Node) *float64 { return &n.vanish }, 0)
+		setField(func(n *Node) *float64 { return &n.lostAnswerShare }, 0)
 	case "neighbour":
-		set(func(n *Node) *float64 { return &n.taken }, 0)
-	case "uplink": // each process of nodes has a rack of its own
-		r.change(func() { r.fleet.racks[f.Rack].divided = max(0.001, f.Amount) })
-		if f.Duration > 0 && wait(ctx, f.Duration) {
-			r.change(func() { r.fleet.racks[f.Rack].divided = 1 })
+		setField(func(n *Node) *float64 { return &n.linkShareTaken }, 0)
+	case "uplink": // all nodes of a rack are in one process, so the change has no effect in the others
+		r.withFleetLock(func() { r.fleet.racks[f.Rack].uplinkDivisor = max(0.001, f.Amount) })
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+			r.withFleetLock(func() { r.fleet.racks[f.Rack].uplinkDivisor = 1 })
 		}
 	case "list-down":
-		if r.registry == nil {
+		if r.listService == nil {
 			return
 		}
-		r.registry.Stop()
-		if f.Duration > 0 && wait(ctx, f.Duration) {
-			if err := r.registry.Start(r.registry.addr); err != nil {
+		r.listService.Stop()
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+			if err := r.listService.Start(r.listService.addr); err != nil {
 				r.Logf("list service: %v", err)
 			}
 		}
 	case "list-late":
-		if r.registry == nil {
+		if r.listService == nil {
 			return
 		}
-		usual := time.Duration(r.Scenario.ListLateMs) * time.Millisecond
-		r.registry.SetDelay(usual + time.Duration(f.Amount*float64(time.Second)))
-		if f.Duration > 0 && wait(ctx, f.Duration) {
-			r.registry.SetDelay(usual)
+		normal := time.Duration(r.Scenario.ListLateMs) * time.Millisecond
+		r.listService.SetDelay(normal + time.Duration(f.Amount*float64(time.Second)))
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+			r.listService.SetDelay(normal)
 		}
 	case "crowd":
 		r.mu.Lock()
-		r.crowd[f.Title] = f.Amount
+		r.titleShares[f.Title] = f.Amount
 		r.mu.Unlock()
-		if f.Duration > 0 && wait(ctx, f.Duration) {
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
 			r.mu.Lock()
-			delete(r.crowd, f.Title)
+			delete(r.titleShares, f.Title)
 			r.mu.Unlock()
 		}
 	case "shift":
 		r.mu.Lock()
-		r.lean = lean{f.Front, f.Amount}
+		r.shift = frontShift{f.Front, f.Amount}
 		r.mu.Unlock()
-		if f.Duration > 0 && wait(ctx, f.Duration) {
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
 			r.mu.Lock()
-			r.lean = lean{}
+			r.shift = frontShift{}
 			r.mu.Unlock()
 		}
 	case "reports-late":
-		r.change(func() { r.fleet.late = f.Amount })
-		if f.Duration > 0 && wait(ctx, f.Duration) {
-			r.change(func() { r.fleet.late = 0 })
+		r.withFleetLock(func() { r.fleet.reportDelay = f.Amount })
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+			r.withFleetLock(func() { r.fleet.reportDelay = 0 })
 		}
 	case "zone-cut":
-		r.change(func() { r.fleet.cut(f.Zone) })
-		if f.Duration > 0 && wait(ctx, f.Duration) {
-			r.change(func() { r.fleet.cut(-1) })
+		r.withFleetLock(func() { r.fleet.isolateZone(f.Zone) })
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
+			r.withFleetLock(func() { r.fleet.isolateZone(-1) })
 		}
 	case "ageing":
-		each(func(n *Node) {
-			for age := 0.0; age < f.Duration; age++ {
-				r.change(func() { n.slow, n.taken = aged(f, age) })
-				if !wait(ctx, 1) {
+		forEachNode(func(n *Node) {
+			for seconds := 0.0; seconds < f.Duration; seconds++ {
+				r.withFleetLock(func() { n.setUpSlowdown, n.linkShareTaken = ageingEffect(f, seconds) })
+				if !waitSeconds(ctx, 1) {
 					return
 				}
 			}
 			n.crash(trace.Crash)
-			r.change(func() { n.slow, n.taken = 1, 0 })
-			if wait(ctx, agedBack) {
-				r.back(n)
+			r.withFleetLock(func() { n.setUpSlowdown, n.linkShareTaken = 1, 0 })
+			if waitSeconds(ctx, ageingRestartDelay) {
+				r.startCold(n)
 			}
 		})
 	case "front-kill":
@@ -668,8 +682,8 @@
 		}
 		p := r.fronts[f.Front]
 		p.kill()
-		r.tape.Add(trace.Event{Kind: trace.FrontKilled, Front: p.name})
-		if f.Duration > 0 && wait(ctx, f.Duration) {
+		r.recorder.Add(trace.Event{Kind: trace.FrontKilled, Front: p.name})
+		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
 			if err := r.startFront(p); err != nil {
 				r.Logf("%v", err)
 				return
@@ -678,67 +692,70 @@
 				r.Logf("%v", err)
 				return
 			}
-			r.tape.Add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
+			r.recorder.Add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
 		}
 	case "front-stall":
 		if len(r.fronts) == 0 {
 			return
 		}
 		p := r.fronts[f.Front]
-		r.tape.Add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
+		r.recorder.Add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
 		p.signal(syscall.SIGSTOP)
-		wait(ctx, f.Duration)
+		waitSeconds(ctx, f.Duration)
 		p.signal(syscall.SIGCONT)
-		r.tape.Add(trace.Event{Kind: trace.Continued, Front: p.name})
+		r.recorder.Add(trace.Event{Kind: trace.Continued, Front: p.name})
 	}
 }
 
 const (
-	agedBack = 4.0 // seconds after which a node that aged and died comes back
-	agedLink = 0.8 // share of its link that it has lost by then
+	ageingRestartDelay = 4.0 // seconds between the crash of an aged node and its restart
+	ageingLinkShare    = 0.8 // share of the link that an aged node has lost when it crashes
 )
 
-// aged is how a node is after some seconds of ageing: slower, and with less of its link.
-func aged(f Fault, age float64) (slow, taken float64) {
-	part := age / f.Duration
-	return 1 + (f.Amount-1)*part, agedLink * part
+// ageingEffect returns the set-up slowdown and the lost share of the link after some seconds of ageing. Both
+// grow linearly.
+func ageingEffect(f Fault, seconds float64) (setUpSlowdown, linkShareTaken float64) {
+	progress := seconds / f.Duration
+	return 1 + (f.Amount-1)*progress, ageingLinkShare * progress
 }
 
-func (r *Rehearsal) change(do func()) {
+// withFleetLock calls do with the fleet's lock held.
+func (r *Rehearsal) withFleetLock(do func()) {
 	r.fleet.mu.Lock()
 	do()
 	r.fleet.mu.Unlock()
 }
 
-// drain takes a node out as a deploy does: the list says draining, Amount seconds later the process ends,
-// and For seconds after that a successor comes up cold in its cell, under a name of its own.
+// drain emulates the replacement of a node by a deployment. The list marks the node as draining. Its process ends
+// f.Amount seconds later. f.Duration seconds after that, a replacement with a new name starts cold in the same
+// cell.
 func (r *Rehearsal) drain(ctx context.Context, n *Node, f Fault) {
 	line := n.line
 	line.Phase = "draining"
-	r.change(func() { n.draining = true })
-	r.list.UpdateNodes(line)
-	if !wait(ctx, f.Amount) {
+	r.withFleetLock(func() { n.draining = true })
+	r.updater.UpdateNodes(line)
+	if !waitSeconds(ctx, f.Amount) {
 		return
 	}
 	n.crash(trace.Crash)
 	line.Phase = "gone"
-	r.list.UpdateNodes(line)
-	if f.Duration <= 0 || !wait(ctx, f.Duration) {
+	r.updater.UpdateNodes(line)
+	if f.Duration <= 0 || !waitSeconds(ctx, f.Duration) {
 		return
 	}
 	r.mu.Lock()
 	name, _, _ := strings.Cut(n.line.Name, "x")
-	m, err := r.newNode(name+"x"+fmt.Sprint(len(r.all)), n.cell, 0, n.given)
+	replacement, err := r.newNode(name+"x"+fmt.Sprint(len(r.allNodes)), n.cell, 0, n.linkKB)
 	r.mu.Unlock()
 	if err == nil {
-		r.back(m)
+		r.startCold(replacement)
 	} else {
 		r.Logf("%v", err)
 	}
 }
 
-// back starts a node cold and tells the list service.
-func (r *Rehearsal) back(n *Node) {
+// startCold starts a cold process on a node and updates the list.
+func (r *Rehearsal) startCold(n *Node) {
 	if err := n.start(true); err != nil {
 		r.Logf("%v", err)
 		return
@@ -747,5 +764,5 @@
 	n.line.StartedMs = time.Now().UnixMilli()
 	line := n.line
 	r.fleet.mu.Unlock()
-	r.list.UpdateNodes(line)
+	r.updater.UpdateNodes(line)
 }
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -77,8 +77,8 @@
 	if r.minter, err = frontend.NewMinter(keys); err != nil {
 		t.Fatal(err)
 	}
-	r.fleet = &Fleet{set: r.set, check: r.minter.Checker, tape: r.tape, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
-		rnd: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*Node{}, racks: []rack{{1e9, 1}, {1e9, 1}}}
+	r.fleet = &Fleet{service: r.set, tokenChecker: r.minter.Checker, recorder: r.tape, setUpMs: [2]float64{1, 5}, idleTimeout: 20 * time.Second,
+		random: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*Node{}, racks: []rack{{1e9, 1}, {1e9, 1}}}
 	r.settings = config.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, MaxWaiting: 64, MaxSockets: 1000, TokenMs: 60000,
 		ShutdownMs: 3000, Keys: keys, Service: set}
 	change(r)
@@ -89,7 +89,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nd := &Node{fleet: r.fleet, cell: i % 4, given: 1e6, slow: 1, line: nodes.Line{Name: fmt.Sprint("n", i), Address: addr,
+		nd := &Node{fleet: r.fleet, cell: i % 4, linkKB: 1e6, setUpSlowdown: 1, line: nodes.Line{Name: fmt.Sprint("n", i), Address: addr,
 			Phase: "ready", Kind: "std", Zone: "z", Cell: i % 4, Weight: 1}}
 		r.fleet.nodes[nd.line.Name] = nd
 		r.nodes = append(r.nodes, nd)
