--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -21,224 +21,233 @@
 	"gullrail/testbed/trace"
 )
 
-// Sim plays a day in simulated time, without sockets: the same cores, gates and modules as the daemon's, over
-// a clock and a transport of its own. It runs on one goroutine, and the same seed gives the same decisions.
+// Sim runs a scenario in simulated time, without sockets. Fronts have the same session cores, request queues and
+// policies as the server, with a simulated clock and transport. Sim runs on one goroutine, and the same seed gives
+// the same decisions.
 type Sim struct {
 	Scenario *Scenario
-	// Policy makes a front's policy; nil makes the project's own.
-	Policy func(terms map[string][]float64, seed uint64) decision.Policy
-
-	now      int64
-	seq      uint64
-	due      schedule
-	rnd      *rand.Rand
-	fronts   []*simFront
-	nodes    map[string]*simNode
-	order    []*simNode
-	byNumber []*simNode
-	racks    []rack
-	rackAsks []float64
-	lines    []trace.Event
-	ids      int64
-	crowd    map[string]float64
-	lean     lean
-	late     float64 // seconds that loads and shares are told later
-	apart    int     // zone that is cut off, from 1; 0 is none
-	list     simList
-	segments int
-	short    int
-	events   int
+	// Policy creates the policy of a front; nil selects the project's own.
+	Policy func(settings map[string][]float64, seed uint64) decision.Policy
+
+	now            int64  // in decision's ticks
+	seq            uint64 // of the last scheduled event
+	queue          eventQueue
+	random         *rand.Rand
+	fronts         []*simFront
+	nodesByAddress map[string]*simNode
+	allNodes       []*simNode // nodesByNumber and the replacements of drained nodes
+	nodesByNumber  []*simNode // nodes of the scenario
+	racks          []rack
+	rackDemandKB   []float64 // by rack, sum of demandKB of its nodes
+	trace          []trace.Event
+	lastRequestID  int64
+	titleShares    map[string]float64 // share of new viewers that a crowd fault directs to a title
+	shift          frontShift
+	reportDelay    float64 // seconds by which a fault delays reported loads and delivered shares
+	isolatedZone   int     // 1 + index of the zone isolated by a fault; 0 is none
+	list           simList
+	segments       int
+	shortSegments  int // delivered at less than 0.98 of their bit rate
+	eventCount     int
 }
 
-// Latencies of the simulated site, in the clock's ticks.
+// Times in ticks of 0.1 ms.
 const (
-	hop       = 3 // one way between a front and a node, 0.3 ms
-	clientHop = 6 // one way between a player and a front or node
-	simTick   = decision.Second / 4
+	nodeLatency   = 3                   // one-way latency between a front and a node
+	clientLatency = 6                   // one-way latency between a viewer and a front or node
+	nodeTick      = decision.Second / 4 // interval of runPeriodic
 )
 
+// simEvent is a call scheduled for a time. Events at the same time run in the order in which they were scheduled.
 type simEvent struct {
 	at  int64
 	seq uint64
-	do  func()
+	run func()
 }
 
-type schedule []simEvent
+// eventQueue is a heap.Interface; the next event comes first.
+type eventQueue []simEvent
 
-func (s schedule) Len() int { return len(s) }
-func (s schedule) Less(i, j int) bool {
+func (s eventQueue) Len() int { return len(s) }
+func (s eventQueue) Less(i, j int) bool {
 	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].seq < s[j].seq
 }
-func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
-func (s *schedule) Push(x any)   { *s = append(*s, x.(simEvent)) }
-func (s *schedule) Pop() any {
+func (s eventQueue) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *eventQueue) Push(x any)   { *s = append(*s, x.(simEvent)) }
+func (s *eventQueue) Pop() any {
 	last := (*s)[len(*s)-1]
 	(*s)[len(*s)-1] = simEvent{}
 	*s = (*s)[:len(*s)-1]
 	return last
 }
 
+// after schedules a call after a number of ticks; a negative number counts as 0.
 func (s *Sim) after(ticks int64, do func()) {
 	s.seq++
-	heap.Push(&s.due, simEvent{s.now + max(0, ticks), s.seq, do})
+	heap.Push(&s.queue, simEvent{s.now + max(0, ticks), s.seq, do})
 }
 
-func (s *Sim) seconds(sec float64, do func()) { s.after(int64(sec*float64(decision.Second)), do) }
+func (s *Sim) afterSeconds(sec float64, do func()) { s.after(int64(sec*float64(decision.Second)), do) }
 
-func (s *Sim) add(l trace.Event) {
-	l.T = (s.now - session.ClockStart) * 100
-	s.lines = append(s.lines, l)
+// record adds an event to the trace, at the current time.
+func (s *Sim) record(event trace.Event) {
+	event.T = (s.now - session.ClockStart) * 100
+	s.trace = append(s.trace, event)
 }
 
 // ---- Nodes ----
 
+// simNode is a simulated playout node, the counterpart of Node.
 type simNode struct {
-	sim    *Sim
-	line   nodes.Line
-	cell   int
-	given  float64
-	asked  float64 // of its link, kB a second
-	up     bool
-	drains bool
-	life   int64
-	mark   int64
-	coldAt int64 // 0 is warm
-	plays  map[string]*simPlay
-	held   []*simPlay // the same, in their order
-	setUps []int64
-	hushed int // silences that go on
-	slow   float64
-	taken  float64
-	fails  float64
-	vanish float64
-	shares []shareAt // of the last seconds
-	heard  map[int]int64
+	sim             *Sim
+	line            nodes.Line
+	cell            int
+	linkKB          float64
+	demandKB        float64 // sum of the bit rates of its plays in kB/s
+	up              bool
+	draining        bool
+	life            int64               // number of the process
+	mark            int64               // number of plays started by this process
+	coldSince       int64               // start of a cold process; 0 if the process is warm
+	plays           map[string]*simPlay // by play, set-ups in progress included
+	orderedPlays    []*simPlay          // plays in order of arrival, as map order is random
+	coldSetUps      []int64             // set-ups on a cold process within the overload window
+	silences        int                 // number of silence faults in effect
+	setUpSlowdown   float64
+	linkShareTaken  float64
+	errorShare      float64
+	lostAnswerShare float64
+	samples         []loadSample  // one per second, the last 64; at is unset
+	lastHeartbeat   map[int]int64 // by front, the latest time at which its stream was open
 }
 
+// simPlay is a play on a node, from the arrival of its set-up on.
 type simPlay struct {
 	session.Allocation
-	front   int
-	epoch   int64
-	node    *simNode
-	product *config.Product
-	rate    float64
-	playing bool
-	used    int64
-	began   int64
+	front      int
+	epoch      int64
+	node       *simNode
+	product    *config.Product
+	rateKB     float64
+	playing    bool  // the set-up has succeeded
+	lastActive int64 // start or last segment request
+	startedAt  int64
 }
 
-func (n *simNode) warmth() float64 {
-	if n.coldAt == 0 {
+func (n *simNode) warmUpShare() float64 {
+	if n.coldSince == 0 {
 		return 1
 	}
-	set := &n.sim.Scenario.Service
-	return min(1, set.ColdShare+(1-set.ColdShare)*float64(n.sim.now-n.coldAt)/10/set.ColdDurationMs)
+	service := &n.sim.Scenario.Service
+	return min(1, service.ColdShare+(1-service.ColdShare)*float64(n.sim.now-n.coldSince)/10/service.ColdDurationMs)
 }
 
 func (n *simNode) rack() int { return n.cell % len(n.sim.racks) }
 
 func (n *simNode) loads() (link, uplink float64) {
 	r := n.sim.racks[n.rack()]
-	return n.asked / (n.given * (1 - n.taken) * n.warmth()), n.sim.rackAsks[n.rack()] * r.divided / r.given
+	return n.demandKB / (n.linkKB * (1 - n.linkShareTaken) * n.warmUpShare()), n.sim.rackDemandKB[n.rack()] * r.uplinkDivisor / r.uplinkKB
 }
 
-func (n *simNode) share() float64 {
+func (n *simNode) deliveredShare() float64 {
 	link, uplink := n.loads()
 	return 1 / max(1, link, uplink)
 }
 
-// reaches tells that a front and a node are on one side of a cut.
-func (f *simFront) reaches(n *simNode) bool {
+// canReach reports whether no zone isolation separates the front from a node.
+func (f *simFront) canReach(n *simNode) bool {
 	zones := f.sim.Scenario.Service.Zones
-	return f.sim.apart == 0 || (f.number%len(zones) == f.sim.apart-1) == (n.line.Zone == zones[f.sim.apart-1])
+	return f.sim.isolatedZone == 0 || (f.number%len(zones) == f.sim.isolatedZone-1) == (n.line.Zone == zones[f.sim.isolatedZone-1])
 }
 
-func (n *simNode) load() decision.Load {
+func (n *simNode) reportedLoad() decision.Load {
 	link, uplink := n.loads()
-	if k := len(n.shares) - 1 - int(n.sim.late); n.sim.late > 0 && len(n.shares) > 0 {
-		link, uplink = n.shares[max(0, k)].link, n.shares[max(0, k)].uplink
+	if k := len(n.samples) - 1 - int(n.sim.reportDelay); n.sim.reportDelay > 0 && len(n.samples) > 0 {
+		link, uplink = n.samples[max(0, k)].link, n.samples[max(0, k)].uplink
 	}
-	l := decision.Load{Streams: float64(len(n.held)), Link: link, Uplink: -1}
+	l := decision.Load{Streams: float64(len(n.orderedPlays)), Link: link, Uplink: -1}
 	if n.sim.Scenario.Service.ReportUplinks {
 		l.Uplink = uplink
 	}
 	return l
 }
 
-func (n *simNode) carry(more float64) {
-	n.asked += more
-	n.sim.rackAsks[n.rack()] += more
+// addDemand adds to the demand on the node's link and its rack's uplink.
+func (n *simNode) addDemand(more float64) {
+	n.demandKB += more
+	n.sim.rackDemandKB[n.rack()] += more
 }
 
-func (n *simNode) rerate(p *simPlay, rung int) {
+// setRung changes the rung of a play and its demand.
+func (n *simNode) setRung(p *simPlay, rung int) {
 	p.Rung = rung
-	n.carry(-p.rate)
-	p.rate = n.sim.Scenario.Service.RatesKB[rung] * p.product.RateFactor
-	n.carry(p.rate)
+	n.addDemand(-p.rateKB)
+	p.rateKB = n.sim.Scenario.Service.RatesKB[rung] * p.product.RateFactor
+	n.addDemand(p.rateKB)
 }
 
-func (n *simNode) drop(p *simPlay) {
+func (n *simNode) removePlay(p *simPlay) {
 	if n.plays[p.Play] != p {
 		return
 	}
 	delete(n.plays, p.Play)
-	n.held = slices.DeleteFunc(n.held, func(o *simPlay) bool { return o == p })
-	n.carry(-p.rate)
+	n.orderedPlays = slices.DeleteFunc(n.orderedPlays, func(o *simPlay) bool { return o == p })
+	n.addDemand(-p.rateKB)
 }
 
 func (n *simNode) start(cold bool) {
-	n.up, n.drains, n.mark, n.coldAt, n.setUps, n.shares = true, false, 0, 0, nil, nil
+	n.up, n.draining, n.mark, n.coldSince, n.coldSetUps, n.samples = true, false, 0, 0, nil, nil
 	n.life++
-	n.plays, n.held, n.heard = map[string]*simPlay{}, nil, map[int]int64{}
+	n.plays, n.orderedPlays, n.lastHeartbeat = map[string]*simPlay{}, nil, map[int]int64{}
 	note := "warm"
 	if cold {
-		n.coldAt, note = n.sim.now, "cold"
+		n.coldSince, note = n.sim.now, "cold"
 	}
-	n.sim.add(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
+	n.sim.record(trace.Event{Kind: trace.Life, Node: n.line.Name, Note: note})
 }
 
-func (n *simNode) crash(what string) {
+func (n *simNode) crash(eventKind string) {
 	if !n.up {
 		return
 	}
 	n.up = false
-	n.sim.add(trace.Event{Kind: what, Node: n.line.Name})
-	for _, p := range slices.Clone(n.held) {
-		n.drop(p)
+	n.sim.record(trace.Event{Kind: eventKind, Node: n.line.Name})
+	for _, p := range slices.Clone(n.orderedPlays) {
+		n.removePlay(p)
 	}
 	for _, f := range n.sim.fronts {
-		f.nodeDied(n)
+		f.nodeCrashed(n)
 	}
 }
 
-func (s *Sim) newNode(name string, cell, i int, given float64) *simNode {
-	set := &s.Scenario.Service
-	n := &simNode{sim: s, cell: cell, given: given, slow: 1, life: 1, line: nodes.Line{Name: name, Address: name + ":1", Phase: "ready",
-		Kind: set.Kinds[i%len(set.Kinds)].Name, Zone: set.Zones[i%len(set.Zones)], Cell: cell, Weight: 1}}
-	s.nodes[n.line.Address] = n
-	s.order = append(s.order, n)
+func (s *Sim) newNode(name string, cell, i int, linkKB float64) *simNode {
+	service := &s.Scenario.Service
+	n := &simNode{sim: s, cell: cell, linkKB: linkKB, setUpSlowdown: 1, life: 1, line: nodes.Line{Name: name, Address: name + ":1", Phase: "ready",
+		Kind: service.Kinds[i%len(service.Kinds)].Name, Zone: service.Zones[i%len(service.Zones)], Cell: cell, Weight: 1}}
+	s.nodesByAddress[n.line.Address] = n
+	s.allNodes = append(s.allNodes, n)
 	return n
 }
 
-// refusal is as a stand-in node's on sockets.
-func (n *simNode) refusal(a *session.Allocation) string {
-	set := &n.sim.Scenario.Service
-	t, ok := set.Lookup(a.Title)
-	streams := set.Kinds[0].MaxStreams
-	for _, k := range set.Kinds {
+// refusalReason returns the reason to refuse a set-up, empty to accept it. See Node.refusalReason.
+func (n *simNode) refusalReason(a *session.Allocation) string {
+	service := &n.sim.Scenario.Service
+	t, ok := service.Lookup(a.Title)
+	streams := service.Kinds[0].MaxStreams
+	for _, k := range service.Kinds {
 		if k.Name == n.line.Kind {
 			streams = k.MaxStreams
 		}
 	}
 	link, _ := n.loads()
 	switch {
-	case a.Rung < set.Products[a.Product].MinRung:
+	case a.Rung < service.Products[a.Product].MinRung:
 		return "malformed"
-	case !ok || ((n.cell-t.FirstCell)%set.Cells+set.Cells)%set.Cells >= t.CellCount:
+	case !ok || ((n.cell-t.FirstCell)%service.Cells+service.Cells)%service.Cells >= t.CellCount:
 		return "the title is not here"
-	case n.drains:
+	case n.draining:
 		return "draining"
-	case len(n.held) >= streams:
+	case len(n.orderedPlays) >= streams:
 		return "no stream free"
 	case n.sim.Scenario.MaxLinkLoad > 0 && link >= n.sim.Scenario.MaxLinkLoad:
 		return "link full"
@@ -246,165 +255,172 @@
 	return ""
 }
 
-func (n *simNode) pushed() bool {
-	set := &n.sim.Scenario.Service
-	age := float64(n.sim.now-n.coldAt) / 10
-	if n.coldAt == 0 || age > set.ColdDurationMs {
+// countColdSetUp counts a set-up on a cold process, and reports whether the process fails from overload. See
+// Node.countColdSetUp.
+func (n *simNode) countColdSetUp() bool {
+	service := &n.sim.Scenario.Service
+	age := float64(n.sim.now-n.coldSince) / 10
+	if n.coldSince == 0 || age > service.ColdDurationMs {
 		return false
 	}
-	n.setUps = append(n.setUps, n.sim.now)
-	for float64(n.sim.now-n.setUps[0])/10 > set.OverloadWindowMs {
-		n.setUps = n.setUps[1:]
+	n.coldSetUps = append(n.coldSetUps, n.sim.now)
+	for float64(n.sim.now-n.coldSetUps[0])/10 > service.OverloadWindowMs {
+		n.coldSetUps = n.coldSetUps[1:]
 	}
-	return float64(len(n.setUps)) > audit.Allowance(set, set.Kinds[0].MaxStreams, age)+2
+	return float64(len(n.coldSetUps)) > audit.Allowance(service, service.Kinds[0].MaxStreams, age)+2
 }
 
-// tick ends idle and abandoned plays, and once a second tells shares.
-func (n *simNode) tick(beat int) {
+// runPeriodic ends plays that are idle or whose front has had no stream for longer than the lease. Every fourth
+// tick it takes a load sample and reports the delivered share and the loads on one play of each front.
+func (n *simNode) runPeriodic(tick int) {
 	if !n.up {
 		return
 	}
 	s := n.sim
 	idle := int64(s.Scenario.IdleMs) * decision.Millisecond
-	for _, p := range slices.Clone(n.held) {
-		heard, ok := n.heard[p.front]
+	for _, p := range slices.Clone(n.orderedPlays) {
+		unattendedSince, ok := n.lastHeartbeat[p.front]
 		if !ok {
-			heard = p.began
+			unattendedSince = p.startedAt
 		}
-		if !p.playing || s.now-p.used <= idle && s.now-heard <= liveness.Lease {
+		if !p.playing || s.now-p.lastActive <= idle && s.now-unattendedSince <= liveness.Lease {
 			continue
 		}
-		n.drop(p)
-		s.add(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Attempt: p.Attempt})
+		n.removePlay(p)
+		s.record(trace.Event{Kind: trace.Ended, Node: n.line.Name, Front: s.fronts[p.front].name, Play: p.Play, Attempt: p.Attempt})
 		f, ref := s.fronts[p.front], p.Ref
-		if n.hushed == 0 && f.reaches(n) {
-			f.call(hop, func(now int64, c *session.Core) { c.PlayEnded(now, f.ref(ref, n), decision.Served) })
+		if n.silences == 0 && f.canReach(n) {
+			f.deliver(nodeLatency, func(now int64, c *session.Core) { c.PlayEnded(now, f.localRef(ref, n), decision.Served) })
 		}
 	}
-	if beat%4 != 0 {
+	if tick%4 != 0 {
 		return
 	}
 	link, uplink := n.loads()
-	n.shares = append(n.shares, shareAt{share: n.share(), link: link, uplink: uplink})
-	s.add(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
-	if len(n.shares) > 64 {
-		n.shares = n.shares[1:]
+	n.samples = append(n.samples, loadSample{share: n.deliveredShare(), link: link, uplink: uplink})
+	s.record(trace.Event{Kind: trace.Load, Node: n.line.Name, Share: link, Uplink: uplink})
+	if len(n.samples) > 64 {
+		n.samples = n.samples[1:]
 	}
-	lag := int(math.Round(s.Scenario.Service.ReportDelayMs/1000 + s.late))
-	if n.hushed > 0 || len(n.shares) <= lag+1 {
+	lag := int(math.Round(s.Scenario.Service.ReportDelayMs/1000 + s.reportDelay))
+	if n.silences > 0 || len(n.samples) <= lag+1 {
 		return
 	}
-	share, before := n.shares[len(n.shares)-1-lag].share, n.shares[len(n.shares)-2-lag].share
-	told := map[int]bool{}
-	load := n.load()
+	share, previousShare := n.samples[len(n.samples)-1-lag].share, n.samples[len(n.samples)-2-lag].share
+	reported := map[int]bool{}
+	load := n.reportedLoad()
 	load.Streams = -1
-	for _, p := range n.held {
-		if !p.playing || told[p.front] {
+	for _, p := range n.orderedPlays {
+		if !p.playing || reported[p.front] {
 			continue
 		}
-		told[p.front] = true
+		reported[p.front] = true
 		f, ref := s.fronts[p.front], p.Ref
-		if !f.reaches(n) {
+		if !f.canReach(n) {
 			continue
 		}
-		if share < 0.98 || before < 0.98 {
-			f.call(hop, func(now int64, c *session.Core) { c.DeliveryReported(now, f.ref(ref, n), share) })
+		if share < 0.98 || previousShare < 0.98 {
+			f.deliver(nodeLatency, func(now int64, c *session.Core) { c.DeliveryReported(now, f.localRef(ref, n), share) })
 		}
-		if s.Scenario.Service.ReportMode == "answers" && beat%12 == 0 {
-			f.call(hop, func(now int64, c *session.Core) { c.LoadReported(now, f.ref(ref, n), load) })
+		if s.Scenario.Service.ReportMode == "answers" && tick%12 == 0 {
+			f.deliver(nodeLatency, func(now int64, c *session.Core) { c.LoadReported(now, f.localRef(ref, n), load) })
 		}
 	}
 }
 
-// ---- Fronts, and their transport ----
+// ---- Fronts ----
 
+// simFront is a simulated front end. It implements session.Transport for its core.
 type simFront struct {
-	sim     *Sim
-	number  int
-	name    string
-	core    *session.Core
-	gate    *admission.Queue
-	life    int
-	up      bool
-	stopped bool
-	held    []func() // what waits while it is stopped
-	wakeDue int64
-	listed  int              // changes of the list it has heard
-	streams map[int]*simNode // alive, by the core's number
-	numbers map[*simNode]int
-	pending map[session.Ref]*pending
-	asks    map[*session.Reply]int64 // with the request's number
+	sim           *Sim
+	number        int
+	name          string
+	core          *session.Core
+	requests      *admission.Queue
+	epoch         int
+	up            bool
+	stopped       bool
+	deferred      []func()         // calls deferred while the process is stopped
+	wakeAt        int64            // time of the scheduled Wake; 0 is none
+	listVersion   int              // number of list changes received
+	streams       map[int]*simNode // open note streams, by the core's number of the node
+	nodeNumbers   map[*simNode]int // the core's numbers
+	pendingSetUps map[session.Ref]*pendingSetUp
+	requestIDs    map[*session.Reply]int64 // unanswered requests, with their trace IDs
 }
 
-type pending struct {
-	a    session.Allocation
-	node *simNode
-	play *simPlay
-	sent bool
+// pendingSetUp is a set-up whose outcome the front does not know yet.
+type pendingSetUp struct {
+	allocation session.Allocation
+	node       *simNode
+	play       *simPlay // nil until the node accepts the set-up
+	sent       bool     // the set-up has reached the node
 }
 
+// start starts a process of the front, with a new epoch.
 func (f *simFront) start() {
 	s := f.sim
-	f.life++
-	f.up, f.wakeDue, f.listed = true, 0, 0
-	f.streams, f.numbers, f.pending = map[int]*simNode{}, map[*simNode]int{}, map[session.Ref]*pending{}
-	f.asks, f.held = map[*session.Reply]int64{}, nil
+	f.epoch++
+	f.up, f.wakeAt, f.listVersion = true, 0, 0
+	f.streams, f.nodeNumbers, f.pendingSetUps = map[int]*simNode{}, map[*simNode]int{}, map[session.Ref]*pendingSetUp{}
+	f.requestIDs, f.deferred = map[*session.Reply]int64{}, nil
 	seed := s.Scenario.Seed + uint64(f.number)*1_000_003
-	set := &s.Scenario.Service
-	terms := set.PolicySettings(f.number, set.Zones[f.number%len(set.Zones)])
-	var module decision.Policy
+	service := &s.Scenario.Service
+	settings := service.PolicySettings(f.number, service.Zones[f.number%len(service.Zones)])
+	var policy decision.Policy
 	if s.Policy != nil {
-		module = s.Policy(terms, seed)
+		policy = s.Policy(settings, seed)
 	} else {
-		module = placement.New(terms, seed)
+		policy = placement.New(settings, seed)
 	}
-	f.gate = admission.New(256, seed)
-	f.core = session.NewCore(s.now, f.name, int64(f.life), module, f, set, seed)
-	f.beat(f.life)
-	f.hear(f.life)
-	f.pump()
+	f.requests = admission.New(256, seed)
+	f.core = session.NewCore(s.now, f.name, int64(f.epoch), policy, f, service, seed)
+	f.runHeartbeat(f.epoch)
+	f.pollList(f.epoch)
+	f.admitRequests()
 }
 
-// call brings an event to the core after a while, unless the front's life has ended.
-func (f *simFront) call(after int64, ev func(now int64, c *session.Core)) {
-	life := f.life
-	f.sim.after(after, func() { f.run(life, func() { ev(f.sim.now, f.core) }) })
+// deliver calls the core after a delay, unless the front's process has ended by then.
+func (f *simFront) deliver(delay int64, event func(now int64, c *session.Core)) {
+	epoch := f.epoch
+	f.sim.after(delay, func() { f.run(epoch, func() { event(f.sim.now, f.core) }) })
 }
 
-// run does something on the front's goroutine: at once, or when it goes on if it is stopped.
-func (f *simFront) run(life int, do func()) {
+// run calls do in the front's process of the given epoch: now, after the process resumes if it is stopped, or not
+// at all if it has ended.
+func (f *simFront) run(epoch int, do func()) {
 	switch {
-	case !f.up || f.life != life:
+	case !f.up || f.epoch != epoch:
 	case f.stopped:
-		f.held = append(f.held, func() { f.run(life, do) })
+		f.deferred = append(f.deferred, func() { f.run(epoch, do) })
 	default:
 		do()
-		f.pump()
+		f.admitRequests()
 	}
 }
 
-// pump takes requests from the gate and sees to the next wake.
-func (f *simFront) pump() {
+// admitRequests passes queued requests to the core and schedules the next Wake.
+func (f *simFront) admitRequests() {
 	s := f.sim
 	for {
-		a, late := f.gate.Next(s.now)
-		if late != nil {
-			f.turnAway(late)
+		queued, rejection := f.requests.Next(s.now)
+		if rejection != nil {
+			f.reject(rejection)
 			continue
 		}
-		if a == nil {
+		if queued == nil {
 			break
 		}
-		ask := a.Value.(session.Request)
-		ask.Deadline = admission.Deadline(s.now, a.Deadline)
-		f.core.RequestPlay(s.now, ask)
+		request := queued.Value.(session.Request)
+		request.Deadline = admission.Deadline(s.now, queued.Deadline)
+		f.core.RequestPlay(s.now, request)
 	}
-	if at := f.core.WakeAt(); f.wakeDue == 0 || at < f.wakeDue {
-		f.wakeDue = at
-		life := f.life
+	if at := f.core.WakeAt(); f.wakeAt == 0 || at < f.wakeAt {
+		f.wakeAt = at
+		epoch := f.epoch
 		s.after(at-s.now, func() {
-			f.run(life, func() {
-				if f.wakeDue = 0; s.now >= f.core.WakeAt() {
+			f.run(epoch, func() {
+				if f.wakeAt = 0; s.now >= f.core.WakeAt() {
 					f.core.Wake(s.now)
 				}
 			})
@@ -412,236 +428,238 @@
 	}
 }
 
-func (f *simFront) turnAway(t *admission.Rejection) {
+func (f *simFront) reject(t *admission.Rejection) {
 	t.Request.Value.(session.Request).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: t.Reason.String(), RetryAfter: t.RetryAfter})
 }
 
-// beat is once a second: the beats of all streams that live, both ways.
-func (f *simFront) beat(life int) {
+// runHeartbeat exchanges heartbeats on all open streams at every heartbeat interval, until the process ends.
+func (f *simFront) runHeartbeat(epoch int) {
 	f.sim.after(liveness.HeartbeatInterval, func() {
-		if !f.up || f.life != life {
+		if !f.up || f.epoch != epoch {
 			return
 		}
 		if !f.stopped {
-			var at []int
+			var streamNumbers []int
 			for k := range f.streams {
-				at = append(at, k)
+				streamNumbers = append(streamNumbers, k)
 			}
-			sort.Ints(at)
-			for _, k := range at {
-				if n := f.streams[k]; n.up && n.hushed == 0 && f.reaches(n) {
+			sort.Ints(streamNumbers)
+			for _, k := range streamNumbers {
+				if n := f.streams[k]; n.up && n.silences == 0 && f.canReach(n) {
 					f.core.StreamActive(f.sim.now, k)
 				}
 			}
-			f.gate.Heartbeat(f.sim.now)
+			f.requests.Heartbeat(f.sim.now)
 		}
 		for _, n := range f.streams {
-			if !f.reaches(n) {
+			if !f.canReach(n) {
 				continue
 			}
-			n.heard[f.number] = f.sim.now // the socket stays open whether its process stands or not
+			n.lastHeartbeat[f.number] = f.sim.now // also while the process is stopped, as its sockets stay open
 		}
-		f.beat(life)
+		f.runHeartbeat(epoch)
 	})
 }
 
-// ref is an allocation as this life of the front numbers its node.
-func (f *simFront) ref(r session.Ref, n *simNode) session.Ref {
-	if k, ok := f.numbers[n]; ok {
+// localRef returns r with the number that the front's current process has given to the node.
+func (f *simFront) localRef(r session.Ref, n *simNode) session.Ref {
+	if k, ok := f.nodeNumbers[n]; ok {
 		r.Node = k
 	}
 	return r
 }
 
+// SetUp sends a set-up. It takes two node latencies to arrive, as each set-up uses a new connection.
 func (f *simFront) SetUp(a session.Allocation) {
 	s := f.sim
-	p := &pending{a: a, node: s.nodes[a.Address]}
-	f.numbers[p.node] = a.Node
-	f.pending[a.Ref] = p
-	s.after(a.Until-s.now, func() { f.settle(a.Ref, p, decision.NoAnswer, 0) })
-	s.after(2*hop, func() { f.arrive(p) })
+	p := &pendingSetUp{allocation: a, node: s.nodesByAddress[a.Address]}
+	f.nodeNumbers[p.node] = a.Node
+	f.pendingSetUps[a.Ref] = p
+	s.after(a.Until-s.now, func() { f.finishSetUp(a.Ref, p, decision.NoAnswer, 0) })
+	s.after(2*nodeLatency, func() { f.receiveSetUp(p) })
 }
 
-// arrive is a set-up's coming to its node.
-func (f *simFront) arrive(p *pending) {
-	s, n, a := f.sim, p.node, p.a
-	if f.pending[a.Ref] != p {
+// receiveSetUp handles the arrival of a set-up at its node.
+func (f *simFront) receiveSetUp(p *pendingSetUp) {
+	s, n, a := f.sim, p.node, p.allocation
+	if f.pendingSetUps[a.Ref] != p {
 		return
 	}
 	if !n.up {
-		f.settle(a.Ref, p, decision.NoConnect, hop)
+		f.finishSetUp(a.Ref, p, decision.NoConnect, nodeLatency)
 		return
 	}
-	if !f.reaches(n) {
-		f.settle(a.Ref, p, decision.ConnectionLost, hop) // as on sockets: the connection breaks
+	if !f.canReach(n) {
+		f.finishSetUp(a.Ref, p, decision.ConnectionLost, nodeLatency) // on sockets, the node closes the connection
 		return
 	}
 	p.sent = true
-	line := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Attempt: a.Attempt,
+	event := trace.Event{Kind: trace.SetUp, Node: n.line.Name, Front: f.name, Play: a.Play, Attempt: a.Attempt,
 		Product: s.Scenario.Service.Products[a.Product].Name, Title: a.Title, Viewer: a.Viewer, Rung: a.Rung}
-	s.add(line)
-	ends := func(what, why string) { line.Kind, line.Note = what, why; s.add(line) }
-	refusal := n.refusal(&a)
-	if n.pushed() {
+	s.record(event)
+	recordEnd := func(eventKind, reason string) { event.Kind, event.Note = eventKind, reason; s.record(event) }
+	refusal := n.refusalReason(&a)
+	if n.countColdSetUp() {
 		n.crash(trace.Overloaded)
 		return
 	}
 	if refusal != "" {
-		if n.hushed == 0 {
-			ends(trace.Refused, refusal)
-			f.settle(a.Ref, p, decision.Rejected, hop)
+		if n.silences == 0 {
+			recordEnd(trace.Refused, refusal)
+			f.finishSetUp(a.Ref, p, decision.Rejected, nodeLatency)
 		}
 		return
 	}
-	wait := int64((s.Scenario.SetUpMs[0] + s.rnd.Float64()*(s.Scenario.SetUpMs[1]-s.Scenario.SetUpMs[0])) * n.slow * 10)
-	fails, vanishes := s.rnd.Float64() < n.fails, s.rnd.Float64() < n.vanish
+	delay := int64((s.Scenario.SetUpMs[0] + s.random.Float64()*(s.Scenario.SetUpMs[1]-s.Scenario.SetUpMs[0])) * n.setUpSlowdown * 10)
+	fails, answerLost := s.random.Float64() < n.errorShare, s.random.Float64() < n.lostAnswerShare
 	product := &s.Scenario.Service.Products[a.Product]
-	play := &simPlay{Allocation: a, front: f.number, epoch: int64(f.life), node: n, product: product}
+	play := &simPlay{Allocation: a, front: f.number, epoch: int64(f.epoch), node: n, product: product}
 	p.play = play
 	n.plays[a.Play] = play
-	n.held = append(n.held, play)
-	n.rerate(play, a.Rung)
-	s.after(wait, func() {
+	n.orderedPlays = append(n.orderedPlays, play)
+	n.setRung(play, a.Rung)
+	s.after(delay, func() {
 		switch {
 		case n.plays[a.Play] != play || !n.up:
-		case n.hushed > 0: // it says nothing, and will have been given up
+		case n.silences > 0: // no answer: the front gives up at Until
 		case fails:
-			n.drop(play)
-			ends(trace.Errored, "")
-			f.settle(a.Ref, p, decision.Errored, hop)
+			n.removePlay(play)
+			recordEnd(trace.Errored, "")
+			f.finishSetUp(a.Ref, p, decision.Errored, nodeLatency)
 		default:
 			n.mark++
-			play.playing, play.used, play.began = true, s.now, s.now
-			if vanishes {
+			play.playing, play.lastActive, play.startedAt = true, s.now, s.now
+			if answerLost {
 				return
 			}
-			ends(trace.Started, "")
-			f.settle(a.Ref, p, decision.Served, hop)
+			recordEnd(trace.Started, "")
+			f.finishSetUp(a.Ref, p, decision.Served, nodeLatency)
 		}
 	})
 }
 
-// settle ends a set-up at the front, once.
-func (f *simFront) settle(r session.Ref, p *pending, how decision.Outcome, after int64) {
-	if f.pending[r] != p {
+// finishSetUp reports the outcome of a set-up to the core. It does nothing if the set-up has finished before.
+func (f *simFront) finishSetUp(r session.Ref, p *pendingSetUp, outcome decision.Outcome, delay int64) {
+	if f.pendingSetUps[r] != p {
 		return
 	}
-	delete(f.pending, r)
+	delete(f.pendingSetUps, r)
 	n := p.node
 	load := decision.UnknownLoad
-	if f.sim.Scenario.Service.ReportMode == "answers" && (how == decision.Served || how == decision.Rejected) {
-		load = n.load()
+	if f.sim.Scenario.Service.ReportMode == "answers" && (outcome == decision.Served || outcome == decision.Rejected) {
+		load = n.reportedLoad()
 	}
-	if how == decision.Served {
+	if outcome == decision.Served {
 		life, mark, rung := n.life, n.mark, p.play.Rung
-		f.call(after, func(now int64, c *session.Core) { c.Started(now, r, life, mark, rung, load) })
+		f.deliver(delay, func(now int64, c *session.Core) { c.Started(now, r, life, mark, rung, load) })
 		return
 	}
-	if p.sent && p.play != nil && (how == decision.NoAnswer || how == decision.Canceled) {
-		n.drop(p.play)
-		f.sim.add(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
-	} else if p.sent && how == decision.NoAnswer { // refused by a node that says nothing
-		f.sim.add(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
+	if p.sent && p.play != nil && (outcome == decision.NoAnswer || outcome == decision.Canceled) {
+		n.removePlay(p.play)
+		f.sim.record(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
+	} else if p.sent && outcome == decision.NoAnswer { // refused by a silent node
+		f.sim.record(trace.Event{Kind: trace.Dropped, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
 	}
-	f.call(after, func(now int64, c *session.Core) { c.SetUpEnded(now, r, how, load) })
+	f.deliver(delay, func(now int64, c *session.Core) { c.SetUpEnded(now, r, outcome, load) })
 }
 
 func (f *simFront) Cancel(r session.Ref) {
-	if p := f.pending[r]; p != nil {
-		how := decision.Canceled
+	if p := f.pendingSetUps[r]; p != nil {
+		outcome := decision.Canceled
 		if !p.sent {
-			how = decision.NotSent
+			outcome = decision.NotSent
 		}
-		f.settle(r, p, how, 1)
+		f.finishSetUp(r, p, outcome, 1)
 	}
 }
 
-// later does something at a node once it hears, unless it has gone.
-func (f *simFront) later(address string, do func(n *simNode)) {
-	n := f.sim.nodes[address]
+// callNode calls do after the latency to a node. It retries every second while the node is silent or unreachable,
+// and gives up if the node's process ends.
+func (f *simFront) callNode(address string, do func(n *simNode)) {
+	n := f.sim.nodesByAddress[address]
 	life := n.life
-	var try func()
-	try = func() {
+	var attempt func()
+	attempt = func() {
 		switch {
 		case !n.up || n.life != life:
-		case n.hushed > 0 || !f.reaches(n):
-			f.sim.after(decision.Second, try)
+		case n.silences > 0 || !f.canReach(n):
+			f.sim.after(decision.Second, attempt)
 		default:
 			do(n)
 		}
 	}
-	f.sim.after(hop, try)
+	f.sim.after(nodeLatency, attempt)
 }
 
 func (f *simFront) SetRung(r session.Ref, address string, rung, seq int) {
-	f.later(address, func(n *simNode) {
+	f.callNode(address, func(n *simNode) {
 		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt && seq > p.Seq {
 			p.Seq = seq
-			n.rerate(p, rung)
-			f.sim.add(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Product: p.product.Name, Rung: rung})
+			n.setRung(p, rung)
+			f.sim.record(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Product: p.product.Name, Rung: rung})
 		}
 	})
 }
 
-func (f *simFront) End(r session.Ref, address, why string) {
-	n := f.sim.nodes[address]
-	f.sim.after(hop, func() {
-		if n.up && f.reaches(n) {
-			f.sim.add(trace.Event{Kind: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Note: why})
+func (f *simFront) End(r session.Ref, address, reason string) {
+	n := f.sim.nodesByAddress[address]
+	f.sim.after(nodeLatency, func() {
+		if n.up && f.canReach(n) {
+			f.sim.record(trace.Event{Kind: trace.End, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Note: reason})
 		}
 	})
-	f.later(address, func(n *simNode) {
+	f.callNode(address, func(n *simNode) {
 		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt {
-			n.drop(p)
+			n.removePlay(p)
 		}
 	})
 }
 
 func (f *simFront) Probe(node int, address string) {
-	n := f.sim.nodes[address]
-	life := f.life
-	f.sim.after(hop, func() {
-		how, load, after := decision.Served, decision.UnknownLoad, int64(hop)
+	n := f.sim.nodesByAddress[address]
+	epoch := f.epoch
+	f.sim.after(nodeLatency, func() {
+		outcome, load, delay := decision.Served, decision.UnknownLoad, int64(nodeLatency)
 		switch {
-		case !n.up || !f.reaches(n):
-			how = decision.NoConnect
-		case n.hushed > 0:
-			how, after = decision.NoAnswer, liveness.ProbeTimeout
+		case !n.up || !f.canReach(n):
+			outcome = decision.NoConnect
+		case n.silences > 0:
+			outcome, delay = decision.NoAnswer, liveness.ProbeTimeout
 		default:
-			load = n.load()
+			load = n.reportedLoad()
 		}
-		if f.life == life {
-			f.call(after, func(now int64, c *session.Core) { c.ProbeEnded(now, node, how, load) })
+		if f.epoch == epoch {
+			f.deliver(delay, func(now int64, c *session.Core) { c.ProbeEnded(now, node, outcome, load) })
 		}
 	})
 }
 
 func (f *simFront) OpenStream(node int, address string, at int64) {
-	s, n, life := f.sim, f.sim.nodes[address], f.life
-	f.numbers[n] = node
+	s, n, epoch := f.sim, f.sim.nodesByAddress[address], f.epoch
+	f.nodeNumbers[n] = node
 	delete(f.streams, node)
-	s.after(at-s.now+hop, func() {
+	s.after(at-s.now+nodeLatency, func() {
 		switch {
-		case !f.up || f.life != life:
+		case !f.up || f.epoch != epoch:
 		case !n.up:
-			f.call(hop, func(now int64, c *session.Core) { c.StreamBroke(now, node, true) })
-		case !f.reaches(n):
-			f.call(hop, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
-		case n.hushed > 0:
-			f.call(liveness.CallTimeout, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
+			f.deliver(nodeLatency, func(now int64, c *session.Core) { c.StreamBroke(now, node, true) })
+		case !f.canReach(n):
+			f.deliver(nodeLatency, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
+		case n.silences > 0:
+			f.deliver(liveness.CallTimeout, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 		default:
 			f.streams[node] = n
-			n.heard[f.number] = s.now
-			var runs []session.Running
-			for _, p := range n.held {
+			n.lastHeartbeat[f.number] = s.now
+			var running []session.Running
+			for _, p := range n.orderedPlays {
 				if p.front == f.number && p.playing {
-					home, copies, _ := s.Scenario.Service.Title(p.Title)
-					runs = append(runs, session.Running{Play: p.Play, Epoch: p.epoch, Attempt: p.Attempt, Product: p.Product, Title: p.Title,
-						FirstCell: home, CellCount: copies, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung})
+					firstCell, cellCount, _ := s.Scenario.Service.Title(p.Title)
+					running = append(running, session.Running{Play: p.Play, Epoch: p.epoch, Attempt: p.Attempt, Product: p.Product, Title: p.Title,
+						FirstCell: firstCell, CellCount: cellCount, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung})
 				}
 			}
 			nodeLife, mark := n.life, n.mark
-			f.call(hop, func(now int64, c *session.Core) { c.StreamOpened(now, node, "", nodeLife, mark, runs) })
+			f.deliver(nodeLatency, func(now int64, c *session.Core) { c.StreamOpened(now, node, "", nodeLife, mark, running) })
 		}
 	})
 }
@@ -649,480 +667,492 @@
 func (f *simFront) CloseStream(node int) {
 	if f.streams[node] != nil {
 		delete(f.streams, node)
-		f.call(1, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
+		f.deliver(1, func(now int64, c *session.Core) { c.StreamBroke(now, node, false) })
 	}
 }
 
-// PlayFinished is for records on disk, which a simulated front does not keep.
+// PlayFinished, PlayStarted and RecoveryDone serve records on disk, which a simulated front does not keep.
 func (f *simFront) PlayFinished(string, int, playlog.EndReason) {}
 func (f *simFront) PlayStarted(session.Ref, int, string)        {}
 func (f *simFront) RecoveryDone()                               {}
 
-// nodeDied cuts what the front has to do with a node whose process ended.
-func (f *simFront) nodeDied(n *simNode) {
+// nodeCrashed breaks the front's connections to a node whose process has ended.
+func (f *simFront) nodeCrashed(n *simNode) {
 	var refs []session.Ref
-	for r, p := range f.pending {
+	for r, p := range f.pendingSetUps {
 		if p.node == n && p.sent {
 			refs = append(refs, r)
 		}
 	}
 	sort.Slice(refs, func(i, j int) bool { return refs[i].Play < refs[j].Play })
 	for _, r := range refs {
-		f.settle(r, f.pending[r], decision.ConnectionLost, hop)
+		f.finishSetUp(r, f.pendingSetUps[r], decision.ConnectionLost, nodeLatency)
 	}
-	if k, ok := f.numbers[n]; ok && f.streams[k] == n {
+	if k, ok := f.nodeNumbers[n]; ok && f.streams[k] == n {
 		delete(f.streams, k)
-		f.call(hop, func(now int64, c *session.Core) { c.StreamBroke(now, k, false) })
+		f.deliver(nodeLatency, func(now int64, c *session.Core) { c.StreamBroke(now, k, false) })
 	}
 }
 
+// kill ends the front's process without a shutdown.
 func (f *simFront) kill() {
 	f.up = false
-	f.life++
-	f.sim.add(trace.Event{Kind: trace.FrontKilled, Front: f.name})
-	refs := make([]session.Ref, 0, len(f.pending))
-	for r := range f.pending {
+	f.epoch++
+	f.sim.record(trace.Event{Kind: trace.FrontKilled, Front: f.name})
+	refs := make([]session.Ref, 0, len(f.pendingSetUps))
+	for r := range f.pendingSetUps {
 		refs = append(refs, r)
 	}
 	sort.Slice(refs, func(i, j int) bool { return refs[i].Play < refs[j].Play })
-	for _, r := range refs { // nodes see their connections closed
-		if p := f.pending[r]; p.play != nil && !p.play.playing {
-			p.node.drop(p.play)
-			f.sim.add(trace.Event{Kind: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
+	for _, r := range refs { // nodes drop set-ups whose connection closes
+		if p := f.pendingSetUps[r]; p.play != nil && !p.play.playing {
+			p.node.removePlay(p.play)
+			f.sim.record(trace.Event{Kind: trace.Dropped, Node: p.node.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt})
 		}
 	}
-	replies := make([]*session.Reply, 0, len(f.asks))
-	for r := range f.asks {
+	replies := make([]*session.Reply, 0, len(f.requestIDs))
+	for r := range f.requestIDs {
 		replies = append(replies, r)
 	}
-	sort.Slice(replies, func(i, j int) bool { return f.asks[replies[i]] < f.asks[replies[j]] })
-	for _, r := range replies { // and so do those who wait
-		r.Resolve(session.Answer{Verdict: cut})
+	sort.Slice(replies, func(i, j int) bool { return f.requestIDs[replies[i]] < f.requestIDs[replies[j]] })
+	for _, r := range replies { // the connections of waiting viewers close, too
+		r.Resolve(session.Answer{Verdict: connectionCut})
 	}
 }
 
-// cut is an answer that never was: the front's process ended.
-const cut session.Verdict = 99
+// connectionCut is the verdict for a request without an answer because the front's process ended.
+const connectionCut session.Verdict = 99
 
-// ---- The list ----
+// ---- List service ----
 
+// simChange is a change of the list of nodes.
 type simChange struct {
-	due   int64
-	lines []nodes.Line
+	sendAt int64 // earliest time to send it
+	lines  []nodes.Line
 }
 
+// simList is the simulated list service.
 type simList struct {
-	past []simChange
-	late int64
-	down bool
+	changes []simChange
+	delay   int64
+	down    bool // a fault has stopped the service
 }
 
-func (s *Sim) announce(lines ...nodes.Line) {
-	due := s.now + s.list.late
-	if k := len(s.list.past); k == 0 {
-		due = s.now
+// updateNodes records changes of nodes as one change of the list. The first change is sent without delay.
+func (s *Sim) updateNodes(lines ...nodes.Line) {
+	sendAt := s.now + s.list.delay
+	if k := len(s.list.changes); k == 0 {
+		sendAt = s.now
 	} else {
-		due = max(due, s.list.past[k-1].due)
+		sendAt = max(sendAt, s.list.changes[k-1].sendAt)
 	}
-	s.list.past = append(s.list.past, simChange{due, slices.Clone(lines)})
+	s.list.changes = append(s.list.changes, simChange{sendAt, slices.Clone(lines)})
 }
 
-// hear asks for what is due of the list, five times a second.
-func (f *simFront) hear(life int) {
+// pollList delivers the list changes that are due to the front, five times per second until the process ends.
+func (f *simFront) pollList(epoch int) {
 	s := f.sim
-	if !f.up || f.life != life {
+	if !f.up || f.epoch != epoch {
 		return
 	}
-	s.after(decision.Second/5, func() { f.hear(life) })
+	s.after(decision.Second/5, func() { f.pollList(epoch) })
 	if s.list.down || f.stopped {
 		return
 	}
-	due := f.listed
-	for due < len(s.list.past) && s.list.past[due].due <= s.now {
-		due++
+	version := f.listVersion
+	for version < len(s.list.changes) && s.list.changes[version].sendAt <= s.now {
+		version++
 	}
-	if due == f.listed {
+	if version == f.listVersion {
 		return
 	}
-	whole := f.listed == 0
+	full := f.listVersion == 0
 	var lines []nodes.Line
-	for _, c := range s.list.past[f.listed:due] {
+	for _, c := range s.list.changes[f.listVersion:version] {
 		for _, l := range c.lines {
 			lines = slices.DeleteFunc(lines, func(o nodes.Line) bool { return o.Name == l.Name })
 			lines = append(lines, l)
 		}
 	}
-	f.listed = due
+	f.listVersion = version
 	var listed []session.NodeEntry
 	for _, l := range lines {
-		if whole && l.Phase == "gone" {
+		if full && l.Phase == "gone" {
 			continue
 		}
-		s.add(trace.Event{Kind: trace.ListSent, Front: f.name, Node: l.Name, Note: l.Phase})
+		s.record(trace.Event{Kind: trace.ListSent, Front: f.name, Node: l.Name, Note: l.Phase})
 		phase := map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}[l.Phase]
-		e := session.NodeEntry{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, StartedAt: l.StartedMs}
+		entry := session.NodeEntry{Name: l.Name, Address: l.Address, Phase: phase, Cell: l.Cell, Weight: l.Weight, StartedAt: l.StartedMs}
 		for i, k := range s.Scenario.Service.Kinds {
 			if k.Name == l.Kind {
-				e.Kind = i
+				entry.Kind = i
 			}
 		}
 		for i, z := range s.Scenario.Service.Zones {
 			if z == l.Zone {
-				e.Zone = i
+				entry.Zone = i
 			}
 		}
-		listed = append(listed, e)
+		listed = append(listed, entry)
 	}
-	f.call(hop, func(now int64, c *session.Core) { c.UpdateList(now, listed, whole) })
+	f.deliver(nodeLatency, func(now int64, c *session.Core) { c.UpdateList(now, listed, full) })
 }
 
 // ---- Viewers ----
 
+// simViewer is a simulated viewer, the counterpart of ViewerClients.Watch.
 type simViewer struct {
 	*Viewer
-	sim    *Sim
-	front  int
-	began  int64
-	until  int64
-	first  bool
-	tries  int
-	before string
-	broken bool
-	play   *session.Answer
-	fails  int
-	rung   int
+	sim           *Sim
+	front         int // current front, counted modulo the number of fronts
+	startedAt     int64
+	leaveAt       int64
+	first         bool // no request has been sent yet
+	retries       int
+	previousPlay  string          // play that the next request refers to
+	notDelivering bool            // the node of previousPlay does not deliver
+	play          *session.Answer // nil if the viewer has no play
+	failures      int             // failed segment requests in a row
+	rung          int
 }
 
-func (v *simViewer) ask() {
+// requestPlay sends a request to the current front: for a first or new play, or for the manifest of the viewer's
+// play.
+func (v *simViewer) requestPlay() {
 	s := v.sim
-	if s.now >= v.until && !v.first {
+	if s.now >= v.leaveAt && !v.first {
 		return
 	}
 	f := s.fronts[v.front%len(s.fronts)]
-	s.ids++
-	id := s.ids
-	line := trace.Event{Kind: trace.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
-		LimitMs: int64(v.Product.DeadlineMs), Play: v.before, First: v.first}
-	if v.broken {
-		line.Note = "broken"
+	s.lastRequestID++
+	id := s.lastRequestID
+	event := trace.Event{Kind: trace.Ask, ID: id, Front: f.name, Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+		LimitMs: int64(v.Product.DeadlineMs), Play: v.previousPlay, First: v.first}
+	if v.notDelivering {
+		event.Note = "broken"
 	}
 	if v.first {
-		line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
+		event.WatchMs, event.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 	}
 	v.first = false
-	s.add(line)
+	s.record(event)
 	limit := s.now + int64(v.Product.DeadlineMs)*decision.Millisecond
 	if !f.up {
-		s.after(clientHop, func() { s.add(trace.Event{Kind: trace.Answer, ID: id, Note: "connection refused"}); v.again(0) })
+		s.after(clientLatency, func() {
+			s.record(trace.Event{Kind: trace.Answer, ID: id, Note: "connection refused"})
+			v.retryAfterPause(0)
+		})
 		return
 	}
 	var reply *session.Reply
-	reply = session.NewReplyFunc(func(a session.Answer) {
-		delete(f.asks, reply)
-		s.after(clientHop, func() { v.answered(id, a) })
+	reply = session.NewReplyFunc(func(answer session.Answer) {
+		delete(f.requestIDs, reply)
+		s.after(clientLatency, func() { v.handleAnswer(id, answer) })
 	})
-	f.asks[reply] = id
-	home, copies, _ := s.Scenario.Service.Title(v.Title)
+	f.requestIDs[reply] = id
+	firstCell, cellCount, _ := s.Scenario.Service.Title(v.Title)
 	number, _ := s.Scenario.Service.ProductNumber(v.Product.Name)
-	a := session.Request{Product: number, Title: v.Title, FirstCell: home, CellCount: copies, Viewer: v.Name, Deadline: limit, MaxRung: v.MaxRung,
-		Length: max(0, v.until-s.now), Reply: reply}
-	if v.before != "" {
-		a.Previous = &session.Previous{Play: v.before, NotDelivered: v.broken}
-	}
-	life := f.life
-	s.after(clientHop, func() {
-		f.run(life, func() {
-			w := &admission.Request{Importance: v.Product.Importance, Deadline: limit, Client: v.Name, Value: a}
-			verdict, back, gone := f.gate.Offer(s.now, w)
-			if gone != nil {
-				f.turnAway(gone)
+	request := session.Request{Product: number, Title: v.Title, FirstCell: firstCell, CellCount: cellCount, Viewer: v.Name, Deadline: limit, MaxRung: v.MaxRung,
+		Length: max(0, v.leaveAt-s.now), Reply: reply}
+	if v.previousPlay != "" {
+		request.Previous = &session.Previous{Play: v.previousPlay, NotDelivered: v.notDelivering}
+	}
+	epoch := f.epoch
+	s.after(clientLatency, func() {
+		f.run(epoch, func() {
+			queued := &admission.Request{Importance: v.Product.Importance, Deadline: limit, Client: v.Name, Value: request}
+			verdict, retryAfter, displaced := f.requests.Offer(s.now, queued)
+			if displaced != nil {
+				f.reject(displaced)
 			}
 			if verdict != admission.Queued {
-				f.turnAway(&admission.Rejection{Request: w, Reason: verdict, RetryAfter: back})
+				f.reject(&admission.Rejection{Request: queued, Reason: verdict, RetryAfter: retryAfter})
 			}
 		})
 	})
-	s.after(limit-s.now, func() { // its time is up, whatever the front does
-		if f.up && f.life == life && reply.Withdraw() {
-			delete(f.asks, reply)
-			f.call(0, func(now int64, c *session.Core) { c.RequestWithdrawn(now, reply) })
-			v.answered(id, session.Answer{Verdict: session.Failed, TimedOut: true})
+	s.after(limit-s.now, func() { // the viewer gives up at the limit, even if the front is stopped
+		if f.up && f.epoch == epoch && reply.Withdraw() {
+			delete(f.requestIDs, reply)
+			f.deliver(0, func(now int64, c *session.Core) { c.RequestWithdrawn(now, reply) })
+			v.handleAnswer(id, session.Answer{Verdict: session.Failed, TimedOut: true})
 		}
 	})
 }
 
-func (v *simViewer) answered(id int64, a session.Answer) {
+// handleAnswer records the answer to a request, starts a play or schedules a retry at the next front.
+func (v *simViewer) handleAnswer(id int64, a session.Answer) {
 	s := v.sim
-	line := trace.Event{Kind: trace.Answer, ID: id, Play: a.Play, Note: a.Reason}
+	event := trace.Event{Kind: trace.Answer, ID: id, Play: a.Play, Note: a.Reason}
 	switch {
-	case a.Verdict == cut:
+	case a.Verdict == connectionCut:
 	case a.Verdict == session.Plays:
-		line.Status = 200
+		event.Status = 200
 	case a.Verdict == session.Declined:
-		line.Status = 503
+		event.Status = 503
 	case a.Verdict == session.Failed:
-		line.Status = 502
+		event.Status = 502
 	default:
-		line.Status = 403
+		event.Status = 403
 	}
-	s.add(line)
-	if line.Status != 200 {
-		v.play, v.before, v.broken = nil, "", false
+	s.record(event)
+	if event.Status != 200 {
+		v.play, v.previousPlay, v.notDelivering = nil, "", false
 		v.front++
-		v.again(a.RetryAfter)
+		v.retryAfterPause(a.RetryAfter)
 		return
 	}
 	started := v.play == nil || v.play.Play != a.Play
-	v.play, v.before, v.broken = &a, a.Play, false
+	v.play, v.previousPlay, v.notDelivering = &a, a.Play, false
 	if started {
-		v.fails, v.rung = 0, a.Rung
-		v.fetch(a.Play)
+		v.failures, v.rung = 0, a.Rung
+		v.fetchSegment(a.Play)
 	}
 }
 
-// again comes back after a pause, while patience lasts.
-func (v *simViewer) again(advice int64) {
-	if v.tries++; v.tries > v.MaxRetries {
+// retryAfterPause schedules another request after a pause, unless the retries are used up.
+func (v *simViewer) retryAfterPause(retryAfter int64) {
+	if v.retries++; v.retries > v.MaxRetries {
 		return
 	}
 	pause := int64((0.5 + v.Rand.Float64()) * float64(v.Pause/(100*time.Microsecond)))
-	if v.HeedsRetryAfter && advice > 0 {
-		pause = int64((1 + v.Rand.Float64()) * float64((advice+decision.Second-1)/decision.Second*decision.Second))
+	if v.HeedsRetryAfter && retryAfter > 0 {
+		pause = int64((1 + v.Rand.Float64()) * float64((retryAfter+decision.Second-1)/decision.Second*decision.Second))
 	}
-	v.sim.after(pause, v.ask)
+	v.sim.after(pause, v.requestPlay)
 }
 
-// fetch is one segment and what follows from it.
-func (v *simViewer) fetch(play string) {
+// fetchSegment fetches a segment and schedules the next. If the play has ended or its node does not deliver, it
+// requests the play again.
+func (v *simViewer) fetchSegment(play string) {
 	s := v.sim
 	if v.play == nil || v.play.Play != play {
 		return
 	}
-	if s.now >= v.until {
+	if s.now >= v.leaveAt {
 		f := s.fronts[v.front%len(s.fronts)]
-		f.call(clientHop, func(now int64, c *session.Core) { c.EndPlay(now, play) })
+		f.deliver(clientLatency, func(now int64, c *session.Core) { c.EndPlay(now, play) })
 		return
 	}
-	n := s.nodes[v.play.Address]
-	every := int64(s.Scenario.Service.SegmentMs) * decision.Millisecond
+	n := s.nodesByAddress[v.play.Address]
+	interval := int64(s.Scenario.Service.SegmentMs) * decision.Millisecond
 	p := n.plays[play]
 	switch {
-	case !n.up || n.hushed > 0:
-		if v.fails++; v.fails >= 2 {
-			v.broken, v.play = true, nil
-			v.ask()
+	case !n.up || n.silences > 0:
+		if v.failures++; v.failures >= 2 {
+			v.notDelivering, v.play = true, nil
+			v.requestPlay()
 			return
 		}
-		s.after(every, func() { v.fetch(play) })
+		s.after(interval, func() { v.fetchSegment(play) })
 		return
 	case p == nil || !p.playing:
-		v.play = nil // moved or lost: it is expected back at once, and says so if the front doesn't know
-		v.broken = v.fails > 0
-		s.after(clientHop, v.ask)
+		v.play = nil // moved or lost: the front expects a new request at once
+		v.notDelivering = v.failures > 0
+		s.after(clientLatency, v.requestPlay)
 		return
 	}
-	v.fails = 0
-	p.used = s.now
-	share := n.share()
+	v.failures = 0
+	p.lastActive = s.now
+	share := n.deliveredShare()
 	s.segments++
 	if share < 0.98 {
-		s.short++
+		s.shortSegments++
 	}
-	s.add(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
-	if p.Rung != v.rung { // told by the node: its manifest is asked for again
+	s.record(trace.Event{Kind: trace.Served, Node: n.line.Name, Play: play, Rung: p.Rung, Share: share})
+	if p.Rung != v.rung { // the node suggests the new rate: request the manifest again
 		v.rung = p.Rung
-		v.ask()
+		v.requestPlay()
 	}
-	s.after(every, func() { v.fetch(play) })
+	s.after(interval, func() { v.fetchSegment(play) })
 }
 
-// ---- The day ----
+// ---- Run and faults ----
 
-// Run plays the day and returns what it came to.
+// Run runs the scenario and returns its outcome. It may be called once.
 func (s *Sim) Run() *Outcome {
-	began := time.Now()
-	d := s.Scenario
+	startedAt := time.Now()
+	sc := s.Scenario
 	s.now = session.ClockStart
-	s.rnd = rand.New(rand.NewPCG(d.Seed, 2))
-	s.nodes, s.crowd = map[string]*simNode{}, map[string]float64{}
-	s.list.late = int64(d.ListLateMs) * decision.Millisecond
-	about := rand.New(rand.NewPCG(d.Seed, 1))
-	for range 32 { // as the key of a rehearsal on sockets draws
-		about.UintN(256)
-	}
-	spread := func() float64 { return 1 + d.BandwidthSpread*(2*about.Float64()-1) }
-	s.rackAsks = make([]float64, d.Service.Racks)
-	for range d.Service.Racks {
-		given := d.Service.UplinkKB
-		if given <= 0 {
-			given = math.Inf(1)
+	s.random = rand.New(rand.NewPCG(sc.Seed, 2))
+	s.nodesByAddress, s.titleShares = map[string]*simNode{}, map[string]float64{}
+	s.list.delay = int64(sc.ListLateMs) * decision.Millisecond
+	spreadRandom := rand.New(rand.NewPCG(sc.Seed, 1))
+	for range 32 { // as many draws as Rehearsal makes for its key, so that the capacities are the same
+		spreadRandom.UintN(256)
+	}
+	spreadFactor := func() float64 { return 1 + sc.BandwidthSpread*(2*spreadRandom.Float64()-1) }
+	s.rackDemandKB = make([]float64, sc.Service.Racks)
+	for range sc.Service.Racks {
+		uplinkKB := sc.Service.UplinkKB
+		if uplinkKB <= 0 {
+			uplinkKB = math.Inf(1)
 		}
-		s.racks = append(s.racks, rack{given * spread(), 1})
+		s.racks = append(s.racks, rack{uplinkKB * spreadFactor(), 1})
 	}
 	var lines []nodes.Line
-	for i := range d.Nodes {
-		n := s.newNode(fmt.Sprintf("n%d", i), i%d.Service.Cells, i, d.Service.WeightKB*spread())
-		s.byNumber = append(s.byNumber, n)
+	for i := range sc.Nodes {
+		n := s.newNode(fmt.Sprintf("n%d", i), i%sc.Service.Cells, i, sc.Service.WeightKB*spreadFactor())
+		s.nodesByNumber = append(s.nodesByNumber, n)
 		n.start(false)
 		lines = append(lines, n.line)
 	}
-	s.announce(lines...)
-	for i := range d.Service.Fronts {
+	s.updateNodes(lines...)
+	for i := range sc.Service.Fronts {
 		f := &simFront{sim: s, number: i, name: fmt.Sprintf("f%d", i)}
 		s.fronts = append(s.fronts, f)
 		f.start()
-		s.add(trace.Event{Kind: trace.FrontStarted, Front: f.name})
+		s.record(trace.Event{Kind: trace.FrontStarted, Front: f.name})
 	}
-	beat := 0
+	tickCount := 0
 	var tick func()
 	tick = func() {
-		for _, n := range s.order {
-			n.tick(beat)
+		for _, n := range s.allNodes {
+			n.runPeriodic(tickCount)
 		}
-		beat++
-		s.after(simTick, tick)
+		tickCount++
+		s.after(nodeTick, tick)
 	}
-	s.after(simTick, tick)
-	s.seconds(2, func() { // fronts are ready by then
-		for _, f := range d.Faults {
-			s.seconds(f.At, func() { s.inject(f) })
+	s.after(nodeTick, tick)
+	s.afterSeconds(2, func() { // gives fronts time to become ready
+		for _, f := range sc.Faults {
+			s.afterSeconds(f.At, func() { s.inject(f) })
 		}
-		for a := range d.arrivals(len(s.fronts)) {
-			s.seconds(a.at, func() {
-				a.v.Title = d.crowded(a, s.crowd)
-				v := &simViewer{Viewer: a.v, sim: s, front: s.lean.first(a), began: s.now, first: true}
-				v.until = s.now + session.Ticks(a.v.WatchTime)
-				v.ask()
+		for a := range sc.arrivals(len(s.fronts)) {
+			s.afterSeconds(a.at, func() {
+				a.viewer.Title = sc.titleFor(a, s.titleShares)
+				v := &simViewer{Viewer: a.viewer, sim: s, front: s.shift.firstFront(a), startedAt: s.now, first: true}
+				v.leaveAt = s.now + session.Ticks(a.viewer.WatchTime)
+				v.requestPlay()
 			})
 		}
 	})
-	end := s.now + int64((2+d.Seconds+d.tail())*float64(decision.Second))
-	for len(s.due) > 0 && s.due[0].at <= end {
-		e := heap.Pop(&s.due).(simEvent)
+	end := s.now + int64((2+sc.Seconds+sc.tailSeconds())*float64(decision.Second))
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(simEvent)
 		s.now = e.at
-		s.events++
-		e.do()
+		s.eventCount++
+		e.run()
 	}
-	return &Outcome{Report: audit.Check(&d.Service, s.lines), Lines: s.lines, Took: time.Since(began),
-		Short: float64(s.short) / max(1, float64(s.segments))}
+	return &Outcome{Report: audit.Check(&sc.Service, s.trace), Lines: s.trace, Took: time.Since(startedAt),
+		Short: float64(s.shortSegments) / max(1, float64(s.segments))}
 }
 
-// inject is the script's faults, as on sockets.
+// inject applies a fault and schedules its end, like Rehearsal.inject.
 func (s *Sim) inject(f Fault) {
-	s.add(trace.Event{Kind: trace.Fault, Note: f.String()})
-	each := func(do func(n *simNode)) {
+	s.record(trace.Event{Kind: trace.Fault, Note: f.String()})
+	forEachNode := func(do func(n *simNode)) {
 		for _, i := range f.Nodes {
-			do(s.byNumber[i])
+			do(s.nodesByNumber[i])
 		}
 	}
-	lasts := func(undo func()) {
+	undoAfterDuration := func(undo func()) {
 		if f.Duration > 0 {
-			s.seconds(f.Duration, undo)
+			s.afterSeconds(f.Duration, undo)
 		}
 	}
-	set := func(at func(n *simNode) *float64, usual float64) {
-		each(func(n *simNode) {
-			*at(n) = f.Amount
-			lasts(func() { *at(n) = usual })
+	setField := func(field func(n *simNode) *float64, normal float64) {
+		forEachNode(func(n *simNode) {
+			*field(n) = f.Amount
+			undoAfterDuration(func() { *field(n) = normal })
 		})
 	}
-	back := func(n *simNode) {
+	startCold := func(n *simNode) {
 		n.start(true)
-		n.line.StartedMs = s.now // on the fronts' own clock here
+		n.line.StartedMs = s.now // in ticks: simulated fronts take it without conversion
 		n.line.Phase = "ready"
-		s.announce(n.line)
+		s.updateNodes(n.line)
 	}
 	switch f.Action {
 	case "drain":
-		each(func(n *simNode) {
-			n.drains = true
+		forEachNode(func(n *simNode) {
+			n.draining = true
 			line := n.line
 			line.Phase = "draining"
-			s.announce(line)
-			s.seconds(f.Amount, func() {
+			s.updateNodes(line)
+			s.afterSeconds(f.Amount, func() {
 				n.crash(trace.Crash)
 				line.Phase = "gone"
-				s.announce(line)
-				lasts(func() {
-					m := s.newNode(fmt.Sprintf("%sx%d", n.line.Name, len(s.order)), n.cell, 0, n.given)
-					back(m)
+				s.updateNodes(line)
+				undoAfterDuration(func() {
+					replacement := s.newNode(fmt.Sprintf("%sx%d", n.line.Name, len(s.allNodes)), n.cell, 0, n.linkKB)
+					startCold(replacement)
 				})
 			})
 		})
 	case "crash":
-		each(func(n *simNode) {
+		forEachNode(func(n *simNode) {
 			n.crash(trace.Crash)
-			lasts(func() { back(n) })
+			undoAfterDuration(func() { startCold(n) })
 		})
 	case "list-wrong":
-		each(func(n *simNode) {
+		forEachNode(func(n *simNode) {
 			line := n.line
 			line.Phase = "gone"
-			s.announce(line)
-			lasts(func() { s.announce(n.line) })
+			s.updateNodes(line)
+			undoAfterDuration(func() { s.updateNodes(n.line) })
 		})
 	case "silence":
-		each(func(n *simNode) {
-			n.hushed++
-			lasts(func() { n.hushed-- })
+		forEachNode(func(n *simNode) {
+			n.silences++
+			undoAfterDuration(func() { n.silences-- })
 		})
 	case "slow":
-		set(func(n *simNode) *float64 { return &n.slow }, 1)
+		setField(func(n *simNode) *float64 { return &n.setUpSlowdown }, 1)
 	case "errors":
-		set(func(n *simNode) *float64 { return &n.fails }, 0)
+		setField(func(n *simNode) *float64 { return &n.errorShare }, 0)
 	case "vanish":
-		set(func(n *simNode) *float64 { return &n.vanish }, 0)
+		setField(func(n *simNode) *float64 { return &n.lostAnswerShare }, 0)
 	case "neighbour":
-		set(func(n *simNode) *float64 { return &n.taken }, 0)
+		setField(func(n *simNode) *float64 { return &n.linkShareTaken }, 0)
 	case "uplink":
-		s.racks[f.Rack].divided = max(0.001, f.Amount)
-		lasts(func() { s.racks[f.Rack].divided = 1 })
+		s.racks[f.Rack].uplinkDivisor = max(0.001, f.Amount)
+		undoAfterDuration(func() { s.racks[f.Rack].uplinkDivisor = 1 })
 	case "list-down":
 		s.list.down = true
-		lasts(func() { s.list.down = false })
+		undoAfterDuration(func() { s.list.down = false })
 	case "list-late":
-		usual := s.list.late
-		s.list.late += int64(f.Amount * float64(decision.Second))
-		lasts(func() { s.list.late = usual })
+		normal := s.list.delay
+		s.list.delay += int64(f.Amount * float64(decision.Second))
+		undoAfterDuration(func() { s.list.delay = normal })
 	case "crowd":
-		s.crowd[f.Title] = f.Amount
-		lasts(func() { delete(s.crowd, f.Title) })
+		s.titleShares[f.Title] = f.Amount
+		undoAfterDuration(func() { delete(s.titleShares, f.Title) })
 	case "shift":
-		s.lean = lean{f.Front, f.Amount}
-		lasts(func() { s.lean = lean{} })
+		s.shift = frontShift{f.Front, f.Amount}
+		undoAfterDuration(func() { s.shift = frontShift{} })
 	case "reports-late":
-		s.late = f.Amount
-		lasts(func() { s.late = 0 })
+		s.reportDelay = f.Amount
+		undoAfterDuration(func() { s.reportDelay = 0 })
 	case "zone-cut":
-		s.apart = f.Zone + 1
-		lasts(func() { s.apart = 0 })
+		s.isolatedZone = f.Zone + 1
+		undoAfterDuration(func() { s.isolatedZone = 0 })
 	case "ageing":
-		each(func(n *simNode) {
-			for age := 0.0; age < f.Duration; age++ {
-				s.seconds(age, func() { n.slow, n.taken = aged(f, age) })
+		forEachNode(func(n *simNode) {
+			for seconds := 0.0; seconds < f.Duration; seconds++ {
+				s.afterSeconds(seconds, func() { n.setUpSlowdown, n.linkShareTaken = ageingEffect(f, seconds) })
 			}
-			s.seconds(f.Duration, func() {
+			s.afterSeconds(f.Duration, func() {
 				n.crash(trace.Crash)
-				n.slow, n.taken = 1, 0
-				s.seconds(agedBack, func() { back(n) })
+				n.setUpSlowdown, n.linkShareTaken = 1, 0
+				s.afterSeconds(ageingRestartDelay, func() { startCold(n) })
 			})
 		})
 	case "front-kill":
 		p := s.fronts[f.Front]
 		p.kill()
-		lasts(func() {
+		undoAfterDuration(func() {
 			p.start()
-			s.add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
+			s.record(trace.Event{Kind: trace.FrontStarted, Front: p.name})
 		})
 	case "front-stall":
 		p := s.fronts[f.Front]
 		p.stopped = true
-		s.add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
-		s.seconds(f.Duration, func() {
+		s.record(trace.Event{Kind: trace.FrontStopped, Front: p.name})
+		s.afterSeconds(f.Duration, func() {
 			p.stopped = false
-			s.add(trace.Event{Kind: trace.Continued, Front: p.name})
-			held := p.held
-			p.held = nil
+			s.record(trace.Event{Kind: trace.Continued, Front: p.name})
+			held := p.deferred
+			p.deferred = nil
 			for _, do := range held {
 				do()
 			}
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -12,14 +12,15 @@
 	"gullrail/testbed/trace"
 )
 
-// statuses of a socket's verdicts on the trace, as DASH would tell them.
-func statusOf(verdict, why string) int {
+// httpStatus returns the status that the HTTP interface uses for a verdict of the WebSocket interface, so that
+// traces of both are alike.
+func httpStatus(verdict, reason string) int {
 	switch {
 	case verdict == "plays":
 		return http.StatusOK
 	case verdict == "declined":
 		return http.StatusServiceUnavailable
-	case verdict == "failed" && why == "time limit":
+	case verdict == "failed" && reason == "time limit":
 		return http.StatusGatewayTimeout
 	case verdict == "failed":
 		return http.StatusBadGateway
@@ -27,63 +28,63 @@
 	return http.StatusForbidden
 }
 
-// watchSocket lives through one viewer's wish with the project's own client on a socket.
+// watchSocket runs a viewer like Watch, but with package client over a WebSocket.
 func (p *ViewerClients) watchSocket(ctx context.Context, v *Viewer) {
-	began := time.Now()
+	startedAt := time.Now()
 	var mu sync.Mutex
-	ids := map[string]int64{} // of asks without an answer, by ticket
-	asked := map[string]time.Time{}
+	pendingIDs := map[string]int64{} // trace IDs of unanswered requests, by ticket
+	askedAt := map[string]time.Time{}
 	first := true
-	names := map[string]string{}
+	frontNames := map[string]string{}
 	for i, a := range v.Fronts {
-		names[a] = v.Names[i]
+		frontNames[a] = v.Names[i]
 	}
-	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, OnExchange: func(t client.Exchange) {
+	c := client.New(client.Options{Fronts: v.Fronts, Viewer: v.Name, OnExchange: func(exchange client.Exchange) {
 		mu.Lock()
 		defer mu.Unlock()
-		if t.Answer == nil && t.Err == nil {
+		if exchange.Answer == nil && exchange.Err == nil {
 			id := p.ids.Add(1)
-			ids[t.Ticket], asked[t.Ticket] = id, time.Now()
-			line := trace.Event{Kind: trace.Ask, ID: id, Front: names[t.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
-				LimitMs: int64(v.Product.DeadlineMs), Play: t.PreviousPlay, First: first}
-			if t.NotDelivered {
-				line.Note = "broken"
+			pendingIDs[exchange.Ticket], askedAt[exchange.Ticket] = id, time.Now()
+			event := trace.Event{Kind: trace.Ask, ID: id, Front: frontNames[exchange.Front], Viewer: v.Name, Product: v.Product.Name, Title: v.Title,
+				LimitMs: int64(v.Product.DeadlineMs), Play: exchange.PreviousPlay, First: first}
+			if exchange.NotDelivered {
+				event.Note = "broken"
 			}
 			if first {
-				line.WatchMs, line.Rung = v.WatchTime.Milliseconds(), v.MaxRung
+				event.WatchMs, event.Rung = v.WatchTime.Milliseconds(), v.MaxRung
 			}
 			first = false
-			p.Trace.Add(line)
+			p.Trace.Add(event)
 			return
 		}
-		id, ok := ids[t.Ticket]
+		id, ok := pendingIDs[exchange.Ticket]
 		if !ok {
 			return
 		}
-		delete(ids, t.Ticket)
-		line := trace.Event{Kind: trace.Answer, ID: id}
-		in := time.Since(asked[t.Ticket]) < time.Duration(v.Product.DeadlineMs)*time.Millisecond
-		delete(asked, t.Ticket)
-		if errors.Is(t.Err, client.ErrLeft) && in { // past the limit it was owed an answer, gone or not
-			line.Kind = trace.Gone
-		} else if t.Err != nil {
-			line.Note = t.Err.Error()
+		delete(pendingIDs, exchange.Ticket)
+		event := trace.Event{Kind: trace.Answer, ID: id}
+		inTime := time.Since(askedAt[exchange.Ticket]) < time.Duration(v.Product.DeadlineMs)*time.Millisecond
+		delete(askedAt, exchange.Ticket)
+		if errors.Is(exchange.Err, client.ErrLeft) && inTime { // after the limit, the lack of an answer counts even if the client has left
+			event.Kind = trace.Gone
+		} else if exchange.Err != nil {
+			event.Note = exchange.Err.Error()
 		} else {
-			line.Status, line.Note = statusOf(t.Answer.Verdict, t.Answer.Why), t.Answer.Why
-			if t.Answer.Grant != nil {
-				line.Play = t.Answer.Grant.Play
+			event.Status, event.Note = httpStatus(exchange.Answer.Verdict, exchange.Answer.Why), exchange.Answer.Why
+			if exchange.Answer.Grant != nil {
+				event.Play = exchange.Answer.Grant.Play
 			}
 		}
-		p.Trace.Add(line)
+		p.Trace.Add(event)
 	}})
 	defer c.Close()
-	for tries := 0; ctx.Err() == nil && time.Since(began) < v.WatchTime && tries <= v.MaxRetries; tries++ {
+	for tries := 0; ctx.Err() == nil && time.Since(startedAt) < v.WatchTime && tries <= v.MaxRetries; tries++ {
 		play, err := c.RequestPlay(ctx, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Timeout: time.Duration(v.Product.DeadlineMs) * time.Millisecond,
-			Length: v.WatchTime - time.Since(began), MaxRetries: v.MaxRetries})
+			Length: v.WatchTime - time.Since(startedAt), MaxRetries: v.MaxRetries})
 		if err != nil {
-			return // its tries are used up
+			return // the retries are used up
 		}
-		if p.fetchAll(ctx, v, play, began) {
+		if p.fetchSegments(ctx, v, play, startedAt) {
 			p.Trace.Add(trace.Event{Kind: trace.Leave, Play: play.Grant().Play})
 			play.End()
 			return
@@ -91,27 +92,28 @@
 	}
 }
 
-// fetchAll fetches segments until the viewer's time is over, or the play is, which it tells with false.
-func (p *ViewerClients) fetchAll(ctx context.Context, v *Viewer, play *client.Play, began time.Time) bool {
-	fails, away := 0, false
-	for n := 1; time.Since(began) < v.WatchTime; n++ {
+// fetchSegments fetches segments until the watch time is over or ctx ends. It returns false if the play ended
+// before that.
+func (p *ViewerClients) fetchSegments(ctx context.Context, v *Viewer, play *client.Play, startedAt time.Time) bool {
+	failures, interrupted := 0, false
+	for n := 1; time.Since(startedAt) < v.WatchTime; n++ {
 		g := play.Grant()
-		every := time.Duration(g.Segment) * time.Millisecond
-		if !away {
-			status, _ := p.fetch(ctx, g.Base+g.Rungs[len(g.Rungs)-1].ID+"/"+strconv.Itoa(n)+".m4s", every)
+		interval := time.Duration(g.Segment) * time.Millisecond
+		if !interrupted {
+			status, _ := p.fetchSegment(ctx, g.Base+g.Rungs[len(g.Rungs)-1].ID+"/"+strconv.Itoa(n)+".m4s", interval)
 			switch {
 			case ctx.Err() != nil:
 				return true
-			case status == http.StatusOK, status == http.StatusGone, status == http.StatusForbidden: // the socket tells what follows
-				fails = 0
+			case status == http.StatusOK, status == http.StatusGone, status == http.StatusForbidden: // an event on the socket follows
+				failures = 0
 			default:
-				if fails++; fails == 2 {
-					fails = 0
+				if failures++; failures == 2 {
+					failures = 0
 					play.ReportNotDelivered()
 				}
 			}
 		}
-		tick := time.After(every)
+		timer := time.After(interval)
 		for waiting := true; waiting; {
 			select {
 			case e, ok := <-play.Events():
@@ -119,13 +121,13 @@
 					return false
 				}
 				if e.Kind == client.Moved || e.Kind == client.Rung {
-					waiting = away // it fetches there at once
-					away = false
+					waiting = interrupted // after an interruption, fetch from the new node at once
+					interrupted = false
 				}
 				if e.Kind == client.Interrupted {
-					away = true
+					interrupted = true
 				}
-			case <-tick:
+			case <-timer:
 				waiting = false
 			case <-ctx.Done():
 				return true
--- a/testbed/stand.go
+++ b/testbed/stand.go
@@ -13,10 +13,11 @@
 	"gullrail/testbed/trace"
 )
 
-// A rehearsal may be spread over processes: one for each rack of nodes, one for the list service, one for
-// the viewers. Each reads the whole day, and plays its part of the script by the common clock.
+// A rehearsal may be spread over several processes: one for each rack of nodes, one for the list service and one
+// for the viewers. Each process reads the whole scenario and injects the faults that concern it, relative to a
+// common start time.
 
-// StartRack starts the nodes of one rack, to be announced at a list service in another process.
+// StartRack starts the nodes of one rack, and returns their entries for a list service in another process.
 func (r *Rehearsal) StartRack(rack int, t *trace.Recorder) ([]nodes.Line, error) {
 	if _, err := r.prepare(t); err != nil {
 		return nil, err
@@ -25,31 +26,31 @@
 	return r.startNodes(func(i int) bool { return i%cells%r.Scenario.Service.Racks == rack })
 }
 
-// StartList starts the list service with its nodes; other processes announce theirs to Announce at its
-// address.
+// StartList starts the list service with the given nodes. The caller must serve HandleUpdateNodes to receive
+// changes of nodes in other processes.
 func (r *Rehearsal) StartList(t *trace.Recorder, lines []nodes.Line) (addr string, err error) {
 	if _, err := r.prepare(t); err != nil {
 		return "", err
 	}
-	r.registry = NewListService(r.tape, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
-	r.list = r.registry
-	r.registry.UpdateNodes(lines...)
+	r.listService = NewListService(r.recorder, time.Duration(r.Scenario.ListLateMs)*time.Millisecond)
+	r.updater = r.listService
+	r.listService.UpdateNodes(lines...)
 	if addr, err = freePort(); err != nil {
 		return "", err
 	}
-	return addr, r.registry.Start(addr)
+	return addr, r.listService.Start(addr)
 }
 
-// ForwardUpdatesTo lets the nodes of this process be announced at a list service's back door.
-func (r *Rehearsal) ForwardUpdatesTo(addr string) { r.list = remote{addr, r.Logf} }
+// ForwardUpdatesTo sends changes of this process's nodes to HandleUpdateNodes at an address.
+func (r *Rehearsal) ForwardUpdatesTo(addr string) { r.updater = remoteList{addr, r.Logf} }
 
-// remote is a list service in another process.
-type remote struct {
+// remoteList forwards changes of nodes to a list service in another process.
+type remoteList struct {
 	addr string
-	say  func(format string, args ...any)
+	logf func(format string, args ...any)
 }
 
-func (a remote) UpdateNodes(lines ...nodes.Line) {
+func (a remoteList) UpdateNodes(lines ...nodes.Line) {
 	body, err := json.Marshal(lines)
 	if err == nil {
 		var resp *http.Response
@@ -58,21 +59,22 @@
 		}
 	}
 	if err != nil {
-		a.say("announcing: %v", err)
+		a.logf("forward node changes to list service: %v", err)
 	}
 }
 
-// HandleUpdateNodes is the list service's back door: it works also while players' side is down.
+// HandleUpdateNodes receives changes of nodes from other processes. It has its own address, so that it works while
+// a fault has stopped the list service.
 func (r *Rehearsal) HandleUpdateNodes(w http.ResponseWriter, req *http.Request) {
 	var lines []nodes.Line
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 1<<20)).Decode(&lines); err != nil || len(lines) == 0 {
 		http.Error(w, fmt.Sprint("announce: ", err), http.StatusBadRequest)
 		return
 	}
-	r.registry.UpdateNodes(lines...)
+	r.listService.UpdateNodes(lines...)
 }
 
-// Script plays this process's part of the script, until all of it is done or the context ends.
+// Script injects the faults that concern this process. It returns when ctx has ended.
 func (r *Rehearsal) Script(ctx context.Context, start time.Time) {
 	for _, f := range r.Scenario.Faults {
 		r.wg.Add(1)
@@ -82,27 +84,27 @@
 	r.wg.Wait()
 }
 
-// WatchAll lets the day's viewers come from a start on, and returns when the last answer is in, with the
-// share of segments delivered short.
+// WatchAll runs the viewers of the scenario from a start time on. It returns after the time for the last answers
+// has passed, with the recorded events and the share of segments delivered at less than 0.98 of their bit rate.
 func (r *Rehearsal) WatchAll(ctx context.Context, start time.Time, t *trace.Recorder, fronts []FrontAddress) (lines []trace.Event, short float64, err error) {
 	if _, err := r.prepare(t); err != nil {
 		return nil, 0, err
 	}
-	players := NewViewerClients(&r.Scenario.Service, t)
-	viewers, end := context.WithCancel(ctx)
-	r.crowds(viewers, start)
-	r.arrive(viewers, start, players, fronts)
-	wait(ctx, r.Scenario.tail())
+	clients := NewViewerClients(&r.Scenario.Service, t)
+	viewersCtx, stopViewers := context.WithCancel(ctx)
+	r.injectViewerFaults(viewersCtx, start)
+	r.startViewers(viewersCtx, start, clients, fronts)
+	waitSeconds(ctx, r.Scenario.tailSeconds())
 	lines = t.Events()
-	end()
+	stopViewers()
 	r.wg.Wait()
-	players.Counts.mu.Lock()
-	defer players.Counts.mu.Unlock()
-	return lines, float64(players.Counts.Short) / max(1, float64(players.Counts.Segments)), ctx.Err()
+	clients.Counts.mu.Lock()
+	defer clients.Counts.mu.Unlock()
+	return lines, float64(clients.Counts.Short) / max(1, float64(clients.Counts.Segments)), ctx.Err()
 }
 
-// crowds plays the crowds of the script alone.
-func (r *Rehearsal) crowds(ctx context.Context, start time.Time) {
+// injectViewerFaults injects only the faults that change the arrival of viewers.
+func (r *Rehearsal) injectViewerFaults(ctx context.Context, start time.Time) {
 	for _, f := range r.Scenario.Faults {
 		if f.Action == "crowd" || f.Action == "shift" {
 			r.wg.Add(1)
@@ -111,7 +113,7 @@
 	}
 }
 
-// StartFronts starts the day's fronts, told of a list service elsewhere, with the key that the day draws.
+// StartFronts starts the fronts with a list service in another process. list is its host and port.
 func (r *Rehearsal) StartFronts(ctx context.Context, list string, t *trace.Recorder) error {
 	key, err := r.prepare(t)
 	if err != nil {
@@ -120,8 +122,8 @@
 	return r.startFronts(ctx, key, list)
 }
 
-// Audit checks the traces of all processes.
-func (d *Scenario) Audit(tapes ...[]trace.Event) (*audit.Report, []trace.Event) {
-	all := trace.Merge(tapes...)
-	return audit.Check(&d.Service, all), all
+// Audit merges the traces of all processes and audits them. It returns the report and the merged trace.
+func (sc *Scenario) Audit(traces ...[]trace.Event) (*audit.Report, []trace.Event) {
+	merged := trace.Merge(traces...)
+	return audit.Check(&sc.Service, merged), merged
 }
--- a/testbed/store_test.go
+++ b/testbed/store_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := r.fleet.nodes[cl.Node].hush()
+	end := r.fleet.nodes[cl.Node].silence()
 	defer end()
 	r.stop()
 	r.startFront() // waits until it is ready: without records that would take the silent node's lease
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -143,7 +143,7 @@
 
 func TestClientLeavesOffWhenItsContextEnds(t *testing.T) {
 	r := newRig(t, 1)
-	r.nodes[0].hush()
+	r.nodes[0].silence()
 	c := r.viewer("v")
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
