--- a/testbed/baseline.go
+++ b/testbed/baseline.go
@@ -93,26 +93,26 @@
 }
 
 // add stores a new play in the first free slot.
-func (b *baseline) add(w decision.Request) (decision.Handle, *baselinePlay) {
-	at := -1
+func (b *baseline) add(request decision.Request) (decision.Handle, *baselinePlay) {
+	slot := -1
 	for i := range b.plays {
 		if !b.plays[i].inUse {
-			at = i
+			slot = i
 			break
 		}
 	}
-	if at < 0 {
-		at = len(b.plays)
+	if slot < 0 {
+		slot = len(b.plays)
 		b.plays = append(b.plays, baselinePlay{})
 	}
-	p := &b.plays[at]
-	*p = baselinePlay{request: w, generation: p.generation + 1, inUse: true, attempt: -1, tried: p.tried[:0]}
-	return decision.Handle{Index: int32(at), Generation: p.generation}, p
+	p := &b.plays[slot]
+	*p = baselinePlay{request: request, generation: p.generation + 1, inUse: true, attempt: -1, tried: p.tried[:0]}
+	return decision.Handle{Index: int32(slot), Generation: p.generation}, p
 }
 
-func (b *baseline) AddPlay(now int64, w decision.Request) (decision.Handle, *decision.Result) {
+func (b *baseline) AddPlay(now int64, request decision.Request) (decision.Handle, *decision.Result) {
 	b.clearResult()
-	h, p := b.add(w)
+	h, p := b.add(request)
 	b.acceptTimes = append(b.acceptTimes, now)
 	b.place(now, h, p)
 	return h, b.finish(now)
@@ -173,11 +173,11 @@
 	p.tried = append(p.tried, chosen)
 	b.seats[seatKey]++
 	target := now + int64(b.setting("product.target", product))/2
-	until := p.request.Deadline
-	if !paid && target < until {
-		until = target
+	giveUpAt := p.request.Deadline // earlier for plays that are not paid, which leaves time for another attempt
+	if !paid && target < giveUpAt {
+		giveUpAt = target
 	}
-	b.result.Orders = append(b.result.Orders, decision.Order{Play: h, Action: decision.Place, Node: chosen, Rung: rung, Until: until})
+	b.result.Orders = append(b.result.Orders, decision.Order{Play: h, Action: decision.Place, Node: chosen, Rung: rung, Until: giveUpAt})
 }
 
 func (p *baselinePlay) hasTried(node int) bool {
@@ -192,29 +192,29 @@
 // withinRetryBudget reports whether one more attempt after a play's first keeps within the budget for such
 // attempts. It leaves a margin of 200 ms on the window and of 10% on the plays counted.
 func (b *baseline) withinRetryBudget(now int64) bool {
-	over := int64(b.setting("budget.over", 0))
-	if over == 0 {
+	window := int64(b.setting("budget.over", 0))
+	if window == 0 {
 		return true
 	}
-	within := func(times []int64) (n float64) {
+	count := func(times []int64) (n float64) {
 		for _, t := range times {
-			if t > now-over-200*decision.Millisecond {
+			if t > now-window-200*decision.Millisecond {
 				n++
 			}
 		}
 		return n
 	}
-	return within(b.retryTimes)+1 <= b.setting("budget.free", 0)+b.setting("budget.share", 0)*within(b.acceptTimes)*0.9
+	return count(b.retryTimes)+1 <= b.setting("budget.free", 0)+b.setting("budget.share", 0)*count(b.acceptTimes)*0.9
 }
 
-func (b *baseline) AdoptPlay(now int64, w decision.Request, node int) (decision.Handle, *decision.Result) {
+func (b *baseline) AdoptPlay(now int64, request decision.Request, node int) (decision.Handle, *decision.Result) {
 	b.clearResult()
-	h, p := b.add(w)
+	h, p := b.add(request)
 	p.attempt, p.playing, p.attemptOpen, p.node = 0, true, true, node
 	if b.seats == nil {
 		b.seats = map[[2]int]int{}
 	}
-	b.seats[[2]int{w.Title, w.Product}]++
+	b.seats[[2]int{request.Title, request.Product}]++
 	return h, b.finish(now)
 }
 
@@ -284,8 +284,8 @@
 	return b.noOrders(now)
 }
 func (b *baseline) Wake(now int64) *decision.Result {
-	over := int64(b.setting("budget.over", 0)) + decision.Second
-	for len(b.acceptTimes) > 0 && b.acceptTimes[0] < now-over {
+	window := int64(b.setting("budget.over", 0)) + decision.Second
+	for len(b.acceptTimes) > 0 && b.acceptTimes[0] < now-window {
 		b.acceptTimes = b.acceptTimes[1:]
 	}
 	return b.noOrders(now)
--- a/testbed/list.go
+++ b/testbed/list.go
@@ -107,14 +107,14 @@
 			next = append(next, s.changes[v])
 		}
 		if sent == 0 && len(next) > 0 { // the full list, as of the last version that is due
-			last := next[len(next)-1].Version
+			version := next[len(next)-1].Version
 			latest := map[string]nodes.Line{}
 			for _, c := range next {
 				for _, l := range c.Nodes {
 					latest[l.Name] = l
 				}
 			}
-			full := nodes.Change{Version: last, Full: true}
+			full := nodes.Change{Version: version, Full: true}
 			for _, name := range s.names {
 				if l, ok := latest[name]; ok && l.Phase != "gone" {
 					full.Nodes = append(full.Nodes, l)
--- a/testbed/load.go
+++ b/testbed/load.go
@@ -56,8 +56,8 @@
 	start, n := time.Now(), 0
 	for a := range scenario.arrivals(len(l.Fronts)) {
 		scheduled := start.Add(time.Duration(a.at * float64(time.Second)))
-		q := url.Values{"product": {a.viewer.Product.Name}, "viewer": {l.Name + "-" + a.viewer.Name}}
-		target := "http://" + l.Fronts[n%len(l.Fronts)].Address + "/v1/titles/" + url.PathEscape(a.viewer.Title) + "/manifest.mpd?" + q.Encode()
+		query := url.Values{"product": {a.viewer.Product.Name}, "viewer": {l.Name + "-" + a.viewer.Name}}
+		target := "http://" + l.Fronts[n%len(l.Fronts)].Address + "/v1/titles/" + url.PathEscape(a.viewer.Title) + "/manifest.mpd?" + query.Encode()
 		n++
 		select {
 		case <-time.After(time.Until(scheduled)):
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -164,12 +164,12 @@
 }
 
 // rateKB returns the bit rate of a play in kB/s.
-func (f *Fleet) rateKB(r *nodePlay) float64 { return f.service.RatesKB[r.Rung] * r.product.RateFactor }
+func (f *Fleet) rateKB(p *nodePlay) float64 { return f.service.RatesKB[p.Rung] * p.product.RateFactor }
 
 // demandKB returns the sum of the bit rates of the node's plays in kB/s.
 func (n *Node) demandKB() (sum float64) {
-	for _, r := range n.plays {
-		sum += n.fleet.rateKB(r)
+	for _, p := range n.plays {
+		sum += n.fleet.rateKB(p)
 	}
 	return sum
 }
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -680,30 +680,30 @@
 		if len(r.fronts) == 0 {
 			return
 		}
-		p := r.fronts[f.Front]
-		p.kill()
-		r.recorder.Add(trace.Event{Kind: trace.FrontKilled, Front: p.name})
+		front := r.fronts[f.Front]
+		front.kill()
+		r.recorder.Add(trace.Event{Kind: trace.FrontKilled, Front: front.name})
 		if f.Duration > 0 && waitSeconds(ctx, f.Duration) {
-			if err := r.startFront(p); err != nil {
+			if err := r.startFront(front); err != nil {
 				r.Logf("%v", err)
 				return
 			}
-			if err := p.awaitReady(ctx, 20*time.Second); err != nil {
+			if err := front.awaitReady(ctx, 20*time.Second); err != nil {
 				r.Logf("%v", err)
 				return
 			}
-			r.recorder.Add(trace.Event{Kind: trace.FrontStarted, Front: p.name})
+			r.recorder.Add(trace.Event{Kind: trace.FrontStarted, Front: front.name})
 		}
 	case "front-stall":
 		if len(r.fronts) == 0 {
 			return
 		}
-		p := r.fronts[f.Front]
-		r.recorder.Add(trace.Event{Kind: trace.FrontStopped, Front: p.name})
-		p.signal(syscall.SIGSTOP)
+		front := r.fronts[f.Front]
+		r.recorder.Add(trace.Event{Kind: trace.FrontStopped, Front: front.name})
+		front.signal(syscall.SIGSTOP)
 		waitSeconds(ctx, f.Duration)
-		p.signal(syscall.SIGCONT)
-		r.recorder.Add(trace.Event{Kind: trace.Continued, Front: p.name})
+		front.signal(syscall.SIGCONT)
+		r.recorder.Add(trace.Event{Kind: trace.Continued, Front: front.name})
 	}
 }
 
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -1138,21 +1138,21 @@
 			})
 		})
 	case "front-kill":
-		p := s.fronts[f.Front]
-		p.kill()
+		front := s.fronts[f.Front]
+		front.kill()
 		undoAfterDuration(func() {
-			p.start()
-			s.record(trace.Event{Kind: trace.FrontStarted, Front: p.name})
+			front.start()
+			s.record(trace.Event{Kind: trace.FrontStarted, Front: front.name})
 		})
 	case "front-stall":
-		p := s.fronts[f.Front]
-		p.stopped = true
-		s.record(trace.Event{Kind: trace.FrontStopped, Front: p.name})
+		front := s.fronts[f.Front]
+		front.stopped = true
+		s.record(trace.Event{Kind: trace.FrontStopped, Front: front.name})
 		s.afterSeconds(f.Duration, func() {
-			p.stopped = false
-			s.record(trace.Event{Kind: trace.Continued, Front: p.name})
-			held := p.deferred
-			p.deferred = nil
+			front.stopped = false
+			s.record(trace.Event{Kind: trace.Continued, Front: front.name})
+			held := front.deferred
+			front.deferred = nil
 			for _, do := range held {
 				do()
 			}
