--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -380,7 +380,7 @@
 	}
 	fmt.Printf("run of %s, seed %d, started %s, %s\n", filepath.Base(run.Day), run.Seed, run.Began.Format(time.RFC3339), state)
 	for _, m := range members {
-		fmt.Printf("  %-10s PID %-8d %s\n", m.Name, m.PID, run.StateOf(m))
+		fmt.Printf("  %-10s process %-8d %s\n", m.Name, m.PID, run.StateOf(m))
 	}
 	return nil
 }
--- a/cmd/gullrail/kit_test.go
+++ b/cmd/gullrail/kit_test.go
@@ -155,6 +155,55 @@
 	}
 }
 
+// The browser test of the TypeScript client and operators' tools read these lines: they are compared letter for letter.
+func TestKitListsFrontsAndProcessesInTheirFormat(t *testing.T) {
+	bin, scenario, folder := buildProgram(t), writeTemp(t, "scenario.jsonc", smallScenario), filepath.Join(t.TempDir(), "run")
+	t.Cleanup(func() { exec.Command(bin, "kit", "clean", "--dir", folder).Run() })
+	up, err := exec.Command(bin, "kit", "up", scenario, "--dir", folder).Output()
+	if err != nil {
+		t.Fatalf("%v\n%s", err, up)
+	}
+	var fronts []testbed.FrontAddress
+	readJSON(filepath.Join(folder, "fronts.json"), &fronts)
+	want := ""
+	for _, f := range fronts {
+		want += f.Name + " at http://" + f.Address + "\n"
+	}
+	if len(fronts) != 2 || string(up) != want {
+		t.Errorf("kit up prints %q, want %q for 2 fronts", up, want)
+	}
+
+	for name, pid := range map[string]int{"zz-gone": 1 << 30, "zz-other": os.Getpid()} {
+		registration := fmt.Sprintf(`{"name": %q, "pid": %d, "start": 1}`, name, pid)
+		if err := os.WriteFile(filepath.Join(folder, "members", name+".json"), []byte(registration), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	run, err := rundir.Open(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	members, err := run.Members()
+	if err != nil || len(members) < 6 {
+		t.Fatalf("members: %v, %v", members, err)
+	}
+	want = ""
+	for _, m := range members {
+		state := "alive"
+		switch m.Name {
+		case "zz-gone":
+			state = "gone"
+		case "zz-other":
+			state = "another process has its id"
+		}
+		want += fmt.Sprintf("  %-10s process %-8d %s\n", m.Name, m.PID, state)
+	}
+	status, err := exec.Command(bin, "kit", "status", "--dir", folder).Output()
+	if _, processes, _ := strings.Cut(string(status), "\n"); err != nil || processes != want {
+		t.Errorf("kit status: %v\n got %q\nwant %q", err, processes, want)
+	}
+}
+
 func TestKitRunKeepsTheRules(t *testing.T) {
 	bin, scenario := buildProgram(t), writeTemp(t, "scenario.jsonc", smallScenario)
 	folder := filepath.Join(t.TempDir(), "run")
--- a/cmd/gullrail/store.go
+++ b/cmd/gullrail/store.go
@@ -29,7 +29,7 @@
 	contents, err := store.Inspect(store.Folder(c.Folder))
 	if err != nil {
 		if contents != nil {
-			fmt.Printf("%s: readable before the damage: %d records, %d bytes\n", c.Folder, len(contents.Records), contents.Bytes)
+			fmt.Printf("%s: before the damage: %d records, %d bytes\n", c.Folder, len(contents.Records), contents.Bytes)
 		}
 		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
@@ -37,7 +37,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
-	fmt.Printf("%s: intact: segment %d, %d records, %d bytes, last acknowledged record %d, %d plays open\n", c.Folder, contents.Segment,
+	fmt.Printf("%s: whole: segment %d, %d records, %d bytes, the last acknowledged is number %d, %d plays open\n", c.Folder, contents.Segment,
 		len(contents.Records), contents.Bytes, contents.Acked, len(plays.OpenPlays()))
 	return nil
 }
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: kept %d of %d records, %d of %d bytes\n", c.Folder, result.RecordsAfter, result.RecordsBefore, result.BytesAfter, result.BytesBefore)
+	fmt.Printf("%s: %d records of %d kept, %d bytes of %d\n", c.Folder, result.RecordsAfter, result.RecordsBefore, result.BytesAfter, result.BytesBefore)
 	return nil
 }
 
@@ -90,6 +90,6 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: recovered %d records, at least %d missing, %d plays open\n", c.Into, result.Records, result.Lost, result.Open)
+	fmt.Printf("%s: %d records found, at least %d missing, %d plays open\n", c.Into, result.Records, result.Lost, result.Open)
 	return nil
 }
--- a/rundir/rundir.go
+++ b/rundir/rundir.go
@@ -56,13 +56,13 @@
 	Info  json.RawMessage `json:"info,omitempty"`
 }
 
-// State is the state of a member's process.
+// State is the state of a member's process. 'kit status' prints it, and operators' tools read its output: don't change the texts.
 type State string
 
 const (
 	Alive   State = "alive"
 	Gone    State = "gone"
-	Another State = "PID reused by another process"
+	Another State = "another process has its id"
 )
 
 func bootID() (string, error) {
