--- a/store/log.go
+++ b/store/log.go
@@ -108,7 +108,7 @@
 		number, record, size, problem := decodeFrame(data[offset:])
 		switch {
 		case problem == "" && number != c.Last()+1:
-			problem = frameProblem(fmt.Sprintf("record %d follows record %d", number, c.Last()))
+			problem = fmt.Sprintf("record %d follows record %d", number, c.Last())
 		}
 		if problem != "" {
 			if c.Last() < c.Acked {
@@ -179,35 +179,24 @@
 	return b
 }
 
-// frameProblem is what is wrong with a frame, in the words of error messages; it is empty for a valid frame.
-type frameProblem string
-
-const (
-	fileEnds         frameProblem = "the file ends"
-	endsInHeader     frameProblem = "the file ends within a record header"
-	lengthOutOfRange frameProblem = "record length is out of range"
-	endsInRecord     frameProblem = "the file ends within a record"
-	checksumMismatch frameProblem = "record checksum mismatch"
-)
-
 // decodeFrame decodes the frame at the start of data. Problem is empty if it is valid, and otherwise says what is wrong.
-func decodeFrame(data []byte) (number uint64, record []byte, size int64, problem frameProblem) {
+func decodeFrame(data []byte) (number uint64, record []byte, size int64, problem string) {
 	if len(data) == 0 {
-		return 0, nil, 0, fileEnds
+		return 0, nil, 0, "the file ends"
 	}
 	if len(data) < headerSize {
-		return 0, nil, 0, endsInHeader
+		return 0, nil, 0, "the file ends within a record's head"
 	}
 	n := binary.LittleEndian.Uint32(data)
 	if n > maxRecordSize {
-		return 0, nil, 0, lengthOutOfRange
+		return 0, nil, 0, "a record's length is out of range"
 	}
 	if len(data) < headerSize+int(n) {
-		return 0, nil, 0, endsInRecord
+		return 0, nil, 0, "the file ends within a record"
 	}
 	number, record = binary.LittleEndian.Uint64(data[8:]), data[headerSize:headerSize+int(n)]
 	if checksum(data[:4], data[8:headerSize+int(n)]) != binary.LittleEndian.Uint32(data[4:]) || number == 0 {
-		return 0, nil, 0, checksumMismatch
+		return 0, nil, 0, "a record's checksum is wrong"
 	}
 	return number, record, int64(headerSize) + int64(n), ""
 }
--- a/store/salvage.go
+++ b/store/salvage.go
@@ -14,22 +14,7 @@
 	File     string
 	From, To int64  // byte range that holds no valid record in sequence
 	Records  uint64 // number of records missing
-	What     string // the cause, as 'gullrail store salvage' prints it
-}
-
-// gapTexts are the causes of missing records where they differ from the words of error messages. 'gullrail store salvage' prints
-// them on standard output, which operators' tools read: don't change the texts.
-var gapTexts = map[frameProblem]string{
-	endsInHeader:     "the file ends within a record's head",
-	lengthOutOfRange: "a record's length is out of range",
-	checksumMismatch: "a record's checksum is wrong",
-}
-
-func gapText(problem frameProblem) string {
-	if text, ok := gapTexts[problem]; ok {
-		return text
-	}
-	return string(problem)
+	What     string
 }
 
 // Salvaged is the data recovered from a store, damaged or not.
@@ -82,20 +67,20 @@
 			continue
 		}
 		if problem == "" {
-			problem = frameProblem(fmt.Sprintf("record %d in place of %d", number, next))
+			problem = fmt.Sprintf("record %d in place of %d", number, next)
 		}
 		resumeAt, found := findNextFrame(data, offset, next, c.Acked)
 		if found == 0 {
 			if next <= c.Acked {
-				s.addGap(MissingRange{name, offset, int64(len(data)), c.Acked + 1 - next, gapText(problem)})
+				s.addGap(MissingRange{name, offset, int64(len(data)), c.Acked + 1 - next, problem})
 			}
 			return s, nil // the remaining bytes were never acknowledged
 		}
-		s.addGap(MissingRange{name, offset, resumeAt, found - next, gapText(problem)})
+		s.addGap(MissingRange{name, offset, resumeAt, found - next, problem})
 		next, offset = found, resumeAt
 	}
 	if next <= c.Acked {
-		s.addGap(MissingRange{name, int64(len(data)), int64(len(data)), c.Acked + 1 - next, gapText(fileEnds)})
+		s.addGap(MissingRange{name, int64(len(data)), int64(len(data)), c.Acked + 1 - next, "the file ends"})
 	}
 	return s, nil
 }
