--- a/testbed/trace/trace.go
+++ b/testbed/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace records the events on the sockets of simulated nodes, the list service and simulated players, by
-// one monotonic clock.
+// Package trace records the events that simulated nodes, the list service and simulated players see on their sockets,
+// timed by one monotonic clock.
 package trace
 
 import (
@@ -14,35 +14,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// What an Event tells of.
+// Kinds of events, and the fields of Event that each sets.
 const (
-	Ask          = "ask"      // a player sent a request: ID, Front, Viewer, Product, Title, LimitMs, Play it had before
-	Answer       = "answer"   // it was answered: ID, Status, Play; Status 0 is no answer, Note says why
-	Gone         = "gone"     // the player went away before an answer: ID
-	Leave        = "leave"    // the player is about to tell its front that it is done: Play
+	Ask          = "ask"      // a player sent a request: ID, Front, Viewer, Product, Title, LimitMs; Play is the viewer's previous play
+	Answer       = "answer"   // the request was answered: ID, Status, Play; Status 0 means no answer, Note says why
+	Gone         = "gone"     // the player disconnected before it got an answer: ID
+	Leave        = "leave"    // the player is about to tell its front that it has finished watching: Play
 	SetUp        = "setup"    // a node received a set-up: Node, Front, Play, Attempt, Product, Title, Rung
-	Started      = "started"  // and answered that it plays
-	Refused      = "refused"  // or that it never ran
-	Errored      = "errored"  // or that it failed
-	Dropped      = "dropped"  // or the front closed the connection first
-	Rung         = "rung"     // a node received a new rung: Node, Front, Play, Product, Rung
-	End          = "end"      // a node received the word to end a play: Node, Front, Play, Attempt
-	Ended        = "ended"    // a node ended a play by itself: Node, Front, Play
-	Served       = "served"   // a node sent a segment: Node, Play, Rung
-	Load         = "load"     // once a second: Node, Share is what is asked of its link over what it gives, Uplink the same
-	Life         = "life"     // a node's process began: Node; Note is cold or warm
-	Crash        = "crash"    // and ended: Node
-	Overloaded   = "fell"     // a cold node was pushed over: Node
-	ListSent     = "told"     // the list service told a front: Front, Node, Note is the phase
+	Started      = "started"  // the node answered that the play runs; fields as for SetUp
+	Refused      = "refused"  // the node answered that the play never ran; fields as for SetUp
+	Errored      = "errored"  // the node answered with an error; fields as for SetUp
+	Dropped      = "dropped"  // the front closed the connection before the node answered; fields as for SetUp
+	Rung         = "rung"     // a node was told to change a play's rung: Node, Front, Play, Product, Rung
+	End          = "end"      // a node was told to end a play: Node, Front, Play, Attempt
+	Ended        = "ended"    // a node ended a play of its own accord: Node, Front, Play
+	Served       = "served"   // a node sent a segment: Node, Play, Rung, Share
+	Load         = "load"     // a node's load, once a second: Node; Share is the bandwidth demanded of its link over the link's capacity, Uplink the same for its uplink
+	Life         = "life"     // a node's process started: Node; Note is cold or warm
+	Crash        = "crash"    // a node's process crashed: Node
+	Overloaded   = "fell"     // a cold node crashed under too many set-ups: Node
+	ListSent     = "told"     // the list service sent a front the state of a node: Front, Node, Note is the phase
 	FrontKilled  = "killed"   // a front was killed: Front
-	FrontStopped = "stopped"  // a front's process was stopped: Front
-	Continued    = "goes"     // and goes on
+	FrontStopped = "stopped"  // a front's process was suspended: Front
+	Continued    = "goes"     // a front's suspended process was resumed: Front
 	FrontStarted = "up"       // a front's process was started: Front
-	Fault        = "fault"    // the script did something: Note
+	Fault        = "fault"    // the scenario injected a fault: Note
 	StreamClosed = "unstream" // a node lost or closed the stream to a front: Node, Front
 )
 
-// Event is one thing that passed. T is in microseconds since the trace began.
+// Event is one observed event. T is in microseconds since the trace began.
 type Event struct {
 	T       int64   `json:"t"`
 	Kind    string  `json:"what"`
@@ -56,88 +56,88 @@
 	Title   string  `json:"title,omitempty"`
 	Rung    int     `json:"rung,omitempty"`
 	LimitMs int64   `json:"limit_ms,omitempty"`
-	First   bool    `json:"first,omitempty"`    // of an Ask: the viewer's first try
-	WatchMs int64   `json:"watch_ms,omitempty"` // of a first Ask: how long the viewer means to watch; Rung is its best
-	Share   float64 `json:"share,omitempty"`    // of Served: the share of its rate that was delivered
+	First   bool    `json:"first,omitempty"`    // of an Ask: the viewer's first request
+	WatchMs int64   `json:"watch_ms,omitempty"` // of a first Ask: how long the viewer intends to watch; Rung is the highest it can play
+	Share   float64 `json:"share,omitempty"`    // of Served: the rate at which the segment was delivered over its bit rate
 	Uplink  float64 `json:"uplink,omitempty"`
 	Status  int     `json:"status,omitempty"`
 	Note    string  `json:"note,omitempty"`
 }
 
-// Recorder collects lines of many goroutines in the order of their times.
+// Recorder collects the events of many goroutines in the order of their times.
 type Recorder struct {
-	began time.Time
-	base  time.Duration // what the clock showed then
-	mu    sync.Mutex
-	lines []Event
+	started time.Time
+	offset  time.Duration // time of the trace's clock at started
+	mu      sync.Mutex
+	events  []Event
 }
 
-// New starts a trace and its clock.
-func New() *Recorder { return &Recorder{began: time.Now()} }
+// New starts a trace whose clock begins now.
+func New() *Recorder { return &Recorder{started: time.Now()} }
 
-// NewSince starts a trace whose clock began at a moment of the machine's monotonic clock, so that the traces of
-// several processes of one machine go by one clock.
+// NewSince starts a trace whose clock began when the machine's monotonic clock read base, so that several processes
+// of one machine can share one clock.
 func NewSince(base time.Duration) *Recorder {
-	return &Recorder{began: time.Now(), base: Monotonic() - base}
+	return &Recorder{started: time.Now(), offset: Monotonic() - base}
 }
 
 // Monotonic reads the machine's monotonic clock.
 func Monotonic() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
-		panic(fmt.Sprintf("tape: no monotonic clock: %v", err))
+		panic(fmt.Sprintf("trace: read monotonic clock: %v", err))
 	}
 	return time.Duration(t.Nano())
 }
 
-// Add records a line, with its time.
-func (r *Recorder) Add(l Event) {
+// Add records an event and sets its time.
+func (r *Recorder) Add(e Event) {
 	r.mu.Lock()
-	l.T = (r.base + time.Since(r.began)).Microseconds()
-	r.lines = append(r.lines, l)
+	e.T = (r.offset + time.Since(r.started)).Microseconds()
+	r.events = append(r.events, e)
 	r.mu.Unlock()
 }
 
-// Merge puts the events of several traces of one clock in the order of their times.
-func Merge(tapes ...[]Event) []Event {
+// Merge sorts the events of several traces of one clock by time.
+func Merge(traces ...[]Event) []Event {
 	var all []Event
-	for _, t := range tapes {
+	for _, t := range traces {
 		all = append(all, t...)
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].T < all[j].T })
 	return all
 }
 
-// Events is a copy of what was recorded.
+// Events returns a copy of the recorded events.
 func (r *Recorder) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Event(nil), r.lines...)
+	return append([]Event(nil), r.events...)
 }
 
-// Write writes lines as JSON, one a line.
-func Write(w io.Writer, lines []Event) error {
+// Write writes events as JSON, one per line.
+func Write(w io.Writer, events []Event) error {
 	out := bufio.NewWriter(w)
 	enc := json.NewEncoder(out)
-	for i := range lines {
-		if err := enc.Encode(&lines[i]); err != nil {
-			return fmt.Errorf("tape: %w", err)
+	for i := range events {
+		if err := enc.Encode(&events[i]); err != nil {
+			return fmt.Errorf("trace: write event: %w", err)
 		}
 	}
 	return out.Flush()
 }
 
-// Read reads what Write wrote.
+// Read reads events in the format of Write.
 func Read(r io.Reader) ([]Event, error) {
-	var lines []Event
-	in := bufio.NewScanner(r)
-	in.Buffer(nil, 1<<20)
-	for n := 1; in.Scan(); n++ {
-		var l Event
-		if err := json.Unmarshal(in.Bytes(), &l); err != nil {
-			return nil, fmt.Errorf("tape: line %d: %w", n, err)
+	var events []Event
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, 1<<20)
+	for line := 1; scanner.Scan(); line++ {
+		var e Event
+		if err := json.Unmarshal(scanner.Bytes(), &e); err != nil {
+			return nil, fmt.Errorf("trace: line %d: %w", line, err)
 		}
-		lines = append(lines, l)
+		events = append(events, e)
 	}
-	return lines, in.Err()
+	return events, scanner.Err()
 }
