--- a/testbed/audit/audit.go
+++ b/testbed/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit checks the six rules of the brief from traces and settings alone: nothing of a front's
-// inside is known to it.
+// Package audit checks a front's six required rules from traces and settings alone, without access to the front's
+// internal state.
 package audit
 
 import (
@@ -11,47 +11,50 @@
 )
 
 const (
-	// skew is how far apart two sockets of one machine may see one event, in microseconds: a front closes
-	// one connection and writes on another, and the two nodes' goroutines run when the machine lets them.
-	skew = 60_000
-	// slack is how long after the time limit an answer still counts, in microseconds, for its way.
-	slack = 100_000
-	// stall is how many parts of its worth a segment loses for each part of its rate that is missing under
-	// 0.98: the middle of what the operators state.
-	stall = 7.0
-	// wakes is how long a front that was stopped past a time limit may take to answer once it goes on.
-	wakes = 300_000
-	// cross is how many set-ups over the allowance chance may bring within one window.
-	cross = 2
+	// maxSkewUs is the largest difference between the times at which two sockets of one machine see related events, in
+	// microseconds: a front closes one connection and writes to another, and the two nodes' goroutines are scheduled
+	// independently.
+	maxSkewUs = 60_000
+	// answerSlackUs is how long after its time limit an answer still counts as in time, in microseconds, to allow for its
+	// transmission.
+	answerSlackUs = 100_000
+	// stallPenalty is the fraction of its worth that a segment loses per unit by which the delivered share of its rate is
+	// below 0.98: the middle of the range that the operators state.
+	stallPenalty = 7.0
+	// resumeGraceUs is how long a front that was suspended past a time limit may take to answer once it is resumed, in
+	// microseconds.
+	resumeGraceUs = 300_000
+	// setUpTolerance is how many set-ups more than the allowance may arrive within one window by chance.
+	setUpTolerance = 2
 )
 
-// Rule is the verdict on one of the six.
+// Rule is the result for one of the six rules.
 type Rule struct {
 	Name       string   `json:"name"`
-	Violations []string `json:"breaks"` // each with the events of the trace that show it
+	Violations []string `json:"breaks"` // each names the lines of the trace that show it
 }
 
-// Report is what a trace came to.
+// Report summarizes a trace.
 type Report struct {
 	Rules       []Rule  `json:"rules"`
 	Requests    int     `json:"requests"`
-	Asked       int     `json:"plays_asked"` // viewers' first tries
+	Asked       int     `json:"plays_asked"` // viewers' first requests
 	Plays       int     `json:"plays"`
 	Declined    int     `json:"declined"`
 	Failed      int     `json:"failed"`
 	Denied      int     `json:"denied"`
-	Interrupted int     `json:"cut"`  // requests whose front was killed, or gone, while they waited
-	Abandoned   int     `json:"left"` // requests whose client went away first
+	Interrupted int     `json:"cut"`  // requests whose front was down, or was killed while they waited
+	Abandoned   int     `json:"left"` // requests whose client disconnected before an answer
 	MaxAnswers  int     `json:"answers_per_play"`
 	Doubled     int     `json:"allocations_doubled"`
 	Reallocated int     `json:"further_allocations"`
-	Worth       float64 `json:"worth"` // earned by segments over what viewers came for: rungs and stalls count
-	Service     float64 `json:"service"`
-	FirstMs     []int64 `json:"-"` // first-frame latencies of plays, sorted
+	Worth       float64 `json:"worth"`   // importance-weighted worth of the segments delivered over that of what viewers asked for; lower rungs and stalls reduce it
+	Service     float64 `json:"service"` // share of viewers, weighted by importance, that got a play within their product's target
+	FirstMs     []int64 `json:"-"`       // first-frame latencies of plays, sorted
 	Rungs       []int   `json:"segments_by_rung"`
 }
 
-// RulesKept tells that no rule was broken.
+// RulesKept reports whether no rule was violated.
 func (r *Report) RulesKept() bool {
 	for _, x := range r.Rules {
 		if len(x.Violations) > 0 {
@@ -61,211 +64,212 @@
 	return true
 }
 
-type audit struct {
-	set     *config.Service
-	lines   []trace.Event
-	crossed map[int]bool // ends that a node read before the set-ups they end, and these set-ups
-	rep     *Report
-	breaks  [6][]string
+type auditor struct {
+	service      *config.Service
+	events       []trace.Event
+	endReadFirst map[int]bool // indices of set-ups that their node read after their end, and of these ends
+	report       *Report
+	violations   [6][]string
 }
 
-func (a *audit) broken(rule int, format string, args ...any) {
-	a.breaks[rule-1] = append(a.breaks[rule-1], fmt.Sprintf(format, args...))
+func (a *auditor) addViolation(rule int, format string, args ...any) {
+	a.violations[rule-1] = append(a.violations[rule-1], fmt.Sprintf(format, args...))
 }
 
-// Check audits a trace. Events must be in the order of their times, as a Recorder records them.
-func Check(set *config.Service, lines []trace.Event) *Report {
-	a := &audit{set: set, lines: lines, crossed: crossed(lines), rep: &Report{}}
-	a.answers()
-	a.allocations()
-	a.drains()
-	a.cold()
-	a.terms()
-	a.budget()
+// Check checks a trace against the rules. The events must be sorted by time, as a Recorder records them.
+func Check(service *config.Service, events []trace.Event) *Report {
+	a := &auditor{service: service, events: events, endReadFirst: findEndsReadFirst(events), report: &Report{}}
+	a.checkAnswers()
+	a.checkAllocations()
+	a.checkDrains()
+	a.checkColdNodes()
+	a.checkProductLimits()
+	a.checkBudget()
 	for i, name := range []string{"one answer in time", "no set-up twice", "drains kept", "no cold node pushed over",
 		"floors and seats kept", "further allocations in budget"} {
-		a.rep.Rules = append(a.rep.Rules, Rule{name, a.breaks[i]})
+		a.report.Rules = append(a.report.Rules, Rule{name, a.violations[i]})
 	}
-	sort.Slice(a.rep.FirstMs, func(i, j int) bool { return a.rep.FirstMs[i] < a.rep.FirstMs[j] })
-	return a.rep
+	sort.Slice(a.report.FirstMs, func(i, j int) bool { return a.report.FirstMs[i] < a.report.FirstMs[j] })
+	return a.report
 }
 
-// crossed finds set-ups whose end their node read first, as it came on another connection: such a set-up was sent before
-// its end, wherever it stands on the trace, and is no further attempt. Each end stands for one set-up only.
-func crossed(lines []trace.Event) map[int]bool {
-	type attempt struct {
+// findEndsReadFirst finds set-ups whose end arrived at their node first, on another connection. Such a set-up was sent
+// before its end, whatever their order in the trace, and isn't a further attempt. Each end accounts for one set-up only.
+func findEndsReadFirst(events []trace.Event) map[int]bool {
+	type setUp struct {
 		play, node string
-		try        int
+		attempt    int
 	}
-	both, ends, seen := map[int]bool{}, map[attempt]int{}, map[attempt]bool{}
-	for i, l := range lines {
-		this := attempt{l.Play, l.Node, l.Attempt}
-		switch l.Kind {
+	indices, endIndex, seen := map[int]bool{}, map[setUp]int{}, map[setUp]bool{}
+	for i, e := range events {
+		key := setUp{e.Play, e.Node, e.Attempt}
+		switch e.Kind {
 		case trace.End:
-			if !seen[this] {
-				ends[this] = i
+			if !seen[key] {
+				endIndex[key] = i
 			}
 		case trace.SetUp:
-			if end, ok := ends[this]; ok && !seen[this] {
-				both[end], both[i] = true, true
+			if end, ok := endIndex[key]; ok && !seen[key] {
+				indices[end], indices[i] = true, true
 			}
-			seen[this] = true
+			seen[key] = true
 		}
 	}
-	return both
+	return indices
 }
 
-func (a *audit) product(name string) *config.Product {
-	if i, ok := a.set.ProductNumber(name); ok {
-		return &a.set.Products[i]
+func (a *auditor) product(name string) *config.Product {
+	if i, ok := a.service.ProductNumber(name); ok {
+		return &a.service.Products[i]
 	}
 	return &config.Product{Name: name}
 }
 
-func (a *audit) worth(rung int) float64 {
-	if rung >= 0 && rung < len(a.set.RungWorth) {
-		return a.set.RungWorth[rung]
+func (a *auditor) worth(rung int) float64 {
+	if rung >= 0 && rung < len(a.service.RungWorth) {
+		return a.service.RungWorth[rung]
 	}
 	return 0
 }
 
-// answers checks rule 1 and counts service: a viewer's retries belong to its first try.
-func (a *audit) answers() {
-	type ask struct {
-		line    int
-		answers int
-		gone    bool
+// checkAnswers checks rule 1 and computes the service and worth figures. A viewer's retries count as part of its first
+// request.
+func (a *auditor) checkAnswers() {
+	type request struct {
+		index      int
+		answers    int
+		viewerGone bool
 	}
-	asks := map[int64]*ask{}
-	var order []int64
-	killed := map[string][]int64{} // when a front was not there to answer
-	first := map[string]int{}      // line of a viewer's first try
-	got := map[string]bool{}
-	asked, served := 0.0, 0.0
-	wanted, earned := 0.0, 0.0
-	products := map[string]*config.Product{} // of plays
-	for i, l := range a.lines {
-		switch l.Kind {
+	requests := map[int64]*request{}
+	var ids []int64
+	killed := map[string][]int64{} // times at which each front was killed
+	firstAsk := map[string]int{}   // index of each viewer's first request
+	served := map[string]bool{}
+	askedImportance, servedInTime := 0.0, 0.0
+	wantedWorth, earnedWorth := 0.0, 0.0
+	productOf := map[string]*config.Product{} // by play
+	for i, e := range a.events {
+		switch e.Kind {
 		case trace.FrontKilled:
-			killed[l.Front] = append(killed[l.Front], l.T)
+			killed[e.Front] = append(killed[e.Front], e.T)
 		case trace.Ask:
-			asks[l.ID] = &ask{line: i}
-			order = append(order, l.ID)
-			a.rep.Requests++
-			if l.First {
-				a.rep.Asked++
-				first[l.Viewer] = i
-				p := a.product(l.Product)
-				asked += p.Importance
-				wanted += p.Importance * a.worth(l.Rung) * float64(l.WatchMs)
+			requests[e.ID] = &request{index: i}
+			ids = append(ids, e.ID)
+			a.report.Requests++
+			if e.First {
+				a.report.Asked++
+				firstAsk[e.Viewer] = i
+				p := a.product(e.Product)
+				askedImportance += p.Importance
+				wantedWorth += p.Importance * a.worth(e.Rung) * float64(e.WatchMs)
 			}
 		case trace.Gone:
-			if q := asks[l.ID]; q != nil {
-				q.gone = true
-				a.rep.Abandoned++
+			if req := requests[e.ID]; req != nil {
+				req.viewerGone = true
+				a.report.Abandoned++
 			}
 		case trace.Served:
-			for len(a.rep.Rungs) <= l.Rung {
-				a.rep.Rungs = append(a.rep.Rungs, 0)
+			for len(a.report.Rungs) <= e.Rung {
+				a.report.Rungs = append(a.report.Rungs, 0)
 			}
-			a.rep.Rungs[l.Rung]++
-			if p := products[l.Play]; p != nil {
-				earned += p.Importance * a.worth(l.Rung) * a.set.SegmentMs * max(0, 1-stall*max(0, 0.98-l.Share))
+			a.report.Rungs[e.Rung]++
+			if p := productOf[e.Play]; p != nil {
+				earnedWorth += p.Importance * a.worth(e.Rung) * a.service.SegmentMs * max(0, 1-stallPenalty*max(0, 0.98-e.Share))
 			}
 		case trace.SetUp:
-			products[l.Play] = a.product(l.Product)
+			productOf[e.Play] = a.product(e.Product)
 		case trace.Answer:
-			q := asks[l.ID]
-			if q == nil {
-				a.broken(1, "line %d: an answer to nothing that was asked", i+1)
+			req := requests[e.ID]
+			if req == nil {
+				a.addViolation(1, "line %d: an answer without a request", i+1)
 				continue
 			}
-			if l.Status == 0 {
-				continue // judged below, as a request without an answer
+			if e.Status == 0 {
+				continue // handled below as a request without an answer
 			}
-			q.answers++
-			a.rep.MaxAnswers = max(a.rep.MaxAnswers, q.answers)
-			from := a.lines[q.line]
-			if q.answers > 1 {
-				a.broken(1, "lines %d and %d: request %d has a second answer", q.line+1, i+1, l.ID)
+			req.answers++
+			a.report.MaxAnswers = max(a.report.MaxAnswers, req.answers)
+			asked := a.events[req.index]
+			if req.answers > 1 {
+				a.addViolation(1, "lines %d and %d: request %d has a second answer", req.index+1, i+1, e.ID)
 			}
-			if limit := from.T + from.LimitMs*1000; l.T > limit+slack && !a.stood(from.Front, limit, l.T) {
-				a.broken(1, "lines %d and %d: request %d was answered after its time limit", q.line+1, i+1, l.ID)
+			if limit := asked.T + asked.LimitMs*1000; e.T > limit+answerSlackUs && !a.stoppedAtLimit(asked.Front, limit, e.T) {
+				a.addViolation(1, "lines %d and %d: request %d was answered after its time limit", req.index+1, i+1, e.ID)
 			}
 			switch {
-			case l.Status == 200 && l.Play == from.Play: // its manifest asked for again
-			case l.Status == 200:
-				a.rep.Plays++
-				if f, ok := first[from.Viewer]; ok && !got[from.Viewer] {
-					got[from.Viewer] = true
-					p := a.product(from.Product)
-					took := l.T - a.lines[f].T
-					a.rep.FirstMs = append(a.rep.FirstMs, took/1000)
-					if float64(took) <= p.TargetMs*1000 {
-						served += p.Importance
+			case e.Status == 200 && e.Play == asked.Play: // the play's manifest was requested again
+			case e.Status == 200:
+				a.report.Plays++
+				if firstIndex, ok := firstAsk[asked.Viewer]; ok && !served[asked.Viewer] {
+					served[asked.Viewer] = true
+					p := a.product(asked.Product)
+					tookUs := e.T - a.events[firstIndex].T
+					a.report.FirstMs = append(a.report.FirstMs, tookUs/1000)
+					if float64(tookUs) <= p.TargetMs*1000 {
+						servedInTime += p.Importance
 					}
 				}
-			case l.Status == 503:
-				a.rep.Declined++
-			case l.Status == 502 || l.Status == 504:
-				a.rep.Failed++
+			case e.Status == 503:
+				a.report.Declined++
+			case e.Status == 502 || e.Status == 504:
+				a.report.Failed++
 			default:
-				a.rep.Denied++
+				a.report.Denied++
 			}
 		}
 	}
-	for _, id := range order {
-		q := asks[id]
-		if q.answers > 0 || q.gone {
+	for _, id := range ids {
+		req := requests[id]
+		if req.answers > 0 || req.viewerGone {
 			continue
 		}
-		from := a.lines[q.line]
+		asked := a.events[req.index]
 		excused := false
-		for _, t := range killed[from.Front] { // what a killed front held is not its duty any more
-			excused = excused || t >= from.T && t <= from.T+from.LimitMs*1000
+		for _, t := range killed[asked.Front] { // a killed front can't answer the requests that it held
+			excused = excused || t >= asked.T && t <= asked.T+asked.LimitMs*1000
 		}
-		if a.down(from.Front, q.line) || excused {
-			a.rep.Interrupted++
+		if a.frontDown(asked.Front, req.index) || excused {
+			a.report.Interrupted++
 			continue
 		}
-		if a.ended(from.T + from.LimitMs*1000 + slack) {
-			a.broken(1, "line %d: request %d has no answer", q.line+1, id)
+		if a.reaches(asked.T + asked.LimitMs*1000 + answerSlackUs) {
+			a.addViolation(1, "line %d: request %d has no answer", req.index+1, id)
 		}
 	}
-	if asked > 0 {
-		a.rep.Service = served / asked
+	if askedImportance > 0 {
+		a.report.Service = servedInTime / askedImportance
 	}
-	if wanted > 0 {
-		a.rep.Worth = earned / wanted
+	if wantedWorth > 0 {
+		a.report.Worth = earnedWorth / wantedWorth
 	}
 }
 
-// down tells that a front's process did not run at an event of the trace.
-func (a *audit) down(front string, line int) bool {
-	down := false
-	for _, l := range a.lines[:line] {
-		if l.Front == front && l.Kind == trace.FrontKilled {
-			down = true
-		} else if l.Front == front && l.Kind == trace.FrontStarted {
-			down = false
+// frontDown reports whether a front's process was down at an event of the trace.
+func (a *auditor) frontDown(front string, index int) bool {
+	isDown := false
+	for _, e := range a.events[:index] {
+		if e.Front == front && e.Kind == trace.FrontKilled {
+			isDown = true
+		} else if e.Front == front && e.Kind == trace.FrontStarted {
+			isDown = false
 		}
 	}
-	return down
+	return isDown
 }
 
-// stood tells that a front's process stood still at a time limit, and answered as soon as it went on: what
-// is stopped can't answer, and is not a running front.
-func (a *audit) stood(front string, limit, answered int64) bool {
+// stoppedAtLimit reports whether a front's process was suspended at a time limit and answered soon after it was resumed: a
+// suspended process can't answer, and rule 1 binds running fronts only.
+func (a *auditor) stoppedAtLimit(front string, limit, answered int64) bool {
 	stopped := int64(-1)
-	for _, l := range a.lines {
-		if l.Front != front {
+	for _, e := range a.events {
+		if e.Front != front {
 			continue
 		}
-		switch l.Kind {
+		switch e.Kind {
 		case trace.FrontStopped:
-			stopped = l.T
+			stopped = e.T
 		case trace.Continued:
-			if stopped >= 0 && stopped <= limit && limit <= l.T && answered <= l.T+wakes {
+			if stopped >= 0 && stopped <= limit && limit <= e.T && answered <= e.T+resumeGraceUs {
 				return true
 			}
 			stopped = -1
@@ -274,161 +278,162 @@
 	return false
 }
 
-// ended tells that the trace goes on past a time.
-func (a *audit) ended(t int64) bool {
-	return len(a.lines) > 0 && a.lines[len(a.lines)-1].T >= t
+// reaches reports whether the trace lasts until a time.
+func (a *auditor) reaches(t int64) bool {
+	return len(a.events) > 0 && a.events[len(a.events)-1].T >= t
 }
 
-// allocations checks rule 2: what a node saw of each play's allocations.
-func (a *audit) allocations() {
+// checkAllocations checks rule 2 by the allocations of each play that the nodes saw.
+func (a *auditor) checkAllocations() {
 	type state struct {
-		line, try int
-		node      string
-		out       bool
-		mayHave   int // line of the allocation that may have run, from 1
+		index, attempt int
+		node           string
+		pending        bool
+		mayHaveRunLine int // line, from 1, that shows that an allocation may have run; 0 if none
 	}
 	plays := map[string]*state{}
-	for i, l := range a.lines {
-		switch l.Kind {
+	for i, e := range a.events {
+		switch e.Kind {
 		case trace.SetUp:
-			if a.crossed[i] { // entered with its end
+			if a.endReadFirst[i] { // counted at its end
 				continue
 			}
-			s := plays[l.Play]
+			s := plays[e.Play]
 			if s == nil {
-				plays[l.Play] = &state{line: i, try: l.Attempt, node: l.Node, out: true}
+				plays[e.Play] = &state{index: i, attempt: e.Attempt, node: e.Node, pending: true}
 				continue
 			}
-			a.rep.Reallocated++
+			a.report.Reallocated++
 			switch {
-			case l.Attempt <= s.try:
-				a.broken(2, "lines %d and %d: play %s has allocation %d twice", s.line+1, i+1, l.Play, l.Attempt)
-				a.rep.Doubled++
-			case s.out && !a.closedSoon(i, s.node, l.Play, s.try):
-				a.broken(2, "lines %d and %d: play %s has two allocations out", s.line+1, i+1, l.Play)
-				a.rep.Doubled++
-			case a.product(l.Product).Paid && s.mayHave > 0:
-				a.broken(2, "lines %d and %d: paid play %s is set up again though it may have run", s.mayHave, i+1, l.Play)
-				a.rep.Doubled++
-			case a.product(l.Product).Paid && s.out:
-				a.broken(2, "lines %d and %d: paid play %s is set up again though it is not known to have never run", s.line+1, i+1, l.Play)
-				a.rep.Doubled++
-			}
-			s.line, s.try, s.node, s.out = i, l.Attempt, l.Node, true
+			case e.Attempt <= s.attempt:
+				a.addViolation(2, "lines %d and %d: play %s has allocation %d twice", s.index+1, i+1, e.Play, e.Attempt)
+				a.report.Doubled++
+			case s.pending && !a.closedWithinSkew(i, s.node, e.Play, s.attempt):
+				a.addViolation(2, "lines %d and %d: play %s has two allocations pending", s.index+1, i+1, e.Play)
+				a.report.Doubled++
+			case a.product(e.Product).Paid && s.mayHaveRunLine > 0:
+				a.addViolation(2, "lines %d and %d: paid play %s is set up again though it may have run", s.mayHaveRunLine, i+1, e.Play)
+				a.report.Doubled++
+			case a.product(e.Product).Paid && s.pending:
+				a.addViolation(2, "lines %d and %d: paid play %s is set up again though it isn't known that it never ran", s.index+1, i+1, e.Play)
+				a.report.Doubled++
+			}
+			s.index, s.attempt, s.node, s.pending = i, e.Attempt, e.Node, true
 		case trace.Started, trace.Errored, trace.Dropped, trace.End:
-			if s := plays[l.Play]; a.crossed[i] && (s == nil || s.try < l.Attempt) {
-				plays[l.Play] = &state{line: i, try: l.Attempt, node: l.Node, mayHave: i + 1}
-			} else if s != nil && s.try == l.Attempt {
-				s.out, s.mayHave = false, i+1
+			if s := plays[e.Play]; a.endReadFirst[i] && (s == nil || s.attempt < e.Attempt) {
+				plays[e.Play] = &state{index: i, attempt: e.Attempt, node: e.Node, mayHaveRunLine: i + 1}
+			} else if s != nil && s.attempt == e.Attempt {
+				s.pending, s.mayHaveRunLine = false, i+1
 			}
 		case trace.Refused:
-			if s := plays[l.Play]; s != nil && s.try == l.Attempt {
-				s.out = false
+			if s := plays[e.Play]; s != nil && s.attempt == e.Attempt {
+				s.pending = false
 			}
 		case trace.Crash, trace.Overloaded:
 			for _, s := range plays {
-				if s.out && s.node == l.Node {
-					s.out, s.mayHave = false, i+1
+				if s.pending && s.node == e.Node {
+					s.pending, s.mayHaveRunLine = false, i+1
 				}
 			}
-		case trace.Answer: // declined as if nothing had run
-			if s := plays[l.Play]; s != nil && l.Status == 503 && s.mayHave > 0 && a.product(a.lines[s.line].Product).Paid {
-				a.broken(2, "lines %d and %d: paid play %s is declined though it may have run", s.mayHave, i+1, l.Play)
+		case trace.Answer: // a declined play must not have run
+			if s := plays[e.Play]; s != nil && e.Status == 503 && s.mayHaveRunLine > 0 && a.product(a.events[s.index].Product).Paid {
+				a.addViolation(2, "lines %d and %d: paid play %s is declined though it may have run", s.mayHaveRunLine, i+1, e.Play)
 			}
 		}
 	}
 }
 
-// closedSoon tells that a node notes within skew after a line that the front let go of an allocation.
-func (a *audit) closedSoon(from int, node, play string, try int) bool {
-	for _, l := range a.lines[from:] {
-		if l.T > a.lines[from].T+skew {
+// closedWithinSkew reports whether a node records within maxSkewUs after an event that an allocation is no longer pending.
+func (a *auditor) closedWithinSkew(from int, node, play string, attempt int) bool {
+	for _, e := range a.events[from:] {
+		if e.T > a.events[from].T+maxSkewUs {
 			return false
 		}
-		if l.Node == node && (l.Kind == trace.Crash || l.Kind == trace.Overloaded || l.Play == play && l.Attempt == try &&
-			(l.Kind == trace.Dropped || l.Kind == trace.Refused || l.Kind == trace.Errored || l.Kind == trace.End)) {
+		if e.Node == node && (e.Kind == trace.Crash || e.Kind == trace.Overloaded || e.Play == play && e.Attempt == attempt &&
+			(e.Kind == trace.Dropped || e.Kind == trace.Refused || e.Kind == trace.Errored || e.Kind == trace.End)) {
 			return true
 		}
 	}
 	return false
 }
 
-// drains checks rule 3 by what the list service wrote to each front.
-func (a *audit) drains() {
+// checkDrains checks rule 3 by what the list service sent to each front.
+func (a *auditor) checkDrains() {
 	type key struct{ front, node string }
-	told := map[key]int{} // line, from 1, since when a front knows
-	for i, l := range a.lines {
-		k := key{l.Front, l.Node}
-		switch l.Kind {
+	notified := map[key]int{} // line, from 1, at which a front was told that a node isn't ready
+	for i, e := range a.events {
+		k := key{e.Front, e.Node}
+		switch e.Kind {
 		case trace.ListSent:
-			if l.Note == "ready" {
-				delete(told, k)
-			} else if told[k] == 0 {
-				told[k] = i + 1
+			if e.Note == "ready" {
+				delete(notified, k)
+			} else if notified[k] == 0 {
+				notified[k] = i + 1
 			}
 		case trace.FrontKilled:
-			for t := range told {
-				if t.front == l.Front {
-					delete(told, t)
+			for p := range notified {
+				if p.front == e.Front {
+					delete(notified, p)
 				}
 			}
 		case trace.SetUp:
-			if t := told[k]; t > 0 && float64(l.T-a.lines[t-1].T) > a.set.DrainGraceMs*1000+skew {
-				a.broken(3, "lines %d and %d: %s set up at %s after it was told", t, i+1, l.Front, l.Node)
+			if line := notified[k]; line > 0 && float64(e.T-a.events[line-1].T) > a.service.DrainGraceMs*1000+maxSkewUs {
+				a.addViolation(3, "lines %d and %d: %s sent a set-up to %s after it was told that the node is draining or gone", line, i+1, e.Front, e.Node)
 			}
 		}
 	}
 }
 
-// cold checks rule 4: the set-ups a node got in any window of the stated length after its start.
-func (a *audit) cold() {
-	started, streams := map[string]int64{}, a.set.Kinds[0].MaxStreams
-	for _, k := range a.set.Kinds {
+// checkColdNodes checks rule 4: the set-ups that a cold node received in any window of the configured length after its start.
+func (a *auditor) checkColdNodes() {
+	started, streams := map[string]int64{}, a.service.Kinds[0].MaxStreams
+	for _, k := range a.service.Kinds {
 		streams = min(streams, k.MaxStreams)
 	}
 	recent := map[string][]int64{}
-	for i, l := range a.lines {
-		switch l.Kind {
+	for i, e := range a.events {
+		switch e.Kind {
 		case trace.Life:
-			delete(started, l.Node)
-			delete(recent, l.Node)
-			if l.Note == "cold" {
-				started[l.Node] = l.T
+			delete(started, e.Node)
+			delete(recent, e.Node)
+			if e.Note == "cold" {
+				started[e.Node] = e.T
 			}
 		case trace.Overloaded:
-			a.broken(4, "line %d: %s was pushed over", i+1, l.Node)
+			a.addViolation(4, "line %d: cold %s crashed under too many set-ups", i+1, e.Node)
 		case trace.SetUp:
-			began, ok := started[l.Node]
-			if !ok || float64(l.T-began) > a.set.ColdDurationMs*1000 {
+			start, ok := started[e.Node]
+			if !ok || float64(e.T-start) > a.service.ColdDurationMs*1000 {
 				continue
 			}
-			most := Allowance(a.set, streams, float64(l.T-began)/1000)
-			times := append(recent[l.Node], l.T)
-			for len(times) > 0 && float64(l.T-times[0]) > a.set.OverloadWindowMs*1000 {
+			allowed := Allowance(a.service, streams, float64(e.T-start)/1000)
+			times := append(recent[e.Node], e.T)
+			for len(times) > 0 && float64(e.T-times[0]) > a.service.OverloadWindowMs*1000 {
 				times = times[1:]
 			}
-			recent[l.Node] = times
-			if float64(len(times)) > most+cross {
-				a.broken(4, "line %d: %d set-ups at cold %s within %v ms, %.1f allowed", i+1, len(times), l.Node, a.set.OverloadWindowMs, most)
+			recent[e.Node] = times
+			if float64(len(times)) > allowed+setUpTolerance {
+				a.addViolation(4, "line %d: %d set-ups at cold %s within %v ms, %.1f allowed", i+1, len(times), e.Node, a.service.OverloadWindowMs, allowed)
 			}
 		}
 	}
 }
 
-// Allowance is how many set-ups a cold node stands within the window that ends so many milliseconds
-// after its start.
-func Allowance(set *config.Service, streams int, ageMs float64) float64 {
-	warmth := min(1, set.ColdShare+(1-set.ColdShare)*ageMs/set.ColdDurationMs)
-	return set.OverloadMultiple * float64(streams) / set.ColdDurationMs * warmth * set.OverloadWindowMs
+// Allowance returns how many set-ups a cold node withstands within the window that ends ageMs milliseconds after its
+// start.
+func Allowance(service *config.Service, streams int, ageMs float64) float64 {
+	warmth := min(1, service.ColdShare+(1-service.ColdShare)*ageMs/service.ColdDurationMs)
+	return service.OverloadMultiple * float64(streams) / service.ColdDurationMs * warmth * service.OverloadWindowMs
 }
 
-// terms checks rule 5: rungs under a floor, and plays held of one title and product by one front.
-func (a *audit) terms() {
+// checkProductLimits checks rule 5: the lowest rung of a product, and its seats, which are the plays of one title and
+// product that one front may hold at a time.
+func (a *auditor) checkProductLimits() {
 	type seat struct{ front, product, title string }
 	type hold struct {
-		seat seat
-		node string
-		try  int
+		seat    seat
+		node    string
+		attempt int
 	}
 	held := map[string]hold{} // by play
 	count := map[seat]int{}
@@ -449,58 +454,59 @@
 			free(play)
 		}
 	}
-	for i, l := range a.lines {
-		p := a.product(l.Product)
-		switch l.Kind {
+	for i, e := range a.events {
+		p := a.product(e.Product)
+		switch e.Kind {
 		case trace.SetUp, trace.Rung:
-			if l.Rung < p.MinRung {
-				a.broken(5, "line %d: play %s of %s at rung %d, under its floor of %d", i+1, l.Play, l.Product, l.Rung, p.MinRung)
+			if e.Rung < p.MinRung {
+				a.addViolation(5, "line %d: play %s of %s at rung %d, below the product's lowest rung, %d", i+1, e.Play, e.Product, e.Rung, p.MinRung)
 			}
-			if l.Kind == trace.Rung || a.crossed[i] {
+			if e.Kind == trace.Rung || a.endReadFirst[i] {
 				continue
 			}
-			free(l.Play)
-			h := hold{seat{l.Front, l.Product, l.Title}, l.Node, l.Attempt}
-			held[l.Play] = h
+			free(e.Play)
+			h := hold{seat{e.Front, e.Product, e.Title}, e.Node, e.Attempt}
+			held[e.Play] = h
 			count[h.seat]++
 			if n := count[h.seat]; p.MaxSeats > 0 && n > p.MaxSeats {
-				if over := n - a.freedSoon(i, h.seat.front, h.seat.product, h.seat.title, func(play string) bool { _, ok := held[play]; return ok }); over > p.MaxSeats {
-					a.broken(5, "line %d: %s holds %d plays of %s, %s; %d seats", i+1, l.Front, over, l.Title, l.Product, p.MaxSeats)
+				if over := n - a.freedWithinSkew(i, h.seat.front, h.seat.product, h.seat.title, func(play string) bool { _, ok := held[play]; return ok }); over > p.MaxSeats {
+					a.addViolation(5, "line %d: %s holds %d plays of title %s, product %s, which has %d seats", i+1, e.Front, over, e.Title, e.Product, p.MaxSeats)
 				}
 			}
 		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
-			if h, ok := held[l.Play]; ok && h.try == l.Attempt && h.node == l.Node {
-				free(l.Play)
+			if h, ok := held[e.Play]; ok && h.attempt == e.Attempt && h.node == e.Node {
+				free(e.Play)
 			}
 		case trace.Crash, trace.Overloaded:
-			freeAll(func(h hold) bool { return h.node == l.Node })
-		case trace.FrontKilled: // its plays are handed over to its next life, or end
-		case trace.Leave: // its front frees a seat as it sends the end of the play, which its node may read much later
-			free(l.Play)
-		case trace.Ask: // a viewer who comes back to the same front as its node does not deliver ends what it had
-			if h, ok := held[l.Play]; ok && l.Note == "broken" && h.seat.front == l.Front {
-				free(l.Play)
+			freeAll(func(h hold) bool { return h.node == e.Node })
+		case trace.FrontKilled: // its plays are taken over when it starts again, or end
+		case trace.Leave: // the front frees the seat when it sends the end of the play, which the node may read much later
+			free(e.Play)
+		case trace.Ask: // a viewer that returns to the same front because its node doesn't deliver ends its previous play
+			if h, ok := held[e.Play]; ok && e.Note == "broken" && h.seat.front == e.Front {
+				free(e.Play)
 			}
 		}
 	}
 }
 
-// freedSoon counts plays of a seat whose end shows on another socket within skew after a line.
-func (a *audit) freedSoon(from int, front, product, title string, held func(play string) bool) (n int) {
-	seat := map[string]bool{}
-	for _, l := range a.lines[:from+1] {
-		if l.Kind == trace.SetUp && l.Front == front && l.Product == product && l.Title == title && held(l.Play) {
-			seat[l.Play] = true
+// freedWithinSkew counts plays of a front, product and title whose end shows on another socket within maxSkewUs after an
+// event.
+func (a *auditor) freedWithinSkew(from int, front, product, title string, held func(play string) bool) (n int) {
+	onSeat := map[string]bool{}
+	for _, e := range a.events[:from+1] {
+		if e.Kind == trace.SetUp && e.Front == front && e.Product == product && e.Title == title && held(e.Play) {
+			onSeat[e.Play] = true
 		}
 	}
-	for _, l := range a.lines[from:] {
-		if l.T > a.lines[from].T+skew {
+	for _, e := range a.events[from:] {
+		if e.T > a.events[from].T+maxSkewUs {
 			break
 		}
-		switch l.Kind {
+		switch e.Kind {
 		case trace.Refused, trace.Errored, trace.Dropped, trace.End, trace.Ended:
-			if seat[l.Play] {
-				delete(seat, l.Play)
+			if onSeat[e.Play] {
+				delete(onSeat, e.Play)
 				n++
 			}
 		}
@@ -508,58 +514,58 @@
 	return n
 }
 
-// budget checks rule 6: in any window, a front's allocations beyond each play's first.
-func (a *audit) budget() {
-	if a.set.BudgetWindowMs == 0 {
+// checkBudget checks rule 6: in any window, a front's allocations beyond the first of each play.
+func (a *auditor) checkBudget() {
+	if a.service.BudgetWindowMs == 0 {
 		return
 	}
-	over := int64(a.set.BudgetWindowMs * 1000)
+	window := int64(a.service.BudgetWindowMs * 1000)
 	answers := map[int64]trace.Event{}
-	for _, l := range a.lines {
-		if l.Kind == trace.Answer {
-			answers[l.ID] = l
+	for _, e := range a.events {
+		if e.Kind == trace.Answer {
+			answers[e.ID] = e
 		}
 	}
-	type span struct{ from, to int64 } // a play was taken some time between its request and its answer
-	taken, further := map[string][]span{}, map[string][]int64{}
-	for _, l := range a.lines {
-		if l.Kind != trace.Ask {
+	type span struct{ from, to int64 } // the front accepted the play some time between its request and its answer
+	accepted, further := map[string][]span{}, map[string][]int64{}
+	for _, e := range a.events {
+		if e.Kind != trace.Ask {
 			continue
 		}
-		ans, ok := answers[l.ID]
-		again := ans.Status == 200 && ans.Play == l.Play // its manifest asked for again: no play was taken
-		if again || ans.Status >= 400 && ans.Status < 500 {
+		answer, ok := answers[e.ID]
+		repeated := answer.Status == 200 && answer.Play == e.Play // the play's manifest was requested again: no new play
+		if repeated || answer.Status >= 400 && answer.Status < 500 {
 			continue
 		}
-		to := l.T + l.LimitMs*1000
+		to := e.T + e.LimitMs*1000
 		if ok {
-			to = ans.T
+			to = answer.T
 		}
-		taken[l.Front] = append(taken[l.Front], span{l.T, to})
+		accepted[e.Front] = append(accepted[e.Front], span{e.T, to})
 	}
-	began := map[string]int64{} // of a front's present life: each counts from nothing
-	for i, l := range a.lines {
-		if l.Kind == trace.FrontKilled {
-			began[l.Front] = l.T
-			delete(further, l.Front)
+	start := map[string]int64{} // start of each front's current process; every process begins with an unused budget
+	for i, e := range a.events {
+		if e.Kind == trace.FrontKilled {
+			start[e.Front] = e.T
+			delete(further, e.Front)
 		}
-		if l.Kind != trace.SetUp || l.Attempt == 0 {
+		if e.Kind != trace.SetUp || e.Attempt == 0 {
 			continue
 		}
-		further[l.Front] = append(further[l.Front], l.T)
+		further[e.Front] = append(further[e.Front], e.T)
 		n, plays := 0, 0
-		for _, t := range further[l.Front] {
-			if t >= l.T-over+skew {
+		for _, t := range further[e.Front] {
+			if t >= e.T-window+maxSkewUs {
 				n++
 			}
 		}
-		for _, t := range taken[l.Front] {
-			if t.from <= l.T+skew && t.to >= max(began[l.Front], l.T-over-skew) {
+		for _, t := range accepted[e.Front] {
+			if t.from <= e.T+maxSkewUs && t.to >= max(start[e.Front], e.T-window-maxSkewUs) {
 				plays++
 			}
 		}
-		if most := a.set.BudgetFree + a.set.BudgetShare*float64(plays); float64(n) > most {
-			a.broken(6, "line %d: %s made %d further allocations within %v ms, %.1f allowed", i+1, l.Front, n, a.set.BudgetWindowMs, most)
+		if allowed := a.service.BudgetFree + a.service.BudgetShare*float64(plays); float64(n) > allowed {
+			a.addViolation(6, "line %d: %s made %d further allocations within %v ms, %.1f allowed", i+1, e.Front, n, a.service.BudgetWindowMs, allowed)
 		}
 	}
 }
