--- a/testbed/htmlreport/htmlreport.go
+++ b/testbed/htmlreport/htmlreport.go
@@ -1,5 +1,5 @@
-// Package htmlreport writes the result of a rehearsal as one self-contained HTML page: its figures, the six rules,
-// and how service, rungs, deliveries, answers and first frames went over time, with the faults as bands.
+// Package htmlreport writes the result of a rehearsal as one self-contained HTML page: its figures, the results of the
+// six rules, and charts of service, rungs, deliveries, answers, loads and times to first frame, with the faults shaded.
 package htmlreport
 
 import (
@@ -20,41 +20,41 @@
 	"gullrail/testbed/trace"
 )
 
-const bin = 2.0 // seconds that one point of a curve stands for
+const binSeconds = 2.0 // seconds of the trace that one point of a curve covers
 
-// series is one curve: a value for each bin, or none.
+// series is one curve. Bins without a value have no point.
 type series struct {
-	name string
-	at   map[int]float64
+	name   string
+	values map[int]float64
 }
 
 type chart struct {
 	Title  string
 	unit   string
-	most   float64 // top of the axis; 0 fits the curves
+	yMax   float64 // upper end of the y axis; 0 fits it to the curves
 	curves []series
 	SVG    template.HTML
 }
 
-// counts sums something by bin.
-type counts map[int]float64
+// binSums holds a sum for each bin.
+type binSums map[int]float64
 
-func binOf(t int64) int { return int(float64(t) / 1e6 / bin) }
+func binAt(t int64) int { return int(float64(t) / 1e6 / binSeconds) }
 
-// ratio is a curve of one sum over another.
-func ratio(name string, part, whole counts) series {
+// ratio returns the curve of part over total.
+func ratio(name string, part, total binSums) series {
 	s := series{name, map[int]float64{}}
-	for b, n := range whole {
+	for b, n := range total {
 		if n > 0 {
-			s.at[b] = part[b] / n
+			s.values[b] = part[b] / n
 		}
 	}
 	return s
 }
 
-// charts works the curves out of a trace.
-func charts(day *testbed.Scenario, lines []trace.Event) []*chart {
-	set := &day.Service
+// buildCharts computes the charts of a trace.
+func buildCharts(scenario *testbed.Scenario, events []trace.Event) []*chart {
+	service := &scenario.Service
 	type ask struct {
 		t          int64
 		importance float64
@@ -62,145 +62,145 @@
 		answered   bool
 	}
 	first, byID := map[string]*ask{}, map[int64]trace.Event{}
-	asked, served := counts{}, counts{}
-	plays, declined, failed := counts{}, counts{}, counts{}
-	segments, short := counts{}, counts{}
-	rungs := make([]counts, len(set.RatesKB))
+	askedImportance, servedImportance := binSums{}, binSums{}
+	plays, declined, failed := binSums{}, binSums{}, binSums{}
+	segments, underRate := binSums{}, binSums{}
+	rungs := make([]binSums, len(service.RatesKB))
 	for i := range rungs {
-		rungs[i] = counts{}
+		rungs[i] = binSums{}
 	}
-	took := map[int][]float64{}
+	firstFrameMs := map[int][]float64{}
 	links, uplinks := map[int][]float64{}, map[int][]float64{}
-	reasons, why := map[string]counts{}, []string(nil)
-	for _, l := range lines {
-		b := binOf(l.T)
-		switch l.Kind {
+	reasons, reasonNames := map[string]binSums{}, []string(nil)
+	for _, e := range events {
+		b := binAt(e.T)
+		switch e.Kind {
 		case trace.Ask:
-			byID[l.ID] = l
-			if n, ok := set.ProductNumber(l.Product); ok && l.First {
-				p := set.Products[n]
-				first[l.Viewer] = &ask{l.T, p.Importance, p.TargetMs * 1000, false}
-				asked[b] += p.Importance
+			byID[e.ID] = e
+			if n, ok := service.ProductNumber(e.Product); ok && e.First {
+				p := service.Products[n]
+				first[e.Viewer] = &ask{e.T, p.Importance, p.TargetMs * 1000, false}
+				askedImportance[b] += p.Importance
 			}
 		case trace.Answer:
-			from, ok := byID[l.ID]
+			asked, ok := byID[e.ID]
 			switch {
 			case !ok:
-			case l.Status == 200 && l.Play != from.Play:
+			case e.Status == 200 && e.Play != asked.Play:
 				plays[b]++
-				if a := first[from.Viewer]; a != nil && !a.answered {
-					a.answered = true
-					if float64(l.T-a.t) <= a.target {
-						served[binOf(a.t)] += a.importance
+				if request := first[asked.Viewer]; request != nil && !request.answered {
+					request.answered = true
+					if float64(e.T-request.t) <= request.target {
+						servedImportance[binAt(request.t)] += request.importance
 					}
-					took[binOf(a.t)] = append(took[binOf(a.t)], float64(l.T-a.t)/1000)
+					firstFrameMs[binAt(request.t)] = append(firstFrameMs[binAt(request.t)], float64(e.T-request.t)/1000)
 				}
-			case l.Status == 503:
+			case e.Status == 503:
 				declined[b]++
-				reason := strings.TrimPrefix(l.Note, "declined: ")
+				reason := strings.TrimPrefix(e.Note, "declined: ")
 				if reasons[reason] == nil {
-					reasons[reason], why = counts{}, append(why, reason)
+					reasons[reason], reasonNames = binSums{}, append(reasonNames, reason)
 				}
 				reasons[reason][b]++
-			case l.Status == 502 || l.Status == 504:
+			case e.Status == 502 || e.Status == 504:
 				failed[b]++
 			}
 		case trace.Load:
-			links[b], uplinks[b] = append(links[b], l.Share), append(uplinks[b], l.Uplink)
+			links[b], uplinks[b] = append(links[b], e.Share), append(uplinks[b], e.Uplink)
 		case trace.Served:
 			segments[b]++
-			if l.Share > 0 && l.Share < 0.98 {
-				short[b]++
+			if e.Share > 0 && e.Share < 0.98 {
+				underRate[b]++
 			}
-			if l.Rung >= 0 && l.Rung < len(rungs) {
-				rungs[l.Rung][b]++
+			if e.Rung >= 0 && e.Rung < len(rungs) {
+				rungs[e.Rung][b]++
 			}
 		}
 	}
-	spread := func(of map[int][]float64, part int, middle, high string) []series {
-		median, late := series{middle, map[int]float64{}}, series{high, map[int]float64{}}
-		for b, t := range of {
-			sort.Float64s(t)
-			median.at[b], late.at[b] = t[len(t)/2], t[min(len(t)-1, len(t)*part/100)]
+	percentiles := func(samples map[int][]float64, percent int, medianName, percentileName string) []series {
+		median, high := series{medianName, map[int]float64{}}, series{percentileName, map[int]float64{}}
+		for b, values := range samples {
+			sort.Float64s(values)
+			median.values[b], high.values[b] = values[len(values)/2], values[min(len(values)-1, len(values)*percent/100)]
 		}
-		return []series{median, late}
+		return []series{median, high}
 	}
-	byRung := &chart{Title: "Segments by rung", unit: "share", most: 1}
+	byRung := &chart{Title: "Segments by rung", unit: "share", yMax: 1}
 	for i, r := range rungs {
-		byRung.curves = append(byRung.curves, ratio(fmt.Sprintf("rung %d, %.0f kB/s", i, set.RatesKB[i]), r, segments))
+		byRung.curves = append(byRung.curves, ratio(fmt.Sprintf("rung %d, %.0f kB/s", i, service.RatesKB[i]), r, segments))
 	}
-	rate := func(name string, c counts) series {
+	rate := func(name string, c binSums) series {
 		s := series{name, map[int]float64{}}
-		for b := range asked {
-			s.at[b] = c[b] / bin
+		for b := range askedImportance {
+			s.values[b] = c[b] / binSeconds
 		}
 		return s
 	}
-	sort.Strings(why)
-	byReason := &chart{Title: "Declined, by reason", unit: "a second"}
-	for _, r := range why {
+	sort.Strings(reasonNames)
+	byReason := &chart{Title: "Declined, by reason", unit: "per second"}
+	for _, r := range reasonNames {
 		name := r
 		if name == "" {
-			name = "no reason told"
+			name = "no reason given"
 		}
 		byReason.curves = append(byReason.curves, rate(name, reasons[r]))
 	}
-	loads := append(spread(links, 90, "links, median", "links, 90th percentile"), spread(uplinks, 90, "uplinks, median", "uplinks, 90th percentile")...)
+	loads := append(percentiles(links, 90, "links, median", "links, 90th percentile"), percentiles(uplinks, 90, "uplinks, median", "uplinks, 90th percentile")...)
 	return []*chart{
-		{Title: "Service: importance answered within the first-frame target, by the time of asking", unit: "share", most: 1,
-			curves: []series{ratio("service", served, asked)}},
-		{Title: "Answers", unit: "a second", curves: []series{rate("plays", plays), rate("declined", declined), rate("failed", failed)}},
+		{Title: "Service: share of importance answered within the first-frame target, by time of request", unit: "share", yMax: 1,
+			curves: []series{ratio("service", servedImportance, askedImportance)}},
+		{Title: "Answers", unit: "per second", curves: []series{rate("plays", plays), rate("declined", declined), rate("failed", failed)}},
 		byReason,
 		byRung,
-		{Title: "What is asked of links and uplinks over what they give", unit: "ratio", curves: loads},
-		{Title: "Segments delivered under 98% of their rate", unit: "share", most: 1, curves: []series{ratio("short", short, segments)}},
-		{Title: "First frame, from the viewer's first try on", unit: "ms", curves: spread(took, 99, "median", "99th percentile")},
+		{Title: "Load of links and uplinks over their capacity", unit: "ratio", curves: loads},
+		{Title: "Segments delivered under 98% of their rate", unit: "share", yMax: 1, curves: []series{ratio("under 98%", underRate, segments)}},
+		{Title: "Time to first frame, from the viewer's first request", unit: "ms", curves: percentiles(firstFrameMs, 99, "median", "99th percentile")},
 	}
 }
 
-// band is a fault's time.
-type band struct {
+// faultBand is the time span of a fault, in seconds.
+type faultBand struct {
 	from, to float64
 	name     string
 }
 
-func bands(day *testbed.Scenario, lines []trace.Event) (out []band) {
-	lasts := map[string]float64{}
-	for _, f := range day.Faults {
-		lasts[f.String()] = max(1, f.Duration)
+func faultBands(scenario *testbed.Scenario, events []trace.Event) (out []faultBand) {
+	duration := map[string]float64{}
+	for _, f := range scenario.Faults {
+		duration[f.String()] = max(1, f.Duration)
 		if f.Action == "drain" {
-			lasts[f.String()] = f.Amount + f.Duration
+			duration[f.String()] = f.Amount + f.Duration
 		}
 	}
-	for _, l := range lines {
-		if l.Kind == trace.Fault {
-			t := float64(l.T) / 1e6
-			out = append(out, band{t, t + lasts[l.Note], l.Note})
+	for _, e := range events {
+		if e.Kind == trace.Fault {
+			t := float64(e.T) / 1e6
+			out = append(out, faultBand{t, t + duration[e.Note], e.Note})
 		}
 	}
 	return out
 }
 
-var inks = []color.RGBA{{31, 90, 160, 255}, {200, 80, 30, 255}, {40, 130, 60, 255}, {120, 60, 150, 255}, {90, 90, 90, 255}, {160, 130, 20, 255}}
+var palette = []color.RGBA{{31, 90, 160, 255}, {200, 80, 30, 255}, {40, 130, 60, 255}, {120, 60, 150, 255}, {90, 90, 90, 255}, {160, 130, 20, 255}}
 
-func (c *chart) draw(faults []band) error {
+func (c *chart) draw(faults []faultBand) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds", c.unit
 	p.Y.Min = 0
-	last, top := 0.0, c.most
+	xMax, yMax := 0.0, c.yMax
 	for _, s := range c.curves {
-		for b, v := range s.at {
-			last = max(last, float64(b+1)*bin)
-			if c.most == 0 {
-				top = max(top, v*1.05)
+		for b, v := range s.values {
+			xMax = max(xMax, float64(b+1)*binSeconds)
+			if c.yMax == 0 {
+				yMax = max(yMax, v*1.05)
 			}
 		}
 	}
-	if top == 0 {
-		top = 1
+	if yMax == 0 {
+		yMax = 1
 	}
 	for _, f := range faults {
-		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.from, Y: 0}, {X: min(f.to, last), Y: 0}, {X: min(f.to, last), Y: top}, {X: f.from, Y: top}})
+		poly, err := plotter.NewPolygon(plotter.XYs{{X: f.from, Y: 0}, {X: min(f.to, xMax), Y: 0}, {X: min(f.to, xMax), Y: yMax}, {X: f.from, Y: yMax}})
 		if err != nil {
 			return err
 		}
@@ -210,13 +210,13 @@
 	p.Add(plotter.NewGrid())
 	for i, s := range c.curves {
 		var bins []int
-		for b := range s.at {
+		for b := range s.values {
 			bins = append(bins, b)
 		}
 		sort.Ints(bins)
 		xy := make(plotter.XYs, len(bins))
 		for k, b := range bins {
-			xy[k] = plotter.XY{X: (float64(b) + 0.5) * bin, Y: s.at[b]}
+			xy[k] = plotter.XY{X: (float64(b) + 0.5) * binSeconds, Y: s.values[b]}
 		}
 		if len(xy) == 0 {
 			continue
@@ -225,12 +225,12 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = inks[i%len(inks)], vg.Points(1.5)
+		line.Color, line.Width = palette[i%len(palette)], vg.Points(1.5)
 		p.Add(line)
 		p.Legend.Add(s.name, line)
 	}
 	p.Legend.Top = true
-	p.Y.Max = top
+	p.Y.Max = yMax
 	w, err := p.WriterTo(22*vg.Centimeter, 6.5*vg.Centimeter, "svg")
 	if err != nil {
 		return err
@@ -239,15 +239,15 @@
 	if _, err := w.WriteTo(&out); err != nil {
 		return err
 	}
-	text := out.String()
-	if i := strings.Index(text, "<svg"); i >= 0 {
-		text = text[i:]
+	svg := out.String()
+	if i := strings.Index(svg, "<svg"); i >= 0 {
+		svg = svg[i:]
 	}
-	c.SVG = template.HTML(text)
+	c.SVG = template.HTML(svg)
 	return nil
 }
 
-var whole = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:15px sans-serif;max-width:60em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}
 td,th{padding:.2em .8em;border-bottom:1px solid #ccc;text-align:left}.broken{color:#b00;font-weight:bold}svg{max-width:100%;height:auto}</style></head>
@@ -262,13 +262,13 @@
 </body></html>
 `))
 
-// Write writes the page of a day that was played.
-func Write(w io.Writer, title string, day *testbed.Scenario, lines []trace.Event, rep *audit.Report) error {
-	faults := bands(day, lines)
-	all := charts(day, lines)
-	for _, c := range all {
+// Write writes the report of one run of a scenario.
+func Write(w io.Writer, title string, scenario *testbed.Scenario, events []trace.Event, report *audit.Report) error {
+	faults := faultBands(scenario, events)
+	charts := buildCharts(scenario, events)
+	for _, c := range charts {
 		if err := c.draw(faults); err != nil {
-			return fmt.Errorf("page: %s: %w", c.Title, err)
+			return fmt.Errorf("htmlreport: draw chart %q: %w", c.Title, err)
 		}
 	}
 	type row struct {
@@ -279,8 +279,8 @@
 	for _, f := range faults {
 		rows = append(rows, row{f.from, f.name})
 	}
-	if err := whole.Execute(w, map[string]any{"Title": title, "Report": rep, "Charts": all, "Faults": rows}); err != nil {
-		return fmt.Errorf("page: %w", err)
+	if err := pageTemplate.Execute(w, map[string]any{"Title": title, "Report": report, "Charts": charts, "Faults": rows}); err != nil {
+		return fmt.Errorf("htmlreport: execute template: %w", err)
 	}
 	return nil
 }
