--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -20,8 +20,8 @@
 	"gullrail/testbed/trace"
 )
 
-// freeUDP finds a port for messages that nobody uses.
-func freeUDP(t *testing.T) string {
+// freeUDPAddress returns an unused UDP address.
+func freeUDPAddress(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -31,38 +31,38 @@
 	return c.LocalAddr().String()
 }
 
-// A move in the middle: two fronts of the old shape and two of the new one, which know live titles and send
-// each other messages, before the same nodes, while one node drains and one comes back cold.
-func TestFrontsOfBothShapesBeforeTheSameNodes(t *testing.T) {
+// Guards a migration between two configurations: two fronts with the old settings and two with the new ones, which have
+// live titles and send each other peer messages, use the same nodes while one node drains and one restarts cold.
+func TestFrontsWithOldAndNewSettingsShareNodes(t *testing.T) {
 	const fronts, rounds = 4, 30
 	r := newRigWith(t, 4, func(r *rig) {
-		r.set.Fronts, r.set.DrainGraceMs, r.set.WeightKB = fronts, 250, 4000
-		r.settings.Service, r.settings.Name = *r.set, "old0"
+		r.service.Fronts, r.service.DrainGraceMs, r.service.WeightKB = fronts, 250, 4000
+		r.settings.Service, r.settings.Name = *r.service, "old0"
 	})
 	r.fleet.mu.Lock()
 	for _, n := range r.nodes {
 		n.given = 4000
 	}
 	r.fleet.mu.Unlock()
-	moved := *r.set
-	moved.Products, moved.SharedStreamShare = slices.Clone(r.set.Products), 0.3
-	moved.Products[1].Live = true
-	ports := make([]string, fronts)
-	for i := range ports {
-		ports[i] = freeUDP(t)
+	newService := *r.service
+	newService.Products, newService.SharedStreamShare = slices.Clone(r.service.Products), 0.3
+	newService.Products[1].Live = true
+	peerAddresses := make([]string, fronts)
+	for i := range peerAddresses {
+		peerAddresses[i] = freeUDPAddress(t)
 	}
 	names, addrs := []string{"old0"}, []string{r.addr}
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	defer func() { stop(); running.Wait() }()
 	for i := 1; i < fronts; i++ {
-		set := r.settings
-		set.Number, set.Name = i, fmt.Sprint("old", i)
+		settings := r.settings
+		settings.Number, settings.Name = i, fmt.Sprint("old", i)
 		if i >= fronts/2 {
-			set.Name, set.Service = fmt.Sprint("new", i), moved
-			set.Peers = config.Peers{Listen: ports[i], Fronts: ports, Secret: bytes.Repeat([]byte{5}, 32)}
+			settings.Name, settings.Service = fmt.Sprint("new", i), newService
+			settings.Peers = config.Peers{Listen: peerAddresses[i], Fronts: peerAddresses, Secret: bytes.Repeat([]byte{5}, 32)}
 		}
-		f, err := frontend.Listen(set, time.Now().UnixNano(), zerolog.Nop())
+		f, err := frontend.Listen(settings, time.Now().UnixNano(), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -73,20 +73,20 @@
 				t.Error(err)
 			}
 		}()
-		names, addrs = append(names, set.Name), append(addrs, f.Addr())
+		names, addrs = append(names, settings.Name), append(addrs, f.Addr())
 	}
 	for i, addr := range addrs {
-		r.eventually(names[i]+" is ready", func() bool { return r.getAt("http://"+addr+"/readyz").status == 200 })
+		r.eventually(names[i]+" is ready", func() bool { return r.getURL("http://"+addr+"/readyz").status == 200 })
 	}
 
-	players := NewViewerClients(r.set, r.tape)
+	players := NewViewerClients(r.service, r.recorder)
 	defer players.Client.CloseIdleConnections()
 	for round := range rounds {
 		switch round {
 		case 10:
 			line := r.nodes[0].line
 			line.Phase = "draining"
-			r.registry.UpdateNodes(line)
+			r.listService.UpdateNodes(line)
 		case 15:
 			r.nodes[1].crash(trace.Crash)
 			r.nodes[1].wg.Wait()
@@ -94,56 +94,56 @@
 				t.Fatal(err)
 			}
 			r.nodes[1].line.StartedMs = time.Now().UnixMilli()
-			r.registry.UpdateNodes(r.nodes[1].line)
+			r.listService.UpdateNodes(r.nodes[1].line)
 		}
-		var asking sync.WaitGroup
+		var requests sync.WaitGroup
 		for i := range fronts {
 			product, title := 1, "clip"
 			if round%5 == 4 {
 				product, title = 0, "other"
 			}
-			v := &Viewer{Name: fmt.Sprintf("v%d-%d", round, i), Product: &r.set.Products[product], Title: title, MaxRung: 2,
+			v := &Viewer{Name: fmt.Sprintf("v%d-%d", round, i), Product: &r.service.Products[product], Title: title, MaxRung: 2,
 				WatchTime: time.Minute, Fronts: addrs, Names: names}
-			asking.Add(1)
+			requests.Add(1)
 			go func() {
-				defer asking.Done()
+				defer requests.Done()
 				players.ask(context.Background(), v, i, players.firstURL(v, i, v.WatchTime), "", true, false)
 			}()
 		}
-		asking.Wait()
-		time.Sleep(30 * time.Millisecond) // so that the day outlasts the grace and some cold turns
+		requests.Wait()
+		time.Sleep(30 * time.Millisecond) // so that the run outlasts the drain grace period and part of the cold period
 	}
 
-	rep := audit.Check(r.set, r.tape.Events())
+	rep := audit.Check(r.service, r.recorder.Events())
 	if !rep.RulesKept() {
 		t.Errorf("rules: %+v", rep.Rules)
 	}
 	asked, plays, messages := map[string]int{}, map[string]int{}, 0.0
-	kind := map[int64]string{}
-	for _, l := range r.tape.Events() {
+	settingsOf := map[int64]string{}
+	for _, e := range r.recorder.Events() {
 		switch {
-		case l.Kind == trace.Ask:
-			kind[l.ID] = l.Front[:3]
-			asked[l.Front[:3]]++
-		case l.Kind == trace.Answer && l.Status == 200:
-			plays[kind[l.ID]]++
+		case e.Kind == trace.Ask:
+			settingsOf[e.ID] = e.Front[:3]
+			asked[e.Front[:3]]++
+		case e.Kind == trace.Answer && e.Status == 200:
+			plays[settingsOf[e.ID]]++
 		}
 	}
 	for i, addr := range addrs {
-		_, heard, _ := strings.Cut(r.getAt("http://"+addr+"/metrics").body, fmt.Sprintf("\ngullrail_messages_heard_total{front=%q} ", names[i]))
-		heard, _, _ = strings.Cut(heard, "\n")
-		n, err := strconv.ParseFloat(heard, 64)
+		_, received, _ := strings.Cut(r.getURL("http://"+addr+"/metrics").body, fmt.Sprintf("\ngullrail_messages_heard_total{front=%q} ", names[i]))
+		received, _, _ = strings.Cut(received, "\n")
+		n, err := strconv.ParseFloat(received, 64)
 		if err != nil {
-			t.Fatalf("%s does not tell what it heard: %v", names[i], err)
+			t.Fatalf("%s: no metric of peer messages received: %v", names[i], err)
 		}
 		messages += n
 	}
-	for _, k := range []string{"old", "new"} { // both want the same of the same nodes
-		if share := float64(plays[k]) / float64(asked[k]); asked[k] != rounds*fronts/2 || share < 0.8 {
-			t.Errorf("%s fronts: %d plays of %d asked", k, plays[k], asked[k])
+	for _, settings := range []string{"old", "new"} { // both request the same plays from the same nodes
+		if share := float64(plays[settings]) / float64(asked[settings]); asked[settings] != rounds*fronts/2 || share < 0.8 {
+			t.Errorf("%s fronts: %d plays of %d requests", settings, plays[settings], asked[settings])
 		}
 	}
 	if messages == 0 {
-		t.Error("the new fronts told each other nothing")
+		t.Error("the new fronts received no peer messages")
 	}
 }
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -37,72 +37,72 @@
     "budget": {"free": 100, "share": 1, "over_ms": 1000}}
 }`
 
-// rig is one front in this process with what it needs round it, on loopback.
+// rig is a test rig: one front in this process with simulated nodes and a list service, on loopback.
 type rig struct {
-	t        *testing.T
-	set      *config.Service
-	tape     *trace.Recorder
-	fleet    *Fleet
-	registry *ListService
-	minter   *token.Minter
-	addr     string
-	scheme   string
-	settings config.Front
-	front    *frontend.Front
-	client   *http.Client
-	nodes    []*Node
-	stop     func()
+	t           *testing.T
+	service     *config.Service
+	recorder    *trace.Recorder
+	fleet       *Fleet
+	listService *ListService
+	minter      *token.Minter
+	addr        string
+	scheme      string
+	settings    config.Front
+	front       *frontend.Front
+	client      *http.Client
+	nodes       []*Node
+	stop        func()
 }
 
-// newRig starts n stand-in nodes and a front, and waits until it is ready. Further listed nodes may be given.
-func newRig(t *testing.T, n int, others ...nodes.Line) *rig {
+// newRig starts n simulated nodes and a front, and waits until the front is ready. The list also names extraNodes.
+func newRig(t *testing.T, n int, extraNodes ...nodes.Line) *rig {
 	t.Helper()
-	return newRigWith(t, n, func(*rig) {}, others...)
+	return newRigWith(t, n, func(*rig) {}, extraNodes...)
 }
 
-// newRigWith lets a test change the rig before its nodes start.
-func newRigWith(t *testing.T, n int, change func(r *rig), others ...nodes.Line) *rig {
+// newRigWith is newRig with a function that configures the rig before the nodes start.
+func newRigWith(t *testing.T, n int, configure func(r *rig), extraNodes ...nodes.Line) *rig {
 	t.Helper()
-	r := &rig{t: t, scheme: "http", tape: trace.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
+	r := &rig{t: t, scheme: "http", recorder: trace.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
 	doc, v, err := config.Parse("service", []byte(testService))
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := config.ReadService(v)
+	service := config.ReadService(v)
 	if doc.Err() != nil {
 		t.Fatal(doc.Err())
 	}
-	r.set = &set
+	r.service = &service
 	keys := []config.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
 	if r.minter, err = frontend.NewMinter(keys); err != nil {
 		t.Fatal(err)
 	}
-	r.fleet = &Fleet{set: r.set, check: r.minter.Checker, tape: r.tape, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
+	r.fleet = &Fleet{set: r.service, check: r.minter.Checker, tape: r.recorder, setUpMs: [2]float64{1, 5}, idle: 20 * time.Second,
 		rnd: rand.New(rand.NewPCG(1, 2)), nodes: map[string]*Node{}, racks: []rack{{1e9, 1}, {1e9, 1}}}
 	r.settings = config.Front{Name: "f", Zone: "z", Listen: "127.0.0.1:0", Seed: 1, MaxWaiting: 64, MaxSockets: 1000, TokenMs: 60000,
-		ShutdownMs: 3000, Keys: keys, Service: set}
-	change(r)
-	r.registry = NewListService(r.tape, 0)
-	lines := others
+		ShutdownMs: 3000, Keys: keys, Service: service}
+	configure(r)
+	r.listService = NewListService(r.recorder, 0)
+	lines := extraNodes
 	for i := range n {
 		addr, err := freePort()
 		if err != nil {
 			t.Fatal(err)
 		}
-		nd := &Node{fleet: r.fleet, cell: i % 4, given: 1e6, slow: 1, line: nodes.Line{Name: fmt.Sprint("n", i), Address: addr,
+		node := &Node{fleet: r.fleet, cell: i % 4, given: 1e6, slow: 1, line: nodes.Line{Name: fmt.Sprint("n", i), Address: addr,
 			Phase: "ready", Kind: "std", Zone: "z", Cell: i % 4, Weight: 1}}
-		r.fleet.nodes[nd.line.Name] = nd
-		r.nodes = append(r.nodes, nd)
-		lines = append(lines, nd.line)
-		if err := nd.start(false); err != nil {
+		r.fleet.nodes[node.line.Name] = node
+		r.nodes = append(r.nodes, node)
+		lines = append(lines, node.line)
+		if err := node.start(false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	r.registry.UpdateNodes(lines...)
-	if err := r.registry.Start("127.0.0.1:0"); err != nil {
+	r.listService.UpdateNodes(lines...)
+	if err := r.listService.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	r.settings.ListURL = "http://" + r.registry.addr + "/v1/list"
+	r.settings.ListURL = "http://" + r.listService.addr + "/v1/list"
 	r.startFront()
 	t.Cleanup(func() {
 		r.client.CloseIdleConnections()
@@ -113,20 +113,20 @@
 			n.crash(trace.Crash)
 			n.wg.Wait()
 		}
-		r.registry.Stop()
+		r.listService.Stop()
 	})
 	return r
 }
 
-// startFront starts a life of the front, the first or a later one, and waits until it is ready.
+// startFront starts the front, for the first time or again, and waits until it is ready.
 func (r *rig) startFront() {
 	r.t.Helper()
-	r.begin()
+	r.launchFront()
 	r.eventually("the front is ready", func() bool { return r.get("/readyz").status == http.StatusOK })
 }
 
-// begin starts a life of the front.
-func (r *rig) begin() {
+// launchFront starts the front without waiting until it is ready.
+func (r *rig) launchFront() {
 	r.t.Helper()
 	front, err := frontend.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
 	if err != nil {
@@ -147,17 +147,18 @@
 	}
 }
 
-// eventually waits for an event, for as long as a very slow machine might need.
-func (r *rig) eventually(what string, happened func() bool) {
+// eventually waits until a condition holds, with a timeout that suffices on a very slow machine.
+func (r *rig) eventually(condition string, holds func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if happened() {
+		if holds() {
 			return
 		}
 	}
-	r.t.Fatalf("never: %s", what)
+	r.t.Fatalf("timed out waiting until %s", condition)
 }
 
+// reply is an HTTP response of the front, with the manifest decoded if it has one.
 type reply struct {
 	status   int
 	body     string
@@ -168,10 +169,10 @@
 
 func (r *rig) get(path string, headers ...string) reply {
 	r.t.Helper()
-	return r.getAt(r.scheme+"://"+r.addr+path, headers...)
+	return r.getURL(r.scheme+"://"+r.addr+path, headers...)
 }
 
-func (r *rig) getAt(target string, headers ...string) reply {
+func (r *rig) getURL(target string, headers ...string) reply {
 	r.t.Helper()
 	req, err := http.NewRequest(http.MethodGet, target, nil)
 	if err != nil {
@@ -195,15 +196,15 @@
 	return out
 }
 
-func (r *rig) ask(title, product, viewer string, more ...string) reply {
+func (r *rig) requestPlay(title, product, viewer string, parameters ...string) reply {
 	r.t.Helper()
-	return r.get("/v1/titles/" + title + "/manifest.mpd?product=" + product + "&viewer=" + viewer + strings.Join(more, ""))
+	return r.get("/v1/titles/" + title + "/manifest.mpd?product=" + product + "&viewer=" + viewer + strings.Join(parameters, ""))
 }
 
-// playing asks and insists that it plays.
-func (r *rig) playing(title, product, viewer string) reply {
+// mustPlay requests a play and fails the test unless it starts.
+func (r *rig) mustPlay(title, product, viewer string) reply {
 	r.t.Helper()
-	x := r.ask(title, product, viewer)
+	x := r.requestPlay(title, product, viewer)
 	if x.status != http.StatusOK {
 		r.t.Fatalf("%s of %s: %d %s", viewer, title, x.status, x.body)
 	}
@@ -212,41 +213,41 @@
 
 func (r *rig) segment(base string, rung int) reply {
 	r.t.Helper()
-	return r.getAt(base + dash.RepresentationID(rung) + "/1.m4s")
+	return r.getURL(base + dash.RepresentationID(rung) + "/1.m4s")
 }
 
-// count is how many events of a kind the trace holds for a play, or for all.
-func (r *rig) count(what, play string) (n int) {
-	for _, l := range r.tape.Events() {
-		if l.Kind == what && (play == "" || l.Play == play) {
+// countEvents returns the number of events of a kind in the trace, for one play or, if play is empty, for all.
+func (r *rig) countEvents(kind, play string) (n int) {
+	for _, e := range r.recorder.Events() {
+		if e.Kind == kind && (play == "" || e.Play == play) {
 			n++
 		}
 	}
 	return n
 }
 
-// tokenOf cuts the token out of a manifest's location.
+// tokenOf extracts the token from a manifest's location.
 func tokenOf(m dash.Manifest) string {
 	return strings.TrimSuffix(strings.TrimPrefix(m.Location, "/v1/plays/"), "/manifest.mpd")
 }
 
-// listens tries to begin a life of the front.
-func (r *rig) listens() error {
+// listenFront listens as the front and returns the error, without running it.
+func (r *rig) listenFront() error {
 	_, err := frontend.Listen(r.settings, time.Now().UnixNano(), zerolog.Nop())
 	return err
 }
 
-// scripted is a node that does what a test says with each set-up.
-type scripted struct {
-	line   nodes.Line
-	mu     sync.Mutex
-	setUps int
+// scriptedNode is a node whose answer to each set-up is scripted by the test.
+type scriptedNode struct {
+	line     nodes.Line
+	mu       sync.Mutex
+	received int // set-ups
 }
 
-// newScripted starts one at cell 0 with a handler for set-ups; it has the connection to itself.
-func newScripted(t *testing.T, name string, setUp func(c net.Conn, try int)) *scripted {
+// newScriptedNode starts a node at cell 0. handleSetUp owns the connection, which is closed after it returns.
+func newScriptedNode(t *testing.T, name string, handleSetUp func(c net.Conn, attempt int)) *scriptedNode {
 	t.Helper()
-	s := &scripted{}
+	s := &scriptedNode{}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/stream", func(w http.ResponseWriter, r *http.Request) {
 		json.NewEncoder(w).Encode(nodes.Note{Kind: nodes.NoteHello, Node: name, Life: 1})
@@ -261,10 +262,10 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/plays/{play}", func(w http.ResponseWriter, r *http.Request) {
-		var ask nodes.SetUp
-		json.NewDecoder(r.Body).Decode(&ask)
+		var setUp nodes.SetUp
+		json.NewDecoder(r.Body).Decode(&setUp)
 		s.mu.Lock()
-		s.setUps++
+		s.received++
 		s.mu.Unlock()
 		c, _, err := http.NewResponseController(w).Hijack()
 		if err != nil {
@@ -272,7 +273,7 @@
 			return
 		}
 		defer c.Close()
-		setUp(c, ask.Attempt)
+		handleSetUp(c, setUp.Attempt)
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -285,8 +286,8 @@
 	return s
 }
 
-func (s *scripted) got() int { s.mu.Lock(); defer s.mu.Unlock(); return s.setUps }
+func (s *scriptedNode) setUpCount() int { s.mu.Lock(); defer s.mu.Unlock(); return s.received }
 
-func say(c net.Conn, status int, body string) {
+func writeResponse(c net.Conn, status int, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 %d X\r\nContent-Type: application/json\r\nContent-Length: %s\r\nConnection: close\r\n\r\n%s", status, strconv.Itoa(len(body)), body)
 }
--- a/testbed/tls_test.go
+++ b/testbed/tls_test.go
@@ -20,14 +20,14 @@
 	"gullrail/testbed/trace"
 )
 
-// authority signs certificates for loopback.
-type authority struct {
+// testCA is a certificate authority that signs certificates for loopback.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 	pem  []byte
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -40,10 +40,10 @@
 		t.Fatal(err)
 	}
 	cert, _ := x509.ParseCertificate(der)
-	return &authority{cert, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
+	return &testCA{cert, key, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-func (a *authority) sign(t *testing.T, serial int64) (cert, key []byte) {
+func (a *testCA) sign(t *testing.T, serial int64) (cert, key []byte) {
 	t.Helper()
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -62,9 +62,10 @@
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: raw})
 }
 
-func secured(t *testing.T, vouched bool) (r *rig, dir string, ca *authority) {
-	ca, dir = newAuthority(t), t.TempDir()
-	put := func(name string, text []byte) string {
+// newTLSRig returns a rig that uses TLS throughout. Unless trusted is set, the front's CA file isn't that of the nodes.
+func newTLSRig(t *testing.T, trusted bool) (r *rig, dir string, ca *testCA) {
+	ca, dir = newTestCA(t), t.TempDir()
+	writeFile := func(name string, text []byte) string {
 		file := filepath.Join(dir, name)
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -78,12 +79,12 @@
 			t.Fatal(err)
 		}
 		r.fleet.tls = &tls.Config{Certificates: []tls.Certificate{pair}}
-		r.settings.NodesCA = put("ca.pem", ca.pem)
-		if !vouched {
-			r.settings.NodesCA = put("ca.pem", newAuthority(t).pem)
+		r.settings.NodesCA = writeFile("ca.pem", ca.pem)
+		if !trusted {
+			r.settings.NodesCA = writeFile("ca.pem", newTestCA(t).pem)
 		}
 		cert, key = ca.sign(t, 20)
-		r.settings.Cert, r.settings.CertKey = put("cert.pem", cert), put("key.pem", key)
+		r.settings.Cert, r.settings.CertKey = writeFile("cert.pem", cert), writeFile("key.pem", key)
 		pool := x509.NewCertPool()
 		pool.AddCert(ca.cert)
 		r.scheme = "https"
@@ -92,11 +93,11 @@
 	return r, dir, ca
 }
 
-func TestWholePathOverTLSAndKeysReadAgain(t *testing.T) {
-	r, dir, ca := secured(t, true)
-	x := r.playing("clip", "paid", "v")
+func TestPlayOverTLSAndCertificateReload(t *testing.T) {
+	r, dir, ca := newTLSRig(t, true)
+	x := r.mustPlay("clip", "paid", "v")
 	if !strings.HasPrefix(x.manifest.Base, "https://") {
-		t.Fatalf("segments at %s", x.manifest.Base)
+		t.Fatalf("segment base URL is %s, want https", x.manifest.Base)
 	}
 	if s := r.segment(x.manifest.Base, 1); s.status != http.StatusOK {
 		t.Fatalf("segment: %d %s", s.status, s.body)
@@ -112,26 +113,26 @@
 		return c.ConnectionState().PeerCertificates[0].SerialNumber.Int64()
 	}
 	if n := serial(); n != 20 {
-		t.Fatalf("shown certificate %d", n)
+		t.Fatalf("serial number %d, want 20", n)
 	}
-	os.WriteFile(filepath.Join(dir, "cert.pem"), []byte("half writ"), 0o600)
-	time.Sleep(1100 * time.Millisecond) // past the next look at the files
+	os.WriteFile(filepath.Join(dir, "cert.pem"), []byte("incomplete"), 0o600)
+	time.Sleep(1100 * time.Millisecond) // longer than the interval at which the files are checked
 	if n := serial(); n != 20 {
-		t.Fatalf("a file that does not hold was taken: %d", n)
+		t.Fatalf("an invalid certificate file was loaded: serial number %d", n)
 	}
 	cert, key := ca.sign(t, 30)
 	os.WriteFile(filepath.Join(dir, "cert.pem"), cert, 0o600)
 	os.WriteFile(filepath.Join(dir, "key.pem"), key, 0o600)
-	r.eventually("the new certificate is shown", func() bool { return serial() == 30 })
-	r.playing("other", "safe", "w")
+	r.eventually("the new certificate is used", func() bool { return serial() == 30 })
+	r.mustPlay("other", "safe", "w")
 }
 
-func TestNodeThatNobodyVouchesForGetsNoPlay(t *testing.T) {
-	r, _, _ := secured(t, false)
-	if x := r.ask("clip", "paid", "v"); x.status != http.StatusServiceUnavailable {
+func TestNodeWithUntrustedCertificateGetsNoPlay(t *testing.T) {
+	r, _, _ := newTLSRig(t, false)
+	if x := r.requestPlay("clip", "paid", "v"); x.status != http.StatusServiceUnavailable {
 		t.Fatalf("got %d %s", x.status, x.body)
 	}
-	if n := r.count(trace.SetUp, ""); n != 0 {
-		t.Fatalf("%d set-ups reached nodes that nobody vouches for", n)
+	if n := r.countEvents(trace.SetUp, ""); n != 0 {
+		t.Fatalf("%d set-ups reached nodes with untrusted certificates", n)
 	}
 }
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -13,7 +13,7 @@
 	"gullrail/testbed/trace"
 )
 
-func (r *rig) viewer(name string, fronts ...string) *client.Client {
+func (r *rig) newClient(name string, fronts ...string) *client.Client {
 	if len(fronts) == 0 {
 		fronts = []string{r.addr}
 	}
@@ -22,91 +22,91 @@
 	return c
 }
 
-func (r *rig) asks(c *client.Client, title, product string, tries int) *client.Play {
+func (r *rig) mustPlayOnSocket(c *client.Client, title, product string, maxRetries int) *client.Play {
 	r.t.Helper()
-	p, err := c.RequestPlay(r.t.Context(), client.Request{Title: title, Product: product, MaxRung: -1, Timeout: time.Second, MaxRetries: tries})
+	p, err := c.RequestPlay(r.t.Context(), client.Request{Title: title, Product: product, MaxRung: -1, Timeout: time.Second, MaxRetries: maxRetries})
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return p
 }
 
-// fetches asks the node for a segment at the best rung granted.
-func (r *rig) fetches(g playapi.Grant) int {
-	return r.getAt(g.Base + g.Rungs[len(g.Rungs)-1].ID + "/1.m4s").status
+// fetchSegment requests a segment at the highest granted rung from the node and returns the status.
+func (r *rig) fetchSegment(g playapi.Grant) int {
+	return r.getURL(g.Base + g.Rungs[len(g.Rungs)-1].ID + "/1.m4s").status
 }
 
-func (r *rig) event(p *client.Play, want client.EventKind) client.Event {
+func (r *rig) awaitEvent(p *client.Play, want client.EventKind) client.Event {
 	r.t.Helper()
-	late := time.After(15 * time.Second)
+	timeout := time.After(15 * time.Second)
 	for {
 		select {
 		case e, ok := <-p.Events():
 			if !ok {
-				r.t.Fatalf("it ended before event %d", want)
+				r.t.Fatalf("the play ended before event %d", want)
 			}
 			if e.Kind == want {
 				return e
 			}
-		case <-late:
-			r.t.Fatalf("event %d did not come", want)
+		case <-timeout:
+			r.t.Fatalf("timed out waiting for event %d", want)
 		}
 	}
 }
 
-func TestSocketGetsTheSamePlayAsDASH(t *testing.T) {
+func TestTokenFromSocketWorksForDASH(t *testing.T) {
 	r := newRig(t, 4)
-	c := r.viewer("v")
-	p := r.asks(c, "clip", "paid", 0)
-	g := p.Grant()
-	if s := r.fetches(g); s != 200 {
+	c := r.newClient("v")
+	p := r.mustPlayOnSocket(c, "clip", "paid", 0)
+	grant := p.Grant()
+	if s := r.fetchSegment(grant); s != 200 {
 		t.Fatalf("segment: %d", s)
 	}
-	// The same viewer by DASH with the socket's token: the same play, no second set-up.
-	x := r.get("/v1/plays/" + g.Token + "/manifest.mpd")
-	if x.status != 200 || x.play != g.Play || r.count(trace.SetUp, "") != 1 {
-		t.Fatalf("%d %s of %s", x.status, x.play, g.Play)
+	// A DASH request with the socket's token gets the same play without a second set-up.
+	x := r.get("/v1/plays/" + grant.Token + "/manifest.mpd")
+	if x.status != 200 || x.play != grant.Play || r.countEvents(trace.SetUp, "") != 1 {
+		t.Fatalf("status %d, play %s, want play %s", x.status, x.play, grant.Play)
 	}
 	p.End()
-	r.eventually("its end at the node", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
+	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
 }
 
-func TestSocketIsToldOfALostNodeAndPlacedAnew(t *testing.T) {
+func TestSocketPlayMovesAfterNodeCrash(t *testing.T) {
 	r := newRig(t, 4)
-	c := r.viewer("v")
-	p := r.asks(c, "clip", "paid", 3)
-	was := p.Grant()
-	cl, err := r.minter.Check(was.Token, time.Now())
+	c := r.newClient("v")
+	p := r.mustPlayOnSocket(c, "clip", "paid", 3)
+	first := p.Grant()
+	claims, err := r.minter.Check(first.Token, time.Now())
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.fleet.nodes[cl.Node].crash(trace.Crash)
-	r.event(p, client.Interrupted)
-	e := r.event(p, client.Moved)
-	if e.Grant.Play == was.Play || r.fetches(e.Grant) != 200 {
-		t.Fatalf("placed anew: %+v", e.Grant)
+	r.fleet.nodes[claims.Node].crash(trace.Crash)
+	r.awaitEvent(p, client.Interrupted)
+	e := r.awaitEvent(p, client.Moved)
+	if e.Grant.Play == first.Play || r.fetchSegment(e.Grant) != 200 {
+		t.Fatalf("moved play: %+v", e.Grant)
 	}
-	p.ReportNotDelivered() // and the viewer's own word
-	if e = r.event(p, client.Moved); r.fetches(e.Grant) != 200 {
-		t.Fatal("not placed anew after it said so")
+	p.ReportNotDelivered() // the viewer's report also moves the play
+	if e = r.awaitEvent(p, client.Moved); r.fetchSegment(e.Grant) != 200 {
+		t.Fatal("no segment after the move that the viewer asked for")
 	}
 }
 
-func TestSocketResumesAfterTheFrontStartsAgain(t *testing.T) {
+func TestSocketPlayResumesAfterFrontRestart(t *testing.T) {
 	r := newRigWith(t, 4, func(r *rig) { r.settings.StateFolder = t.TempDir() })
-	c := r.viewer("v")
-	p := r.asks(c, "clip", "paid", 5)
-	was := p.Grant()
+	c := r.newClient("v")
+	p := r.mustPlayOnSocket(c, "clip", "paid", 5)
+	first := p.Grant()
 	r.settings.Listen = r.addr
 	r.stop()
 	r.startFront()
-	e := r.event(p, client.Rung) // resumed by its token: the same play, as the new life took it over
-	if e.Grant.Play != was.Play || r.fetches(e.Grant) != 200 || r.count(trace.SetUp, "") != 1 {
-		t.Fatalf("%+v, %d set-ups", e.Grant, r.count(trace.SetUp, ""))
+	e := r.awaitEvent(p, client.Rung) // resumed by its token: the restarted front adopted the play
+	if e.Grant.Play != first.Play || r.fetchSegment(e.Grant) != 200 || r.countEvents(trace.SetUp, "") != 1 {
+		t.Fatalf("%+v, %d set-ups", e.Grant, r.countEvents(trace.SetUp, ""))
 	}
 }
 
-func TestSeatsHoldForSocketsAndManifestsTogether(t *testing.T) {
+func TestSeatLimitCoversSocketsAndManifests(t *testing.T) {
 	r := newRig(t, 4)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -117,14 +117,14 @@
 			defer wg.Done()
 			ok := false
 			if i%2 == 0 {
-				c := r.viewer(fmt.Sprint("v", i))
+				c := r.newClient(fmt.Sprint("v", i))
 				_, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "paid", MaxRung: -1, Timeout: time.Second})
-				var no *client.RefusedError
-				if ok = err == nil; !ok && !errors.As(err, &no) {
+				var refusal *client.RefusedError
+				if ok = err == nil; !ok && !errors.As(err, &refusal) {
 					t.Error(err)
 				}
 			} else {
-				ok = r.ask("clip", "paid", fmt.Sprint("v", i)).status == 200
+				ok = r.requestPlay("clip", "paid", fmt.Sprint("v", i)).status == 200
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -137,22 +137,22 @@
 	}
 	wg.Wait()
 	if plays != 3 || refused != 9 {
-		t.Fatalf("%d play on three seats, %d are refused", plays, refused)
+		t.Fatalf("%d plays on three seats, %d refused", plays, refused)
 	}
 }
 
-func TestClientLeavesOffWhenItsContextEnds(t *testing.T) {
+func TestClientStopsWhenContextEnds(t *testing.T) {
 	r := newRig(t, 1)
 	r.nodes[0].hush()
-	c := r.viewer("v")
+	c := r.newClient("v")
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
 	if _, err := c.RequestPlay(ctx, client.Request{Title: "clip", Product: "safe", MaxRung: -1, Timeout: time.Second, MaxRetries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
-	r.eventually("its end", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
+	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
 	c.Close()
 	if _, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
-		t.Fatalf("after its end: %v", err)
+		t.Fatalf("after Close: %v", err)
 	}
 }
