--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -41,7 +41,7 @@
 	})
 	r.fleet.mu.Lock()
 	for _, n := range r.nodes {
-		n.given = 4000
+		n.linkKB = 4000
 	}
 	r.fleet.mu.Unlock()
 	newService := *r.service
@@ -107,7 +107,7 @@
 			requests.Add(1)
 			go func() {
 				defer requests.Done()
-				players.ask(context.Background(), v, i, players.firstURL(v, i, v.WatchTime), "", true, false)
+				players.requestManifest(context.Background(), v, i, players.initialURL(v, i, v.WatchTime), "", true, false)
 			}()
 		}
 		requests.Wait()
--- a/testbed/path_test.go
+++ b/testbed/path_test.go
@@ -26,7 +26,7 @@
 		t.Fatalf("rungs %v, but the product's lowest rung is 1", x.manifest.Rungs)
 	}
 	top := x.manifest.Rungs[len(x.manifest.Rungs)-1]
-	if s := r.segment(x.manifest.Base, top); s.status != http.StatusOK || s.header.Get(suggested) == "" {
+	if s := r.segment(x.manifest.Base, top); s.status != http.StatusOK || s.header.Get(suggestedRateHeader) == "" {
 		t.Fatalf("segment: %d %s", s.status, s.body)
 	}
 	if s := r.segment(x.manifest.Base, top+1); s.status != http.StatusForbidden {
@@ -128,7 +128,7 @@
 
 func TestNodeSilentDuringSetUp(t *testing.T) {
 	r := newRig(t, 4)
-	endSilence := r.nodes[0].hush()
+	endSilence := r.nodes[0].silence()
 	defer endSilence()
 	var wg sync.WaitGroup
 	status := make([]int, 24)
@@ -166,7 +166,7 @@
 	r := newRig(t, 4)
 	x := r.mustPlay("clip", "safe", "v1")
 	claims, _ := r.minter.Check(tokenOf(x.manifest), time.Now())
-	endSilence := r.fleet.nodes[claims.Node].hush()
+	endSilence := r.fleet.nodes[claims.Node].silence()
 	defer endSilence()
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -271,7 +271,7 @@
 
 func TestConcurrentRequestsOfOneViewer(t *testing.T) {
 	r := newRig(t, 1)
-	r.withFleetLocked(func() { r.nodes[0].slow = 40 })
+	r.withFleetLock(func() { r.nodes[0].setUpSlowdown = 40 })
 	first := make(chan reply, 1)
 	go func() { first <- r.requestPlay("clip", "safe", "v") }()
 	r.eventually("the first request's set-up is pending", func() bool { return r.countEvents(trace.SetUp, "") == 1 })
@@ -283,11 +283,11 @@
 	}
 }
 
-func (r *rig) withFleetLocked(do func()) { r.fleet.mu.Lock(); do(); r.fleet.mu.Unlock() }
+func (r *rig) withFleetLock(do func()) { r.fleet.mu.Lock(); do(); r.fleet.mu.Unlock() }
 
 func TestClientDisconnectCancelsSetUp(t *testing.T) {
 	r := newRig(t, 1)
-	r.withFleetLocked(func() { r.nodes[0].slow = 200 })
+	r.withFleetLock(func() { r.nodes[0].setUpSlowdown = 200 })
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.addr+"/v1/titles/clip/manifest.mpd?product=paid&viewer=v", nil)
 	go r.client.Do(req)
@@ -318,7 +318,7 @@
 
 func TestNodeRemovedFromListDuringSetUp(t *testing.T) {
 	r := newRig(t, 2)
-	r.withFleetLocked(func() { r.nodes[0].slow = 100 })
+	r.withFleetLock(func() { r.nodes[0].setUpSlowdown = 100 })
 	replies := make(chan reply, 1)
 	go func() { replies <- r.requestPlay("only-0", "paid", "v") }()
 	r.eventually("the set-up is pending", func() bool { return r.countEvents(trace.SetUp, "") == 1 })
@@ -399,7 +399,7 @@
 
 func TestShutdownAnswersPendingRequests(t *testing.T) {
 	r := newRig(t, 1)
-	r.withFleetLocked(func() { r.nodes[0].slow = 60 })
+	r.withFleetLock(func() { r.nodes[0].setUpSlowdown = 60 })
 	replies := make(chan reply, 1)
 	go func() { replies <- r.requestPlay("clip", "safe", "v") }()
 	r.eventually("the set-up is pending", func() bool { return r.countEvents(trace.SetUp, "") == 1 })
--- a/testbed/store_test.go
+++ b/testbed/store_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endSilence := r.fleet.nodes[claims.Node].hush()
+	endSilence := r.fleet.nodes[claims.Node].silence()
 	defer endSilence()
 	r.stop()
 	r.startFront() // waits until ready; without records, the front would wait until the silent node's lease expires
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -143,7 +143,7 @@
 
 func TestClientStopsWhenContextEnds(t *testing.T) {
 	r := newRig(t, 1)
-	r.nodes[0].hush()
+	r.nodes[0].silence()
 	c := r.newClient("v")
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	defer cancel()
