--- a/testbed/sim_test.go
+++ b/testbed/sim_test.go
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	if diff := Differences(pairs)[0]; !diff.Significant() || diff.Mean < 0.05 {
-		t.Fatalf("no significant difference between the module and a random holder at the lowest rung: %v", diff)
+		t.Fatalf("no significant difference of at least 0.05 between the module and a random holder at the lowest rung: %v", diff)
 	}
 }
 
--- a/testbed/trace/trace.go
+++ b/testbed/trace/trace.go
@@ -29,7 +29,7 @@
 	End          = "end"      // a node was told to end a play: Node, Front, Play, Attempt
 	Ended        = "ended"    // a node ended a play of its own accord: Node, Front, Play
 	Served       = "served"   // a node sent a segment: Node, Play, Rung, Share
-	Load         = "load"     // a node's load, once a second: Node; Share is the bandwidth demanded of its link over the link's capacity, Uplink the same for its uplink
+	Load         = "load"     // a node's load, once a second: Node, Share (demand over capacity of its link), Uplink (the same for its uplink)
 	Life         = "life"     // a node's process started: Node; Note is cold or warm
 	Crash        = "crash"    // a node's process crashed: Node
 	Overloaded   = "fell"     // a cold node crashed under too many set-ups: Node
