--- a/dash/mpd.go
+++ b/dash/mpd.go
@@ -73,11 +73,11 @@
 // ParseRepresentationID returns the rung of a Representation's id.
 func ParseRepresentationID(id string) (int, error) {
 	if len(id) < 2 || id[0] != 'r' {
-		return 0, fmt.Errorf("representation %.20q: not of the form r0 to r1000", id)
+		return 0, fmt.Errorf("representation %.20q: not one of ours", id)
 	}
 	n, err := strconv.Atoi(id[1:])
 	if err != nil || n < 0 || n > 1000 || RepresentationID(n) != id {
-		return 0, fmt.Errorf("representation %.20q: not of the form r0 to r1000", id)
+		return 0, fmt.Errorf("representation %.20q: not one of ours", id)
 	}
 	return n, nil
 }
