--- a/client/client.go
+++ b/client/client.go
@@ -424,7 +424,7 @@
 		}
 		timer.Reset(next)
 		if !c.sendQueued(ctx, conn) {
-			c.handleDisconnect(front, errors.New("the connection was lost"))
+			c.handleDisconnect(front, errors.New("the socket broke"))
 			return retryAfter
 		}
 		select {
@@ -435,7 +435,7 @@
 			}
 			c.handle(m, front)
 		case <-readDone:
-			c.handleDisconnect(front, errors.New("the connection was lost"))
+			c.handleDisconnect(front, errors.New("the socket broke"))
 			return retryAfter
 		case <-c.wakeup:
 			c.mu.Lock()
@@ -463,7 +463,7 @@
 			c.send(wsapi.Message{Type: "resume", Ticket: p.ticket, Cursor: p.cursor})
 			return
 		}
-		c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[p.front], Err: errors.New("the connection to the front of the request was lost")})
+		c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[p.front], Err: errors.New("its front is gone")})
 		p.state, p.requestAt = stateWaiting, time.Now()
 	}
 }
@@ -610,7 +610,7 @@
 			p.previousToken = p.grant.Token
 			p.emit(Event{Kind: Interrupted, Reason: "the front of the play was lost"})
 		} else if p.state == statePending {
-			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Err: errors.New("the front no longer knows the request")})
+			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Err: errors.New("its request is not known any more")})
 		}
 		p.state, p.requestAt = stateWaiting, time.Now()
 	case "error":
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -74,7 +74,7 @@
 	case "1":
 		params.NotDelivered = true
 	default:
-		return params, playapi.BadRequest{Field: "broken", Problem: "must be 0 or 1"}
+		return params, playapi.BadRequest{Field: "broken", Problem: "0 or 1 is needed"}
 	}
 	return params, nil
 }
@@ -86,7 +86,7 @@
 	}
 	n, err := strconv.Atoi(s)
 	if err != nil || n < minimum || n > maximum {
-		return 0, playapi.BadRequest{Field: name, Problem: fmt.Sprintf("must be an integer of at least %d, not %.20q", minimum, s)}
+		return 0, playapi.BadRequest{Field: name, Problem: fmt.Sprintf("a whole number from %d is needed, not %.20q", minimum, s)}
 	}
 	return n, nil
 }
@@ -104,7 +104,7 @@
 			return
 		}
 		if !playapi.TokenMatches(f.service.Config, claims, req) {
-			writeError(w, http.StatusForbidden, "token: issued for another title, viewer or product")
+			writeError(w, http.StatusForbidden, "token: made for another title, viewer or product")
 			return
 		}
 		req.Previous = &session.Previous{Play: claims.Play, NotDelivered: req.NotDelivered}
--- a/dash/mpd.go
+++ b/dash/mpd.go
@@ -73,11 +73,11 @@
 // ParseRepresentationID returns the rung of a Representation's id.
 func ParseRepresentationID(id string) (int, error) {
 	if len(id) < 2 || id[0] != 'r' {
-		return 0, fmt.Errorf("representation %.20q: not of the form r0 to r1000", id)
+		return 0, fmt.Errorf("representation %.20q: not one of ours", id)
 	}
 	n, err := strconv.Atoi(id[1:])
 	if err != nil || n < 0 || n > 1000 || RepresentationID(n) != id {
-		return 0, fmt.Errorf("representation %.20q: not of the form r0 to r1000", id)
+		return 0, fmt.Errorf("representation %.20q: not one of ours", id)
 	}
 	return n, nil
 }
@@ -121,13 +121,13 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(field.text, "PT%gS", field.into); err != nil {
-			return Manifest{}, fmt.Errorf("MPD: %s: %.20q is not a duration in seconds", field.name, field.text)
+			return Manifest{}, fmt.Errorf("MPD: %s: %.20q is no duration in seconds", field.name, field.text)
 		}
 		*field.into *= field.scale
 	}
 	for _, u := range []string{m.Location, m.Base} {
 		if _, err := url.Parse(u); err != nil || u == "" {
-			return Manifest{}, fmt.Errorf("MPD: invalid URL %.60q", u)
+			return Manifest{}, fmt.Errorf("MPD: address %.60q", u)
 		}
 	}
 	for _, r := range doc.Period.Set.Representations {
--- a/wsapi/ticket.go
+++ b/wsapi/ticket.go
@@ -85,7 +85,7 @@
 		case playlog.Moved, playlog.Broken:
 			out.Type = "moved"
 		case playlog.Returned:
-			out.Why = "the viewer resumed the play elsewhere"
+			out.Why = "it was taken up elsewhere"
 		}
 		return out, true
 	case session.Answer:
@@ -99,7 +99,7 @@
 			if err != nil { // ended, as the viewer can't use the play without the grant
 				t.front.log.Error().Err(err).Msg("granting a play failed; ending the play")
 				t.front.service.EndPlay(value.Play)
-				return Message{Type: "error", Ticket: t.id, Why: "the grant could not be created"}, true
+				return Message{Type: "error", Ticket: t.id, Why: "the answer could not be given"}, true
 			}
 			out.Grant = &grant
 		}
--- a/wsapi/wire.go
+++ b/wsapi/wire.go
@@ -78,7 +78,7 @@
 		return Message{}, fmt.Errorf("message: %w", err)
 	}
 	if err := messageSchemas()[direction].Validate(doc); err != nil {
-		return Message{}, fmt.Errorf("message: does not match the schema of %s", Subprotocol)
+		return Message{}, fmt.Errorf("message: not by the schema of %s", Subprotocol)
 	}
 	var m Message
 	if err := json.Unmarshal(text, &m); err != nil {
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -79,7 +79,7 @@
 	f.mu.Unlock()
 	for _, s := range shed {
 		f.counts.Shed.Add(1)
-		s.closeWith(websocket.StatusTryAgainLater, "the front has reached its limit of sockets")
+		s.closeWith(websocket.StatusTryAgainLater, "the front holds as many sockets as it may")
 	}
 	if closing || refusal != sockets.Admitted {
 		f.counts.Refused.Add(1)
@@ -89,7 +89,7 @@
 		h.Set(RetryAfterMsHeader, strconv.FormatInt(session.Duration(max(retryAfter, decision.Second)).Milliseconds(), 10))
 		reason := refusal.String()
 		if closing {
-			reason = "the front is shutting down"
+			reason = "the front is ending"
 		}
 		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
@@ -103,7 +103,7 @@
 	}
 	if conn.Subprotocol() != Subprotocol {
 		handshakeDone()
-		conn.Close(websocket.StatusPolicyViolation, "subprotocol "+Subprotocol+" is required")
+		conn.Close(websocket.StatusPolicyViolation, "subprotocol "+Subprotocol+" is needed")
 		return
 	}
 	conn.SetReadLimit(sockets.MaxMessageBytes)
@@ -115,7 +115,7 @@
 	if f.closing {
 		f.mu.Unlock()
 		cancel()
-		conn.Close(websocket.StatusGoingAway, "the front is shutting down")
+		conn.Close(websocket.StatusGoingAway, "the front is ending")
 		return
 	}
 	f.open[s] = true
@@ -374,7 +374,7 @@
 			continue
 		}
 		if draining && !unanswered && closeCode == 0 {
-			closeCode, closeReason = websocket.StatusGoingAway, "the front is shutting down"
+			closeCode, closeReason = websocket.StatusGoingAway, "the front is ending"
 		}
 		if closeCode != 0 {
 			s.front.mu.Lock()
@@ -428,7 +428,7 @@
 		used := s.viewer != ""
 		s.mu.Unlock()
 		if !used {
-			s.closeWith(websocket.StatusPolicyViolation, "no ask or resume was received in time")
+			s.closeWith(websocket.StatusPolicyViolation, "nothing was asked")
 		}
 	})
 	defer helloTimer.Stop()
@@ -442,16 +442,16 @@
 			s.disconnectAndBan("too many messages")
 			continue
 		case sockets.Ignore:
-			s.queueControl(Message{Type: "error", Why: "too many messages: this one was ignored"})
+			s.queueControl(Message{Type: "error", Why: "too many messages: this one was not read"})
 			continue
 		}
 		m, err := Decode(text)
 		if messageType != websocket.MessageText && err == nil {
-			err = errors.New("message: must be a text message")
+			err = errors.New("message: text is needed")
 		}
 		if err != nil {
 			if s.behavior.Malformed() == sockets.Disconnect {
-				s.disconnectAndBan("too many invalid messages")
+				s.disconnectAndBan("messages that do not hold")
 				continue
 			}
 			s.queueControl(Message{Type: "error", Why: err.Error()})
@@ -505,11 +505,11 @@
 		playing := t.granted && !t.ended
 		t.mu.Unlock()
 		if !playing {
-			return "the ticket has no active play"
+			return "it does not play"
 		}
 		if m.Broken {
 			if s.behavior.NotDelivered(s.front.now()) != sockets.Accept {
-				return "too many reports of broken nodes in a short time: check the player's own connection"
+				return "too many broken nodes in a short time: look at the player's own line"
 			}
 			s.front.service.Post(func(now int64, c *session.Core) { c.NotDelivered(now, playID) })
 		}
@@ -537,7 +537,7 @@
 		return "too many requests and plays on one socket"
 	}
 	if s.viewer != "" && s.viewer != viewer {
-		return "the socket belongs to another viewer"
+		return "the socket is another viewer's"
 	}
 	s.viewer, s.activeAt = viewer, s.front.now()
 	s.tickets = append(s.tickets, t)
@@ -560,11 +560,11 @@
 			return err.Error()
 		}
 		if !playapi.TokenMatches(f.service.Config, claims, request) {
-			return "token: issued for another title, viewer or product"
+			return "token: made for another title, viewer or product"
 		}
 		request.Previous = &session.Previous{Play: claims.Play, NotDelivered: m.Broken}
 		if m.Broken && s.behavior.NotDelivered(f.now()) != sockets.Accept {
-			return "too many reports of broken nodes in a short time: check the player's own connection"
+			return "too many broken nodes in a short time: look at the player's own line"
 		}
 	}
 	t := &ticket{front: f, id: m.Ticket, request: request, deadline: f.now() + session.Ticks(request.Timeout), startedAt: time.Now(), socket: s}
@@ -578,7 +578,7 @@
 	case inUse:
 		return "the ticket is in use: resume it"
 	case closing:
-		return "the front is shutting down"
+		return "the front is ending"
 	}
 	if problem := s.addTicket(t, request.Viewer); problem != "" {
 		f.removeTicket(t)
@@ -600,7 +600,7 @@
 	f.mu.Unlock()
 	if t != nil {
 		if t == s.findTicket(m.Ticket) {
-			return "this socket already has the ticket"
+			return "this socket has the ticket"
 		}
 		if problem := s.addTicket(t, t.request.Viewer); problem != "" {
 			return problem
@@ -633,7 +633,7 @@
 	}
 	f.mu.Unlock()
 	if inUse {
-		return "the ticket is being resumed on another socket"
+		return "the ticket is being resumed elsewhere"
 	}
 	if problem := s.addTicket(t, request.Viewer); problem != "" {
 		f.removeTicket(t)
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -314,7 +314,7 @@
 		t.Fatalf("%+v", m)
 	}
 	q.send(`{"type":"ask","ticket":%q,"title":"t","product":"p","viewer":"other"}`, ticketB)
-	if m := q.receive(); m.Type != "error" || m.Why != "the socket belongs to another viewer" {
+	if m := q.receive(); m.Type != "error" || m.Why != "the socket is another viewer's" {
 		t.Fatalf("%+v", m)
 	}
 }
