--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -583,13 +583,19 @@
 
 func TestFullFrontShedsIdleSockets(t *testing.T) {
 	f := newFixture(t, 8) // at most 6 sockets
-	playing := f.dial(t)
+	// A dial returns before the server has registered the socket; the test depends on the order and number of open sockets.
+	dial := func(wantOpen int) *player {
+		p := f.dial(t)
+		waitFor(t, "the socket to be open", func() bool { _, open, _ := f.front.Counts(); return open == wantOpen })
+		return p
+	}
+	playing := dial(1)
 	playing.send(askMessage)
 	f.waitForRequest(t, 0).Reply.Resolve(playsAnswer("p1", 0))
 	playing.receive()
 	var idle []*player
-	for range 5 {
-		idle = append(idle, f.dial(t))
+	for i := range 5 {
+		idle = append(idle, dial(i+2))
 	}
 	_, resp, err := websocket.Dial(t.Context(), "ws"+strings.TrimPrefix(f.server.URL, "http"), &websocket.DialOptions{Subprotocols: []string{Subprotocol}})
 	if err == nil || resp.StatusCode != 503 {
@@ -599,7 +605,7 @@
 		t.Fatalf("the longest idle socket isn't shed: %d %+v", code, last)
 	}
 	waitFor(t, "the close of the shed socket", func() bool { _, open, _ := f.front.Counts(); return open == 5 })
-	f.dial(t)
+	dial(6)
 }
 
 func TestSchemaAcceptsAndRejects(t *testing.T) {
