--- a/dash/mpd.go
+++ b/dash/mpd.go
@@ -121,13 +121,13 @@
 			continue
 		}
 		if _, err := fmt.Sscanf(field.text, "PT%gS", field.into); err != nil {
-			return Manifest{}, fmt.Errorf("MPD: %s: %.20q is not a duration in seconds", field.name, field.text)
+			return Manifest{}, fmt.Errorf("MPD: %s: %.20q is no duration in seconds", field.name, field.text)
 		}
 		*field.into *= field.scale
 	}
 	for _, u := range []string{m.Location, m.Base} {
 		if _, err := url.Parse(u); err != nil || u == "" {
-			return Manifest{}, fmt.Errorf("MPD: invalid URL %.60q", u)
+			return Manifest{}, fmt.Errorf("MPD: address %.60q", u)
 		}
 	}
 	for _, r := range doc.Period.Set.Representations {
