--- a/admission/admission.go
+++ b/admission/admission.go
@@ -196,7 +196,7 @@
 // empty the queue, so that clients rejected together don't return together.
 func (q *Queue) retryAfter() int64 {
 	longest := min(float64(maxRetryAfter), float64(minRetryAfter)+min(q.serviceInterval, float64(maxServiceInterval))*float64(len(q.waiting)))
-	return minRetryAfter + int64(q.random.Float()*(max(longest, 2*float64(minRetryAfter))-float64(minRetryAfter)))
+	return minRetryAfter + int64(q.random.Float64()*(max(longest, 2*float64(minRetryAfter))-float64(minRetryAfter)))
 }
 
 // allowClient is a token bucket per client that keeps a single client from flooding the front end. Viewers behind the
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -135,14 +135,14 @@
 	if err := os.MkdirAll(filepath.Join(run.Folder, "tapes"), 0o700); err != nil {
 		return r, fmt.Errorf("kit: %w", err)
 	}
-	var nodeLines []nodes.Line
+	var nodeLines []nodes.ListNode
 	for i := range scenario.Service.Racks {
 		if err := r.startMember(fmt.Sprintf("rack-%d", i), "--rack", fmt.Sprint(i)); err != nil {
 			return r, err
 		}
 	}
 	for i := range scenario.Service.Racks {
-		var lines []nodes.Line
+		var lines []nodes.ListNode
 		if err := r.awaitMember(ctx, fmt.Sprintf("rack-%d", i), &lines); err != nil {
 			return r, err
 		}
@@ -469,7 +469,7 @@
 			return err
 		}
 	} else {
-		var nodeLines []nodes.Line
+		var nodeLines []nodes.ListNode
 		if err := readJSON(filepath.Join(run.Folder, "nodes.json"), &nodeLines); err != nil {
 			return err
 		}
--- a/cmd/gullrail/kit_test.go
+++ b/cmd/gullrail/kit_test.go
@@ -81,7 +81,7 @@
 		found = append(found, fmt.Sprint(n, " processes"))
 	}
 	var addrs []string
-	var lines []nodes.Line
+	var lines []nodes.ListNode
 	readJSON(filepath.Join(folder, "nodes.json"), &lines)
 	for _, line := range lines {
 		addrs = append(addrs, line.Address)
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -56,14 +56,14 @@
 	if err != nil {
 		return playapi.Request{}, err
 	}
-	return playapi.NewReturnRequest(service, claims, params)
+	return playapi.NewTokenRequest(service, claims, params)
 }
 
 func parseParams(q url.Values) (params playapi.Params, err error) {
 	if params.MaxRung, err = parseInt(q, "top", -1, 0, 1000); err != nil {
 		return params, err
 	}
-	if params.LimitMs, err = parseInt(q, "limit_ms", 0, 1, 1<<31-1); err != nil {
+	if params.TimeoutMs, err = parseInt(q, "limit_ms", 0, 1, 1<<31-1); err != nil {
 		return params, err
 	}
 	if params.LengthMs, err = parseInt(q, "length_ms", 0, 0, 1<<31-1); err != nil {
@@ -194,7 +194,7 @@
 			status = http.StatusConflict
 		}
 		writeError(w, status, "denied: "+answer.Reason)
-	case session.Plays:
+	case session.Started:
 		body, err := f.manifest(answer)
 		if err == nil {
 			h.Set("Content-Type", "application/dash+xml")
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -79,7 +79,7 @@
 func (o Outcome) MayHaveRun() bool { return o != Rejected && o != NoConnect && o != NotSent }
 
 // Load is a load report of a node. Negative values are unknown. Link and Uplink are demand divided by capacity.
-type Load struct{ Streams, Link, Uplink float64 }
+type Load struct{ Streams, LinkUtilization, UplinkUtilization float64 }
 
 // UnknownLoad is a report without values.
 var UnknownLoad = Load{-1, -1, -1}
@@ -88,7 +88,7 @@
 type Action uint8
 
 const (
-	Place   Action = iota // allocate the play on Node at Rung; give up at Until
+	Place   Action = iota // allocate the play on Node at Rung; give up at Deadline
 	Decline               // decline the play; the viewer may retry after RetryAfter, if positive
 	Fail                  // report the play as failed
 	SetRung               // change the rung to Rung
@@ -103,7 +103,7 @@
 	Node       int
 	Rung       int
 	Attempt    int
-	Until      int64
+	Deadline   int64
 	RetryAfter int64
 }
 
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -28,10 +28,10 @@
 // savedNodeList is the list as it is saved: a single record of a store, which protects it by a checksum and replaces it
 // atomically.
 type savedNodeList struct {
-	ListURL string       `json:"list_url"` // of the list service it comes from; the list of another site is not used
-	Version int64        `json:"version"`
-	At      int64        `json:"at"` // Unix milliseconds
-	Nodes   []nodes.Line `json:"nodes"`
+	ListURL string           `json:"list_url"` // of the list service it comes from; the list of another site is not used
+	Version int64            `json:"version"`
+	At      int64            `json:"at"` // Unix milliseconds
+	Nodes   []nodes.ListNode `json:"nodes"`
 }
 
 // nodeListStore saves the list of nodes, for a start while the list service can't be reached.
@@ -86,7 +86,7 @@
 	if s.ListURL != nl.listURL {
 		return nil, fmt.Errorf("saved list: it comes from another list service, %.80s", s.ListURL)
 	}
-	lines, err := nodes.ParseLines(s.Nodes, nl.service, nl.runner.Clock())
+	lines, err := nodes.ParseNodes(s.Nodes, nl.service, nl.runner.Clock())
 	if err != nil {
 		return nil, fmt.Errorf("saved %w", err)
 	}
@@ -154,7 +154,7 @@
 	}
 	s := savedNodeList{ListURL: nl.listURL, Version: list.version, At: time.Now().UnixMilli()}
 	for _, l := range list.entries {
-		s.Nodes = append(s.Nodes, nodes.FormatLine(l, nl.service))
+		s.Nodes = append(s.Nodes, nodes.FormatNode(l, nl.service))
 	}
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -194,9 +194,9 @@
 	case all := <-reply:
 		out := []FleetNode{}
 		for _, b := range all {
-			l := nodes.FormatLine(b.Entry, &f.settings.Service)
+			l := nodes.FormatNode(b.Entry, &f.settings.Service)
 			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Usable: b.Usable, Reason: b.Reason, Source: b.Source.String(),
-				AgeMs: b.Age / decision.Millisecond, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
+				AgeMs: b.Age / decision.Millisecond, Alive: b.Connected, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -192,7 +192,7 @@
 		f.server.Close()
 	}
 	f.sockets.Drain(shutdownCtx)
-	for f.settings.ReleasePlays && shutdownCtx.Err() == nil && f.Counts(shutdownCtx).InHand > 0 {
+	for f.settings.ReleasePlays && shutdownCtx.Err() == nil && f.Counts(shutdownCtx).Active > 0 {
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-shutdownCtx.Done():
@@ -206,7 +206,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	runCtx, stop := context.WithCancel(context.Background()) // ends after ctx, when requests in progress are complete
 	defer stop()
-	list := &nodes.ListClient{Front: f.settings.Name, URL: f.settings.ListURL, Set: &f.settings.Service, Runner: f.runner, Log: f.logger, Seed: f.settings.Seed + uint64(f.settings.Number)}
+	list := &nodes.ListClient{Front: f.settings.Name, URL: f.settings.ListURL, Service: &f.settings.Service, Runner: f.runner, Log: f.logger, Seed: f.settings.Seed + uint64(f.settings.Number)}
 	g.Go(func() error { return f.runner.Run(runCtx, f.core) })
 	g.Go(func() error { return list.Run(runCtx) })
 	g.Go(func() error { return f.nodeList.run(runCtx) })
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -21,7 +21,7 @@
 // PlaysFolder is the name of the folder, in a front's state folder, with the store of the play log.
 const PlaysFolder = "plays"
 
-// journal is a session.Transport that records plays. The allocations for which playlog.LogFirst holds are durable before
+// journal is a session.Transport that records plays. The allocations for which playlog.RequiresDurableRecord holds are durable before
 // they are sent. If the store is broken, they are not sent and their plays are declined.
 type journal struct {
 	*nodes.Client
@@ -40,7 +40,7 @@
 
 // previousRuns is the state recorded by earlier runs of the front.
 type previousRuns struct {
-	open  []session.Expected
+	open  []session.RecordedPlay
 	ended []playlog.EndedPlay
 	lost  uint64 // number of records that a salvage found missing
 }
@@ -76,7 +76,7 @@
 		if !ok || !known {
 			product = -1
 		}
-		previous.open = append(previous.open, session.Expected{Node: r.Node, Answered: r.Answered, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
+		previous.open = append(previous.open, session.RecordedPlay{Node: r.Node, Answered: r.Answered, ReportedPlay: session.ReportedPlay{Play: r.Play, Epoch: r.Epoch,
 			Attempt: r.Attempt, Product: product, Title: r.Title, FirstCell: firstCell, CellCount: cellCount, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.MaxRung}})
 	}
 	if previous.lost > 0 {
@@ -87,7 +87,7 @@
 }
 
 func (j *journal) logsFirst(product int) bool {
-	return playlog.LogFirst(j.service.Products[product].Paid, j.service.Products[product].MaxSeats)
+	return playlog.RequiresDurableRecord(j.service.Products[product].Paid, j.service.Products[product].MaxSeats)
 }
 
 // SetUp sends an allocation, after recording it durably if the product requires that.
@@ -141,7 +141,7 @@
 	}
 	j.writeAsync(playlog.Record{Kind: playlog.Started, Play: r.Play, Attempt: r.Attempt})
 	if resumed != "" {
-		j.writeAsync(playlog.Record{Kind: playlog.Token, Play: resumed, At: time.Now().UnixMilli()})
+		j.writeAsync(playlog.Record{Kind: playlog.TokenUsed, Play: resumed, At: time.Now().UnixMilli()})
 	}
 }
 
@@ -198,7 +198,7 @@
 	j.state.Expire(time.Now().UnixMilli())
 	records := encodeRecords(j.state)
 	if _, err := j.log.TryCompact(records); err == nil { // if writing fails, the log is broken and the next write reports it
-		j.state.Compacted(len(records))
+		j.state.SetRecordCount(len(records))
 	}
 }
 
--- a/frontend/journal_test.go
+++ b/frontend/journal_test.go
@@ -91,7 +91,7 @@
 			j.state.Expire(nowMs)
 			records := encodeRecords(j.state)
 			last = j.log.Compact(records)
-			j.state.Compacted(len(records))
+			j.state.SetRecordCount(len(records))
 		}
 	}
 	for i := range *weekPlays {
--- a/frontend/metrics.go
+++ b/frontend/metrics.go
@@ -85,14 +85,14 @@
 	if c.front.peers != nil {
 		sent, received, dropped = c.front.peers.Counts()
 	}
-	for name, v := range map[string]float64{"sockets_open": float64(open), "sockets_tickets": float64(tickets), "ready": ready, "store_broken": broken, "plays_in_hand": float64(n.InHand), "viewers_known": float64(n.Viewers),
+	for name, v := range map[string]float64{"sockets_open": float64(open), "sockets_tickets": float64(tickets), "ready": ready, "store_broken": broken, "plays_in_hand": float64(n.Active), "viewers_known": float64(n.Viewers),
 		"titles_known": float64(n.Titles), "nodes_known": float64(n.Nodes), "requests_waiting": float64(waiting)} {
 		out <- prometheus.MustNewConstMetric(c.gauges[name], prometheus.GaugeValue, v)
 	}
 	for name, v := range map[string]float64{"sockets_refused_total": float64(sockets.Refused.Load()), "sockets_shed_total": float64(sockets.Shed.Load()),
-		"sockets_cut_total": float64(sockets.Cut.Load()), "sockets_resumed_total": float64(sockets.Resumed.Load()), "taken_total": float64(n.Taken), "plays_total": float64(n.Plays),
+		"sockets_cut_total": float64(sockets.Cut.Load()), "sockets_resumed_total": float64(sockets.Resumed.Load()), "taken_total": float64(n.Accepted), "plays_total": float64(n.Started),
 		"declined_total": float64(n.Declined), "failed_total": float64(n.Failed), "denied_total": float64(n.Denied),
-		"moved_total": float64(n.Moved), "lost_total": float64(n.Lost), "adopted_total": float64(n.Adopted),
+		"moved_total": float64(n.Moved), "lost_total": float64(n.Broken), "adopted_total": float64(n.Adopted),
 		"orphans_total": float64(n.Orphans), "messages_sent_total": float64(sent), "messages_heard_total": float64(received),
 		"messages_dropped_total": float64(dropped), "turned_away_total": float64(rejected),
 		"core_busy_seconds_total": c.front.runner.BusyTime().Seconds()} {
--- a/internal/benchproto/host.go
+++ b/internal/benchproto/host.go
@@ -195,19 +195,19 @@
 	product := lookUp(in.settings.Products, "service", msg.text("service"))
 	asset := msg.text("asset")
 	req := convert.Request{
-		Product:   product,
-		Title:     assignNumber(in.titles, asset),
-		TitleName: asset,
-		Viewer:    assignNumber(in.viewers, msg.text("object")),
-		LeftMs:    msg.numberOr("left-ms", 0),
-		FirstCell: int(msg.numberOr("start-cell", 0)),
-		CellCount: int(msg.numberOr("span", 0)),
-		MaxRung:   int(msg.numberOr("best-rung", 0)),
-		Moved:     bits&8 != 0,
-		Retry:     bits&16 != 0,
+		Product:     product,
+		Title:       assignNumber(in.titles, asset),
+		TitleName:   asset,
+		Viewer:      assignNumber(in.viewers, msg.text("object")),
+		RemainingMs: msg.numberOr("left-ms", 0),
+		FirstCell:   int(msg.numberOr("start-cell", 0)),
+		CellCount:   int(msg.numberOr("span", 0)),
+		MaxRung:     int(msg.numberOr("best-rung", 0)),
+		Moved:       bits&8 != 0,
+		Retry:       bits&16 != 0,
 	}
 	if bits&1 != 0 {
-		req.HintMs = msg.numberOr("hint-ms", 0)
+		req.LengthHintMs = msg.numberOr("hint-ms", 0)
 	}
 	return req.PolicyRequest(now)
 }
@@ -320,7 +320,7 @@
 		switch o.Action {
 		case decision.Place:
 			fmt.Fprintf(h.out, "GRADE job=%d rung=%d\n", job, o.Rung)
-			fmt.Fprintf(h.out, "FORWARD job=%d not-past-ms=%s node=%s\n", job, formatMillis(o.Until), in.addresses[o.Node])
+			fmt.Fprintf(h.out, "FORWARD job=%d not-past-ms=%s node=%s\n", job, formatMillis(o.Deadline), in.addresses[o.Node])
 		case decision.Decline:
 			if o.RetryAfter > 0 {
 				fmt.Fprintf(h.out, "NOT_NOW job=%d come-back-ms=%s\n", job, formatMillis(o.RetryAfter))
--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -201,8 +201,8 @@
 	return settings, nil
 }
 
-// Number returns a setting that the policy does not use, by its path, or the fallback if it is not set.
-func (s *Settings) Number(path string, fallback float64) float64 {
+// Float returns a setting that the policy does not use, by its path, or the fallback if it is not set.
+func (s *Settings) Float(path string, fallback float64) float64 {
 	v, _ := lookup(s.root, path)
 	if n, ok := v.(float64); ok {
 		return n
@@ -210,8 +210,8 @@
 	return fallback
 }
 
-// LongestLimit returns the longest deadline of the products, in milliseconds.
-func (s *Settings) LongestLimit() (longest float64) {
+// MaxDeadlineMs returns the longest deadline of the products, in milliseconds.
+func (s *Settings) MaxDeadlineMs() (longest float64) {
 	lanes, _ := s.root["lanes"].([]any)
 	for _, l := range lanes {
 		lane, _ := l.(map[string]any)
@@ -225,15 +225,15 @@
 type Request struct {
 	Product, Title, Viewer        int
 	TitleName                     string
-	LeftMs, HintMs                float64 // HintMs is 0 if not given
+	RemainingMs, LengthHintMs     float64 // HintMs is 0 if not given
 	FirstCell, CellCount, MaxRung int
 	Moved, Retry                  bool
 }
 
 // PolicyRequest returns the request in the form of package decision.
 func (r Request) PolicyRequest(now int64) decision.Request {
-	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.HashName(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.LeftMs),
-		Length: Ticks(r.HintMs), FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Moved: r.Moved, Retry: r.Retry}
+	return decision.Request{Product: r.Product, Title: r.Title, Key: decision.HashName(r.TitleName), Viewer: r.Viewer, Deadline: now + Ticks(r.RemainingMs),
+		Length: Ticks(r.LengthHintMs), FirstCell: r.FirstCell, CellCount: r.CellCount, MaxRung: r.MaxRung, Moved: r.Moved, Retry: r.Retry}
 }
 
 // Row is an entry of the node list. StartedAt is in the front's time.
@@ -263,12 +263,12 @@
 		case "inflight":
 			l.Streams = v
 		case "x0":
-			l.Link = v
+			l.LinkUtilization = v
 		case "x1":
-			l.Uplink = v
+			l.UplinkUtilization = v
 		case "util":
-			if l.Link < 0 {
-				l.Link = v
+			if l.LinkUtilization < 0 {
+				l.LinkUtilization = v
 			}
 		}
 	}
@@ -284,9 +284,9 @@
 	case 2:
 		return policy.RungReported(now, h, int(level))
 	case 3:
-		return policy.LoadReported(now, h, decision.Load{Streams: -1, Link: level, Uplink: -1})
+		return policy.LoadReported(now, h, decision.Load{Streams: -1, LinkUtilization: level, UplinkUtilization: -1})
 	case 4:
-		return policy.LoadReported(now, h, decision.Load{Streams: -1, Link: -1, Uplink: level})
+		return policy.LoadReported(now, h, decision.Load{Streams: -1, LinkUtilization: -1, UplinkUtilization: level})
 	}
 	return nil
 }
--- a/internal/pcg/pcg.go
+++ b/internal/pcg/pcg.go
@@ -25,8 +25,8 @@
 	return x>>rot | x<<(-rot&31)
 }
 
-// Float returns a number in [0, 1).
-func (s *Source) Float() float64 { return float64(s.Uint32()) / (1 << 32) }
+// Float64 returns a number in [0, 1).
+func (s *Source) Float64() float64 { return float64(s.Uint32()) / (1 << 32) }
 
-// Below returns an integer in [0, n); n must be positive.
-func (s *Source) Below(n int) int { return int(uint64(s.Uint32()) * uint64(n) >> 32) }
+// IntN returns an integer in [0, n); n must be positive.
+func (s *Source) IntN(n int) int { return int(uint64(s.Uint32()) * uint64(n) >> 32) }
--- a/internal/slab/slab.go
+++ b/internal/slab/slab.go
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// Drop frees the slot of a handle. A stale handle is ignored.
-func (s *Slab[T]) Drop(h decision.Handle) {
+// Remove frees the slot of a handle. A stale handle is ignored.
+func (s *Slab[T]) Remove(h decision.Handle) {
 	if s.Get(h) != nil {
 		s.entries[h.Index].live = false
 		s.free = append(s.free, h.Index)
--- a/liveness/liveness.go
+++ b/liveness/liveness.go
@@ -32,8 +32,8 @@
 	maxStartup         = Lease + leaseMargin        // by then plays of earlier runs have ended on all nodes that could not be reached
 )
 
-// Stream is the state of the stream from one node. The zero Stream was never alive.
-type Stream struct {
+// stream is the state of the stream from one node. The zero Stream was never alive.
+type stream struct {
 	alive        bool
 	playsKnown   bool  // the node has reported its plays, or they are known to have ended
 	lastActiveAt int64 // when something was last received
@@ -47,31 +47,31 @@
 	random    pcg.Source
 	startedAt int64
 	ready     bool
-	streams   []Stream
+	streams   []stream
 }
 
 // New returns a Monitor for a front end that starts now. The seed is for the random spread of dials.
 func New(now int64, seed uint64) *Monitor { return &Monitor{random: pcg.New(seed), startedAt: now} }
 
-func (m *Monitor) stream(node int) *Stream {
+func (m *Monitor) stream(node int) *stream {
 	for node >= len(m.streams) {
-		m.streams = append(m.streams, Stream{})
+		m.streams = append(m.streams, stream{})
 	}
 	return &m.streams[node]
 }
 
 // Forget resets a node's state, so that its number can be reused for another node.
-func (m *Monitor) Forget(node int) { *m.stream(node) = Stream{} }
+func (m *Monitor) Forget(node int) { *m.stream(node) = stream{} }
 
 // StreamOpened records that a stream is alive and that its node has reported the plays it runs.
 func (m *Monitor) StreamOpened(now int64, node int) {
-	*m.stream(node) = Stream{alive: true, playsKnown: true, lastActiveAt: now}
+	*m.stream(node) = stream{alive: true, playsKnown: true, lastActiveAt: now}
 }
 
 // FirstDial is when to dial a node that was newly listed together with others, listed in all. Dials are spread at
 // random, as otherwise hundreds of front ends that start together would dial each node at the same moment.
 func (m *Monitor) FirstDial(now int64, listed int) int64 {
-	return now + int64(m.random.Float()*float64(min(maxFirstDialSpread, int64(listed)*firstDialSpread)))
+	return now + int64(m.random.Float64()*float64(min(maxFirstDialSpread, int64(listed)*firstDialSpread)))
 }
 
 // StreamActive records that something was received on a stream.
@@ -95,7 +95,7 @@
 		}
 	}
 	s.alive = false
-	dialAt = now + Backoff(s.failures, m.random.Float())
+	dialAt = now + Backoff(s.failures, m.random.Float64())
 	s.failures++
 	if refused {
 		s.playsKnown = true
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -117,9 +117,9 @@
 // HasReported reports whether an update of the source has been applied.
 func (f *Fleet) HasReported(s Source) bool { return f.reported[s] }
 
-// Usable reports whether a saved list of the given age may be used, and if so, whether its nodes must confirm themselves
+// SavedListUsable reports whether a saved list of the given age may be used, and if so, whether its nodes must confirm themselves
 // first by connecting. A negative age means that the clock was set back, so the real age is unknown.
-func Usable(age int64) (use, mustConfirm bool) {
+func SavedListUsable(age int64) (use, mustConfirm bool) {
 	switch {
 	case age > savedMaxAge:
 		return false, false
@@ -136,7 +136,7 @@
 	mustConfirm := false
 	if u.Source == Saved {
 		var use bool
-		if use, mustConfirm = Usable(u.Age); !use || f.reported[List] {
+		if use, mustConfirm = SavedListUsable(u.Age); !use || f.reported[List] {
 			return false
 		}
 	}
@@ -363,11 +363,11 @@
 // NodeState is the state of one node in the front's view.
 type NodeState struct {
 	Entry
-	Usable bool
-	Reason string // why the node is not used, or is used although a list omits it
-	Source Source
-	Age    int64 // since the last update of its entry
-	Alive  bool
+	Usable    bool
+	Reason    string // why the node is not used, or is used although a list omits it
+	Source    Source
+	Age       int64 // since the last update of its entry
+	Connected bool
 }
 
 // NodeStates returns the states of all nodes, sorted by name.
@@ -375,7 +375,7 @@
 	out := make([]NodeState, 0, len(f.nodes))
 	for i := range f.nodes {
 		n := &f.nodes[i]
-		state := NodeState{Entry: n.entry, Source: n.source, Age: now - n.updatedAt, Alive: n.connected}
+		state := NodeState{Entry: n.entry, Source: n.source, Age: now - n.updatedAt, Connected: n.connected}
 		state.Phase, state.Reason = f.effectivePhase(n)
 		state.Usable = state.Phase == decision.Ready && n.admitted()
 		if state.Phase == decision.Ready && !state.Usable {
--- a/nodes/client.go
+++ b/nodes/client.go
@@ -149,7 +149,7 @@
 	c.setUps[a.Ref] = cancel
 	c.mu.Unlock()
 	c.spawn(func() {
-		deadline := time.Now().Add(session.Duration(a.Until - c.runner.Clock().Now()))
+		deadline := time.Now().Add(session.Duration(a.Deadline - c.runner.Clock().Now()))
 		started, outcome, load := c.exchange(ctx, a, orderedAt, deadline)
 		cancel(nil)
 		c.mu.Lock()
@@ -256,7 +256,7 @@
 
 func (c *Client) request(a session.Allocation, deadline time.Time) ([]byte, error) {
 	body, err := json.Marshal(SetUp{Front: c.name, Epoch: c.epoch, Attempt: a.Attempt, Product: c.catalog.Product(a.Product),
-		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, MaxRung: a.MaxRung, Seq: a.Seq,
+		Title: a.Title, Viewer: a.Viewer, Rung: a.Rung, MaxRung: a.MaxRung, Seq: a.RungSeq,
 		UntilMs: time.Until(deadline).Milliseconds(), LengthMs: a.Length / decision.Millisecond})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a set-up: %w", err)
@@ -455,15 +455,15 @@
 	ref := session.Ref{Play: n.Play, Attempt: n.Attempt, Node: node}
 	switch n.Kind {
 	case NoteHello:
-		running := make([]session.Running, len(n.Plays))
+		running := make([]session.ReportedPlay, len(n.Plays))
 		for i, p := range n.Plays {
 			product, knownProduct := c.catalog.ProductNumber(p.Product)
 			firstCell, cellCount, knownTitle := c.catalog.Title(p.Title)
 			if !knownProduct || !knownTitle {
 				product = -1
 			}
-			running[i] = session.Running{Play: p.Play, Epoch: p.Epoch, Attempt: p.Attempt, Product: product, Title: p.Title,
-				FirstCell: firstCell, CellCount: cellCount, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung, TimeLeft: p.LeftMs * decision.Millisecond}
+			running[i] = session.ReportedPlay{Play: p.Play, Epoch: p.Epoch, Attempt: p.Attempt, Product: product, Title: p.Title,
+				FirstCell: firstCell, CellCount: cellCount, Viewer: p.Viewer, Rung: p.Rung, RungSeq: p.Seq, MaxRung: p.MaxRung, TimeLeft: p.LeftMs * decision.Millisecond}
 		}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamOpened(now, node, n.Node, n.Life, n.Mark, running) })
 	case NoteHeartbeat:
@@ -480,7 +480,7 @@
 			core.DeliveryReported(now, ref, n.Share)
 		})
 	case NoteLoad:
-		load := decision.Load{Streams: -1, Link: n.Link, Uplink: n.Uplink}
+		load := decision.Load{Streams: -1, LinkUtilization: n.Link, UplinkUtilization: n.Uplink}
 		c.runner.Post(func(now int64, core *session.Core) { core.StreamActive(now, node); core.LoadReported(now, ref, load) })
 	}
 }
--- a/nodes/list.go
+++ b/nodes/list.go
@@ -22,8 +22,8 @@
 	"gullrail/session"
 )
 
-// Line is one playout node in a message of the list service.
-type Line struct {
+// ListNode is one playout node in a message of the list service.
+type ListNode struct {
 	Name      string  `json:"name"`
 	Address   string  `json:"address"`
 	Phase     string  `json:"phase"` // ready, draining or gone
@@ -37,15 +37,15 @@
 // Change is one message of the list service: the full list, the nodes that changed since the previous
 // version, or a heartbeat.
 type Change struct {
-	Version int64  `json:"version"`
-	Full    bool   `json:"whole,omitempty"`
-	Beat    bool   `json:"beat,omitempty"`
-	Nodes   []Line `json:"nodes,omitempty"`
+	Version   int64      `json:"version"`
+	Full      bool       `json:"whole,omitempty"`
+	Heartbeat bool       `json:"beat,omitempty"`
+	Nodes     []ListNode `json:"nodes,omitempty"`
 }
 
 var phases = map[string]decision.Phase{"ready": decision.Ready, "draining": decision.Draining, "gone": decision.Gone}
 
-// ParseChange parses a message of the list service and converts its nodes with ParseLines.
+// ParseChange parses a message of the list service and converts its nodes with ParseNodes.
 func ParseChange(text []byte, service *config.Service, clock *session.Clock) (Change, []session.NodeEntry, error) {
 	var c Change
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -54,15 +54,15 @@
 	if c.Version < 0 {
 		return Change{}, nil, fmt.Errorf("list: version %d is negative", c.Version)
 	}
-	entries, err := ParseLines(c.Nodes, service, clock)
+	entries, err := ParseNodes(c.Nodes, service, clock)
 	return c, entries, err
 }
 
-// ParseLines validates lines and converts them to entries for the core, with kinds and zones as indexes into the
+// ParseNodes validates nodes and converts them to entries for the core, with kinds and zones as indexes into the
 // configuration.
-func ParseLines(lines []Line, service *config.Service, clock *session.Clock) ([]session.NodeEntry, error) {
-	entries := make([]session.NodeEntry, 0, len(lines))
-	for i, n := range lines {
+func ParseNodes(listed []ListNode, service *config.Service, clock *session.Clock) ([]session.NodeEntry, error) {
+	entries := make([]session.NodeEntry, 0, len(listed))
+	for i, n := range listed {
 		invalid := func(field string, v any) ([]session.NodeEntry, error) {
 			return nil, fmt.Errorf("list: invalid nodes[%d].%s: %.60v", i, field, v)
 		}
@@ -107,21 +107,21 @@
 	return entries, nil
 }
 
-// FormatLine converts an entry to the list service's format, without its start time.
-func FormatLine(e session.NodeEntry, service *config.Service) Line {
-	return Line{Name: e.Name, Address: e.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[e.Phase],
+// FormatNode converts an entry to the list service's format, without its start time.
+func FormatNode(e session.NodeEntry, service *config.Service) ListNode {
+	return ListNode{Name: e.Name, Address: e.Address, Phase: [...]string{decision.Ready: "ready", decision.Draining: "draining", decision.Gone: "gone"}[e.Phase],
 		Kind: service.Kinds[e.Kind].Name, Zone: service.Zones[e.Zone], Cell: e.Cell, Weight: e.Weight}
 }
 
 // ListClient keeps the fleet up to date from the list service. It reads one stream, reconnects from the last version,
 // and requests the full list after a gap in the versions. While the service is unreachable, the last list stays in use.
 type ListClient struct {
-	Front  string
-	URL    string
-	Set    *config.Service
-	Runner *session.Runner
-	Log    zerolog.Logger
-	Seed   uint64
+	Front   string
+	URL     string
+	Service *config.Service
+	Runner  *session.Runner
+	Log     zerolog.Logger
+	Seed    uint64
 }
 
 // Run reads the list service's stream, reconnecting with backoff, until the context ends.
@@ -138,7 +138,7 @@
 			failures = 0
 		}
 		l.Log.Warn().Err(err).Int64("version", version).Msg("list service stream ended; keeping the last list and reconnecting")
-		pause := session.Duration(liveness.Backoff(failures, random.Float()))
+		pause := session.Duration(liveness.Backoff(failures, random.Float64()))
 		failures++
 		select {
 		case <-time.After(pause):
@@ -173,11 +173,11 @@
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		silenceTimer.Reset(session.Duration(liveness.SilenceTimeout))
-		change, entries, err := ParseChange(lines.Bytes(), l.Set, l.Runner.Clock())
+		change, entries, err := ParseChange(lines.Bytes(), l.Service, l.Runner.Clock())
 		if err != nil {
 			return err
 		}
-		if change.Beat {
+		if change.Heartbeat {
 			continue
 		}
 		if !change.Full && change.Version != *version+1 {
--- a/nodes/wire.go
+++ b/nodes/wire.go
@@ -145,8 +145,8 @@
 			parts = append(parts, name+"="+strconv.FormatFloat(v, 'g', 6, 64))
 		}
 	}
-	add("application_utilization", l.Link)
-	add("named_metrics.uplink", l.Uplink)
+	add("application_utilization", l.LinkUtilization)
+	add("named_metrics.uplink", l.UplinkUtilization)
 	add("named_metrics.streams", l.Streams)
 	return "TEXT " + strings.Join(parts, ", ")
 }
@@ -161,9 +161,9 @@
 		}
 		switch name {
 		case "application_utilization":
-			l.Link = v
+			l.LinkUtilization = v
 		case "named_metrics.uplink":
-			l.Uplink = v
+			l.UplinkUtilization = v
 		case "named_metrics.streams":
 			l.Streams = v
 		}
--- a/nodes/wire_test.go
+++ b/nodes/wire_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestLoadReportTextAndJSON(t *testing.T) {
-	for _, l := range []decision.Load{{Streams: 7, Link: 0.4, Uplink: 1.25}, {Streams: -1, Link: 0, Uplink: -1}, decision.UnknownLoad} {
+	for _, l := range []decision.Load{{Streams: 7, LinkUtilization: 0.4, UplinkUtilization: 1.25}, {Streams: -1, LinkUtilization: 0, UplinkUtilization: -1}, decision.UnknownLoad} {
 		if got := ParseLoad(FormatLoad(l)); got != l {
 			t.Errorf("load report %+v parsed as %+v", l, got)
 		}
 	}
-	if got := ParseLoad(`JSON {"application_utilization": 0.4, "named_metrics": {"uplink": 1.25, "other": 3}}`); got != (decision.Load{Streams: -1, Link: 0.4, Uplink: 1.25}) {
+	if got := ParseLoad(`JSON {"application_utilization": 0.4, "named_metrics": {"uplink": 1.25, "other": 3}}`); got != (decision.Load{Streams: -1, LinkUtilization: 0.4, UplinkUtilization: 1.25}) {
 		t.Errorf("JSON report parsed as %+v", got)
 	}
 	for _, s := range []string{"", "TEXT", "TEXT application_utilization=NaN", "TEXT application_utilization=-3", "JSON {", "BIN abc"} {
@@ -77,7 +77,7 @@
 	f.Add(`JSON {"named_metrics":{"streams":3}}`)
 	f.Fuzz(func(t *testing.T, s string) {
 		l := ParseLoad(s)
-		if got := ParseLoad(FormatLoad(l)); l != l || got.Link < 0 != (l.Link < 0) {
+		if got := ParseLoad(FormatLoad(l)); l != l || got.LinkUtilization < 0 != (l.LinkUtilization < 0) {
 			t.Fatalf("load report %+v parsed as %+v", l, got)
 		}
 	})
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -206,7 +206,7 @@
 		pol.addPayoff(pol.nodes[idx].kind, -1)
 	}
 	if finished || previousStage != settingUp {
-		pol.plays.Drop(h)
+		pol.plays.Remove(h)
 		return pol.endCall(now)
 	}
 	p.stage = pending
@@ -219,7 +219,7 @@
 func (pol *Policy) ViewerLeft(now int64, h decision.Handle) *decision.Result {
 	pol.beginCall()
 	if p := pol.plays.Get(h); p != nil && p.stage == pending {
-		pol.plays.Drop(h)
+		pol.plays.Remove(h)
 	} else if p != nil && p.stage == settingUp {
 		p.stage = abandoned
 		if pol.setting("recall") > 0 {
@@ -268,11 +268,11 @@
 		// The first report corrects the rung of a play that started without a fresh report. This covers links that
 		// many fronts fill at once, unknown to each other. Drawback: one report far too high keeps a play at a low
 		// rung.
-		if accepted && noFreshReport && max(load.Link, load.Uplink) > stepDownThreshold {
+		if accepted && noFreshReport && max(load.LinkUtilization, load.UplinkUtilization) > stepDownThreshold {
 			pol.setRung(now, h, p, min(p.rung, pol.fitRung(now, p.node, p, pol.headroom(now, p.node)+pol.rate(p, p.rung))))
 		}
-		complete := load.Uplink >= 0 || pol.setting("reports.uplink") == 0 // the uplink's note follows the link's
-		if accepted && complete && (lag == reportLag || pol.rng.Float() < pol.ownDemandShare(now, p.node)) {
+		complete := load.UplinkUtilization >= 0 || pol.setting("reports.uplink") == 0 // the uplink's note follows the link's
+		if accepted && complete && (lag == reportLag || pol.rng.Float64() < pol.ownDemandShare(now, p.node)) {
 			// Later notes reach all fronts with plays there, so each forwards its share of them.
 			pol.sendReport(now, pol.ownerOf(p.node), p.node, messageReport)
 		}
@@ -310,7 +310,7 @@
 			pol.peerWeight = min(pol.peerWeight+1, maxPeerWeight)
 			pol.peerMeanRung += (float64(msg[8])/meanRungSteps - meanRungOffset - pol.peerMeanRung) / pol.peerWeight
 		}
-		age, load := int64(msg[7])*ageUnit, decision.Load{Streams: -1, Link: decodeUtilization(msg[5]), Uplink: decodeUtilization(msg[6])}
+		age, load := int64(msg[7])*ageUnit, decision.Load{Streams: -1, LinkUtilization: decodeUtilization(msg[5]), UplinkUtilization: decodeUtilization(msg[6])}
 		if pol.applyReport(now, idx, load, reportLag+age, age) {
 			pol.adjustSetUps(now, idx)
 		}
@@ -465,7 +465,7 @@
 	n.lastTurn, _ = pol.coldTurn(now, idx)
 	n.grantedUntil = 0
 	pol.bind(h, p, idx)
-	pol.addOrder(decision.Order{Play: h, Action: decision.Place, Node: idx, Rung: p.rung, Until: pol.attemptDeadline(now, p)})
+	pol.addOrder(decision.Order{Play: h, Action: decision.Place, Node: idx, Rung: p.rung, Deadline: pol.attemptDeadline(now, p)})
 	if now-n.linkLoad.reportedAt > freshReportMaxAge {
 		pol.requestLoad(now, idx, 1)
 	}
@@ -487,7 +487,7 @@
 		case idx < 0 || i == maxQueriedHolders-1 && pol.coldHolder >= 0 && pol.peersEnabled():
 			p.queriedNodes[i] = pol.coldHolder
 		case i > 0 && (i < maxProbedHolders || pol.peersEnabled()):
-			p.queriedNodes[i] = pol.candidates[pol.rng.Below(len(pol.candidates))].node
+			p.queriedNodes[i] = pol.candidates[pol.rng.IntN(len(pol.candidates))].node
 		}
 		if p.queriedNodes[i] == pol.coldHolder || now-pol.nodes[p.queriedNodes[i]].linkLoad.reportedAt > freshReportMaxAge {
 			pol.requestLoad(now, p.queriedNodes[i], 1)
@@ -557,7 +557,7 @@
 		}
 		allowed := pol.maySetUp(now, i)
 		if !allowed && now >= pol.nodes[i].skipUntil {
-			if coldCount++; pol.rng.Below(coldCount) == 0 {
+			if coldCount++; pol.rng.IntN(coldCount) == 0 {
 				pol.coldHolder = i
 			}
 		}
@@ -597,7 +597,7 @@
 	if pol.samples > 0 {
 		eps = max(minExploration, 1/math.Sqrt(float64(pol.samples)))
 	}
-	explore := pol.rng.Float() < eps
+	explore := pol.rng.Float64() < eps
 	bestMean, bestRung, bestHeadroom := math.Inf(-1), 0, 0.0
 	for _, c := range pol.candidates {
 		bestMean = max(bestMean, pol.meanPayoff(pol.nodes[c.node].kind))
@@ -617,7 +617,7 @@
 	if !explore {
 		pol.prefer(func(c *candidate) bool { return c.headroom >= bestHeadroom*(1-headroomTolerance) })
 	}
-	return pol.candidates[pol.rng.Below(len(pol.candidates))].node, false
+	return pol.candidates[pol.rng.IntN(len(pol.candidates))].node, false
 }
 
 // gatherShare returns the share of its holders on which the viewers of a live title are gathered, and sets what
@@ -837,7 +837,7 @@
 // one.
 func (pol *Policy) applyReport(now int64, idx int, load decision.Load, lag, age int64) bool {
 	n := &pol.nodes[idx]
-	if load.Link < 0 && load.Uplink < 0 || age > 0 && now-age <= n.linkLoad.reportedAt {
+	if load.LinkUtilization < 0 && load.UplinkUtilization < 0 || age > 0 && now-age <= n.linkLoad.reportedAt {
 		return false
 	}
 	pol.loadVersion++
@@ -849,15 +849,15 @@
 			unreported += pol.stepRate(p, p.rung)
 		}
 	}
-	if load.Link >= 0 {
-		pol.meanUtilization, pol.anyReport = pol.meanUtilization+(load.Link-pol.meanUtilization)/averageWindow, true
-		n.linkLoad = loadEstimate{now - age, load.Link, n.ownRate - unreported}
+	if load.LinkUtilization >= 0 {
+		pol.meanUtilization, pol.anyReport = pol.meanUtilization+(load.LinkUtilization-pol.meanUtilization)/averageWindow, true
+		n.linkLoad = loadEstimate{now - age, load.LinkUtilization, n.ownRate - unreported}
 	}
-	if r := &pol.racks[n.rack]; load.Uplink >= 0 {
-		pol.meanUplinkUtilization += (load.Uplink - pol.meanUplinkUtilization) / averageWindow
-		r.uplinkLoad = loadEstimate{now - age, load.Uplink, r.ownRate - unreported}
+	if r := &pol.racks[n.rack]; load.UplinkUtilization >= 0 {
+		pol.meanUplinkUtilization += (load.UplinkUtilization - pol.meanUplinkUtilization) / averageWindow
+		r.uplinkLoad = loadEstimate{now - age, load.UplinkUtilization, r.ownRate - unreported}
 	}
-	pol.stepDown(now, idx, max(load.Link, load.Uplink), stepDownThreshold)
+	pol.stepDown(now, idx, max(load.LinkUtilization, load.UplinkUtilization), stepDownThreshold)
 	return true
 }
 
@@ -1060,7 +1060,7 @@
 		}
 		n.steppedDownAt = now
 		// All fronts step down at once, so the last step is taken with the probability of its needed part.
-		if pol.rng.Float()*pol.stepRate(p, p.rung) > n.ownRate-goal {
+		if pol.rng.Float64()*pol.stepRate(p, p.rung) > n.ownRate-goal {
 			return
 		}
 		pol.setRung(now, h, p, p.rung-1)
@@ -1118,7 +1118,7 @@
 		n.steppedUpAt = now
 		addedRate := pol.stepRate(p, p.rung+1)
 		// A step larger than the remaining share is taken at random in proportion.
-		if pol.rng.Float()*addedRate > ownHeadroom {
+		if pol.rng.Float64()*addedRate > ownHeadroom {
 			return
 		}
 		ownHeadroom, headroom = ownHeadroom-addedRate, headroom-addedRate
@@ -1148,7 +1148,7 @@
 	// Own plays that exceed the capacity of the link.
 	excessPlays := float64(len(n.plays)) * (1 - pol.currentShare(now, idx))
 	// All fronts together move about one play.
-	if p != nil && pol.rng.Float() < max(excessPlays, pol.ownDemandShare(now, idx)) {
+	if p != nil && pol.rng.Float64() < max(excessPlays, pol.ownDemandShare(now, idx)) {
 		pol.viewers[p.request.Viewer] = viewer{idx + 1, now, now}
 		pol.addOrder(decision.Order{Play: h, Action: decision.Move})
 	}
@@ -1185,7 +1185,7 @@
 		pol.addOrder(decision.Order{Play: h, Action: decision.Decline,
 			RetryAfter: int64(min(1, pol.setting("comeback")) * pol.setting("comeback.most"))})
 	}
-	pol.plays.Drop(h)
+	pol.plays.Remove(h)
 }
 
 func (pol *Policy) paid(p *play) bool { return pol.settingAt("product.paid", p.request.Product, 1) > 0 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -143,7 +143,7 @@
 func TestUtilizationIncludesReportAndLaterOwnChanges(t *testing.T) {
 	pol := newTestPolicy(1, singleFront)
 	addPlaying(pol, 0, 0, 1, 0)
-	pol.applyReport(now, 0, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
+	pol.applyReport(now, 0, decision.Load{Streams: -1, LinkUtilization: 0.5, UplinkUtilization: -1}, reportLag, 0)
 	addPlaying(pol, 0, 0, 1, now)
 	if a := pol.linkUtilization(now, 0); math.Abs(a-0.7) > 1e-9 {
 		t.Fatalf("got %v", a)
@@ -165,13 +165,13 @@
 			t.Fatalf("started at rung %d without a report", o.Rung)
 		}
 		pol.nodes[0].stepDownUtilization = 2
-		pol.LoadReported(now+50*ms, h, decision.Load{Streams: -1, Link: utilization, Uplink: -1})
+		pol.LoadReported(now+50*ms, h, decision.Load{Streams: -1, LinkUtilization: utilization, UplinkUtilization: -1})
 		if p := pol.plays.Get(h); p.rung != rung {
 			t.Errorf("utilization %v: rung %d, want %d", utilization, p.rung, rung)
 		}
 		pol.AttemptStarted(now+60*ms, h, 0)
 		// To a later report all plays of the node react by their shares.
-		pol.LoadReported(now+2*sec, h, decision.Load{Streams: -1, Link: 1.9, Uplink: -1})
+		pol.LoadReported(now+2*sec, h, decision.Load{Streams: -1, LinkUtilization: 1.9, UplinkUtilization: -1})
 		if p := pol.plays.Get(h); p.rung != rung {
 			t.Errorf("utilization %v, then 1.9: rung %d, want %d", utilization, p.rung, rung)
 		}
@@ -188,7 +188,7 @@
 		if o := onlyOrder(t, r); o.Rung != 2 {
 			t.Fatalf("started at rung %d", o.Rung)
 		}
-		pol.LoadReported(now+age, h, decision.Load{Streams: -1, Link: 1.5, Uplink: -1})
+		pol.LoadReported(now+age, h, decision.Load{Streams: -1, LinkUtilization: 1.5, UplinkUtilization: -1})
 		if p := pol.plays.Get(h); p.rung != rung {
 			t.Errorf("report %v s old: rung %d, want %d", float64(age)/float64(sec), p.rung, rung)
 		}
@@ -360,7 +360,7 @@
 func TestPaidPlayThatMayHaveRunFails(t *testing.T) {
 	pol := newTestPolicy(2)
 	h, r := pol.AddPlay(now, newRequest(1))
-	if o := onlyOrder(t, r); o.Until != now+4*sec {
+	if o := onlyOrder(t, r); o.Deadline != now+4*sec {
 		t.Fatalf("a paid play must wait until its deadline, got %+v", o)
 	}
 	if o := onlyOrder(t, pol.AttemptEnded(now, h, 0, decision.Errored, false, decision.UnknownLoad)); o.Action != decision.Fail {
@@ -379,8 +379,8 @@
 func TestUnpaidPlayLeavesTimeForAnotherAttempt(t *testing.T) {
 	pol := newTestPolicy(2)
 	_, r := pol.AddPlay(now, newRequest(0))
-	if o := onlyOrder(t, r); o.Until != now+sec/2 {
-		t.Fatalf("attempt given up after %d", o.Until-now)
+	if o := onlyOrder(t, r); o.Deadline != now+sec/2 {
+		t.Fatalf("attempt given up after %d", o.Deadline-now)
 	}
 }
 
@@ -533,7 +533,7 @@
 	h, p := addPlaying(pol, 0, 0, 0, 0)
 	pol.setRung(now, h, p, 1)
 	pol.setRung(now, h, p, 0)
-	pol.applyReport(now, 0, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
+	pol.applyReport(now, 0, decision.Load{Streams: -1, LinkUtilization: 0.5, UplinkUtilization: -1}, reportLag, 0)
 	if a := pol.linkUtilization(now, 0); math.Abs(a-0.5) > 1e-9 {
 		t.Fatalf("got %v", a)
 	}
@@ -595,7 +595,7 @@
 	if math.Abs(pol.meanUtilization-1) > 0.01 { // own rate 200, 20 fronts, 4 links of 1000
 		t.Fatalf("assumed utilization %v", pol.meanUtilization)
 	}
-	pol.applyReport(now, 1, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, reportLag, 0)
+	pol.applyReport(now, 1, decision.Load{Streams: -1, LinkUtilization: 0.5, UplinkUtilization: -1}, reportLag, 0)
 	pol.Wake(now + 1)
 	if pol.meanUtilization > 0.96 {
 		t.Fatalf("utilization %v after a report of 0.5", pol.meanUtilization)
@@ -614,7 +614,7 @@
 		if len(r.Orders) != 0 {
 			t.Fatalf("orders before node %d answered: %+v", idx, r.Orders)
 		}
-		r = pol.ProbeEnded(now+10*ms, idx, decision.Served, decision.Load{Streams: -1, Link: 0.1 + 0.7*float64(idx), Uplink: -1})
+		r = pol.ProbeEnded(now+10*ms, idx, decision.Served, decision.Load{Streams: -1, LinkUtilization: 0.1 + 0.7*float64(idx), UplinkUtilization: -1})
 	}
 	if o := onlyOrder(t, r); o.Action != decision.Place || o.Play != h || o.Node != 0 {
 		t.Fatalf("got %+v, want the play placed on node 0", o)
@@ -661,7 +661,7 @@
 func TestUnreportedUplinkCountsAsAverage(t *testing.T) {
 	pol := newTestPolicy(4, func(s map[string][]float64) { s["reports.uplink"] = []float64{1} })
 	for i := range int64(40) {
-		pol.applyReport(now+i, 0, decision.Load{Streams: -1, Link: 0.3, Uplink: 2}, 0, 0)
+		pol.applyReport(now+i, 0, decision.Load{Streams: -1, LinkUtilization: 0.3, UplinkUtilization: 2}, 0, 0)
 	}
 	if a := pol.uplinkUtilization(now, 1); a < 1.8 {
 		t.Fatalf("utilization of an uplink without reports is %v", a)
@@ -926,9 +926,9 @@
 	used := map[int]bool{}
 	for seed := range 60 {
 		pol := withKeys(newTestPolicy(200, withLiveTitles))
-		pol.rng.Float()
+		pol.rng.Float64()
 		for range seed {
-			pol.rng.Float()
+			pol.rng.Float64()
 		}
 		req := newRequest(0)
 		req.CellCount, req.Key = 200, 77
@@ -1043,7 +1043,7 @@
 		pol.recordFailure(now, 0, decision.ConnectionLost)
 		pol.recordFailure(now, 0, c.outcome)
 		if c.reported {
-			pol.applyReport(now+sec, 0, decision.Load{Streams: -1, Link: 0.5, Uplink: -1}, 0, 0)
+			pol.applyReport(now+sec, 0, decision.Load{Streams: -1, LinkUtilization: 0.5, UplinkUtilization: -1}, 0, 0)
 		}
 		_, r := pol.AddPlay(now+2*sec, newRequest(0))
 		if o := onlyOrder(t, r); o.Action != c.want {
--- a/playapi/playapi.go
+++ b/playapi/playapi.go
@@ -29,7 +29,7 @@
 type Params struct {
 	Title, Product, Viewer string
 	MaxRung                int // highest rung that the viewer can use; negative if not given
-	LimitMs                int // time limit; 0 if not given
+	TimeoutMs              int // time limit; 0 if not given
 	LengthMs               int // expected length of the play; 0 if not given
 	NotDelivered           bool
 }
@@ -74,9 +74,9 @@
 	return r, r.setLimits(cfg, params)
 }
 
-// NewReturnRequest validates a request for the title and product in a token's claims. The caller has verified the token.
-func NewReturnRequest(cfg *config.Service, claims token.Claims, params Params) (Request, error) {
-	r := Request{Title: claims.Title, Viewer: claims.Viewer, MaxRung: min(claims.Top, len(cfg.RatesKB)-1), Previous: &session.Previous{Play: claims.Play, NotDelivered: params.NotDelivered}}
+// NewTokenRequest validates a request for the title and product in a token's claims. The caller has verified the token.
+func NewTokenRequest(cfg *config.Service, claims token.Claims, params Params) (Request, error) {
+	r := Request{Title: claims.Title, Viewer: claims.Viewer, MaxRung: min(claims.MaxRung, len(cfg.RatesKB)-1), Previous: &session.Previous{Play: claims.Play, NotDelivered: params.NotDelivered}}
 	var ok bool
 	if r.Product, ok = cfg.ProductNumber(claims.Product); !ok {
 		return r, BadRequest{"product", fmt.Sprintf("%.40q is not known any more", claims.Product)}
@@ -89,15 +89,15 @@
 
 func (r *Request) setLimits(cfg *config.Service, params Params) error {
 	maxMs := int(cfg.Products[r.Product].DeadlineMs)
-	if params.LimitMs < 0 {
+	if params.TimeoutMs < 0 {
 		return BadRequest{"limit_ms", "a whole number from 1 is needed"}
 	}
 	if params.LengthMs < 0 {
 		return BadRequest{"length_ms", "a whole number from 0 is needed"}
 	}
 	limitMs := maxMs
-	if params.LimitMs > 0 {
-		limitMs = min(params.LimitMs, maxMs)
+	if params.TimeoutMs > 0 {
+		limitMs = min(params.TimeoutMs, maxMs)
 	}
 	r.Timeout = time.Duration(limitMs) * time.Millisecond
 	r.Length = time.Duration(params.LengthMs) * time.Millisecond
@@ -226,11 +226,11 @@
 	Seconds float64 `json:"seconds,omitempty"` // length of the title, if known
 }
 
-// Grant mints the token of a play and builds the URL of its segments. The answer's verdict must be Plays.
+// Grant mints the token of a play and builds the URL of its segments. The answer's verdict must be Started.
 func (s *Service) Grant(ans session.Answer) (Grant, error) {
 	p := &s.Config.Products[ans.Product]
 	signed, err := s.Tokens.Mint(token.Claims{Play: ans.Play, Front: s.name, Title: ans.Title, Product: p.Name,
-		Viewer: ans.Viewer, Node: ans.Node, Rung: ans.Rung, Top: ans.MaxRung}, time.Now(), s.tokenLifetime)
+		Viewer: ans.Viewer, Node: ans.Node, Rung: ans.Rung, MaxRung: ans.MaxRung}, time.Now(), s.tokenLifetime)
 	if err != nil {
 		return Grant{}, fmt.Errorf("minting the token of play %s: %w", ans.Play, err)
 	}
--- a/playlog/playlog.go
+++ b/playlog/playlog.go
@@ -21,7 +21,7 @@
 	Allocated Kind = "allocated" // an allocation is about to be sent
 	Started   Kind = "started"   // the play is running and its viewer was answered
 	Ended     Kind = "ended"     // the play has ended, whatever the state of its allocations
-	Token     Kind = "token"     // the play's token was used to resume it and is no longer valid
+	TokenUsed Kind = "token"     // the play's token was used to resume it and is no longer valid
 	Lost      Kind = "lost"      // a salvage of the store found acknowledged records missing
 	Recovered Kind = "whole"     // the reports of the nodes have replaced the missing records
 )
@@ -30,13 +30,13 @@
 type EndReason string
 
 const (
-	Served   EndReason = "served"
-	Moved    EndReason = "moved"    // to be set up at another node
-	Broken   EndReason = "broken"   // its node was lost
-	Returned EndReason = "returned" // its viewer has already resumed it with the token
+	Served  EndReason = "served"
+	Moved   EndReason = "moved"    // to be set up at another node
+	Broken  EndReason = "broken"   // its node was lost
+	Resumed EndReason = "returned" // its viewer has already resumed it with the token
 )
 
-var endReasons = map[EndReason]bool{"": true, Served: true, Moved: true, Broken: true, Returned: true}
+var endReasons = map[EndReason]bool{"": true, Served: true, Moved: true, Broken: true, Resumed: true}
 
 // Record is one record of the play log.
 type Record struct {
@@ -78,7 +78,7 @@
 		return Record{}, fmt.Errorf("playlog: record has no play")
 	case !endReasons[r.EndReason] || r.At < 0:
 		return Record{}, fmt.Errorf("playlog: end reason or time of play %.40q is invalid", r.Play)
-	case r.Kind == Ended || r.Kind == Started || r.Kind == Token:
+	case r.Kind == Ended || r.Kind == Started || r.Kind == TokenUsed:
 	case r.Kind != Allocated:
 		return Record{}, fmt.Errorf("playlog: unknown record kind %.20q", r.Kind)
 	case r.Product == "" || r.Title == "" || r.Viewer == "" || r.Node == "" || r.Epoch <= 0 || r.Attempt < 0 || r.Rung < 0 || r.MaxRung < 0:
@@ -87,10 +87,10 @@
 	return r, nil
 }
 
-// LogFirst reports whether the allocations of a product are recorded durably before they are sent. This holds for paid
+// RequiresDurableRecord reports whether the allocations of a product are recorded durably before they are sent. This holds for paid
 // products, whose plays must not be set up twice, and for those with a limit of seats, as a seat must not be assigned
 // twice. Plays of other products may be set up again without harm and don't wait for the disk.
-func LogFirst(paid bool, seats int) bool { return paid || seats > 0 }
+func RequiresDurableRecord(paid bool, seats int) bool { return paid || seats > 0 }
 
 // TokenRetentionMs is how long the end of a play is kept for requests that resume it with its token, in milliseconds. No
 // token is valid longer than that after the end of its play, as a new one is issued with each manifest.
@@ -149,8 +149,8 @@
 			s.open[r.Play] = p
 		}
 		return nil
-	case Token:
-		s.addEnd(EndedPlay{r.Play, Returned, r.At})
+	case TokenUsed:
+		s.addEnd(EndedPlay{r.Play, Resumed, r.At})
 		return nil
 	case Lost:
 		s.lost += r.Count
@@ -171,7 +171,7 @@
 }
 
 func (s *State) addEnd(p EndedPlay) {
-	if previous, ok := s.ended[p.Play]; ok && previous.EndReason == Returned { // a used token stays invalid, however its play ends
+	if previous, ok := s.ended[p.Play]; ok && previous.EndReason == Resumed { // a used token stays invalid, however its play ends
 		return
 	}
 	s.endCount++
@@ -233,8 +233,8 @@
 		out = append(out, Record{Kind: Lost, Count: s.lost})
 	}
 	for _, p := range s.EndedPlays() {
-		if p.EndReason == Returned {
-			out = append(out, Record{Kind: Token, Play: p.Play, At: p.At})
+		if p.EndReason == Resumed {
+			out = append(out, Record{Kind: TokenUsed, Play: p.Play, At: p.At})
 		} else {
 			out = append(out, Record{Kind: Ended, Play: p.Play, EndReason: p.EndReason, At: p.At})
 		}
@@ -271,8 +271,8 @@
 	return s.records >= minRecordsToCompact && s.records >= compactRatio*s.neededRecords()
 }
 
-// Compacted sets the number of records in the store after a compaction.
-func (s *State) Compacted(records int) { s.records = records }
+// SetRecordCount sets the number of records in the store after a compaction.
+func (s *State) SetRecordCount(records int) { s.records = records }
 
 // Read returns the state after the records of a store. It stops at the first invalid record.
 func Read(records [][]byte) (*State, error) {
--- a/playlog/playlog_test.go
+++ b/playlog/playlog_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestOnlyPaidOrSeatedProductsLogFirst(t *testing.T) {
-	if !LogFirst(true, 0) || !LogFirst(false, 1) || LogFirst(false, 0) {
+	if !RequiresDurableRecord(true, 0) || !RequiresDurableRecord(false, 1) || RequiresDurableRecord(false, 0) {
 		t.Fatal("LogFirst must hold for paid products and those with seats only")
 	}
 }
@@ -50,7 +50,7 @@
 			case 2:
 				r = Record{Kind: Started, Play: play, Attempt: max(0, attempts[play]-1)}
 			case 3:
-				r = Record{Kind: Token, Play: play, At: 5}
+				r = Record{Kind: TokenUsed, Play: play, At: 5}
 			case 4:
 				r.EndReason, r.At = rapid.SampledFrom([]EndReason{Served, Moved, Broken}).Draw(t, "how"), 5
 			case 5:
@@ -85,9 +85,9 @@
 				wantLost += r.Count
 			case r.Kind == Recovered:
 				wantLost = 0
-			case r.Kind == Token:
-				wantEnded[r.Play] = Returned
-			case r.Kind == Ended && r.EndReason != "" && wantEnded[r.Play] != Returned:
+			case r.Kind == TokenUsed:
+				wantEnded[r.Play] = Resumed
+			case r.Kind == Ended && r.EndReason != "" && wantEnded[r.Play] != Resumed:
 				wantEnded[r.Play] = r.EndReason
 			}
 		}
@@ -96,7 +96,7 @@
 			started := -1
 			for k := len(written) - 1; k >= 0; k-- {
 				r := written[k]
-				if r.Play != play || r.Kind == Token {
+				if r.Play != play || r.Kind == TokenUsed {
 					continue
 				}
 				if r.Kind == Started {
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -3,11 +3,11 @@
 // request for one of them. It does no I/O; the core of package session carries out the decisions.
 //
 // Each run of the front end has its own epoch. A play of an earlier epoch starts as Recorded if the play log has it,
-// and as Unknown otherwise. A node that reports the play makes it Held. It becomes Ended when its node reports without
+// and as Unknown otherwise. A node that reports the play makes it Tracked. It becomes Ended when its node reports without
 // it, when the node's process is known to be gone, or when its lease expires:
 //
-//	Unknown --reported--> Held --missing, node gone, lease expired--> Ended
-//	Recorded --reported--> Held
+//	Unknown --reported--> Tracked --missing, node gone, lease expired--> Ended
+//	Recorded --reported--> Tracked
 //	Recorded --missing, node gone, lease expired--> Ended
 //
 // Conflicts are resolved conservatively: a play that may run keeps its seat, a play that this front end doesn't
@@ -18,11 +18,11 @@
 type State uint8
 
 const (
-	Unknown   State = iota // not recorded and not tracked
-	Recorded               // restored from the play log, not yet confirmed by its node
-	Held                   // tracked with this attempt at this node
-	Elsewhere              // tracked with another attempt, at another node or without a node
-	Ended                  // known to have ended
+	Unknown    State = iota // not recorded and not tracked
+	Recorded                // restored from the play log, not yet confirmed by its node
+	Tracked                 // tracked with this attempt at this node
+	Superseded              // tracked with another attempt, at another node or without a node
+	Ended                   // known to have ended
 )
 
 // Action is what to do about a play that a node reports as running.
@@ -39,7 +39,7 @@
 // set it up, productKnown that its product is still configured.
 func Reconcile(s State, earlierEpoch, productKnown bool) Action {
 	switch s {
-	case Held:
+	case Tracked:
 		return Nothing
 	case Recorded:
 		return Confirm
@@ -48,16 +48,16 @@
 			return Adopt
 		}
 	}
-	// Unknown in this epoch: the play was abandoned and its request answered as failed. Elsewhere: a superseded
+	// Unknown in this epoch: the play was abandoned and its request answered as failed. Superseded: an earlier
 	// attempt. Ended: the order to end it didn't reach the node. Each would occupy a seat that isn't counted.
 	return End
 }
 
-// MissingIsOver decides whether a tracked play that is missing from its node's report has ended. sameInstance says
+// MissingHasEnded decides whether a tracked play that is missing from its node's report has ended. sameInstance says
 // that the report comes from the process that was to run the play; startedBefore, that by the node's start counter
 // the play was set up before the report was made. A play set up by the same process after the report was made is
 // not expected in it and is not over.
-func MissingIsOver(sameInstance, startedBefore bool) (over bool) {
+func MissingHasEnded(sameInstance, startedBefore bool) (over bool) {
 	return !sameInstance || startedBefore
 }
 
@@ -65,9 +65,9 @@
 type Resolution uint8
 
 const (
-	Fresh  Resolution = iota // set up a new play
-	Resume                   // answer with the running play, whose own answer was lost in the crash
-	Wait                     // ask the viewer to retry soon: the play may run, and a new one could duplicate it
+	NewPlay Resolution = iota // set up a new play
+	Resume                    // answer with the running play, whose own answer was lost in the crash
+	Wait                      // ask the viewer to retry soon: the play may run, and a new one could duplicate it
 )
 
 // ResolveRequest decides on a request without a token for the same viewer, title and product as a play of an earlier
@@ -79,16 +79,16 @@
 func ResolveRequest(s State, answered, recorded bool) Resolution {
 	switch {
 	case answered || !recorded: // the viewer has the play, or a duplicate does no harm
-		return Fresh
-	case s == Held:
+		return NewPlay
+	case s == Tracked:
 		return Resume
 	case s == Recorded:
 		return Wait
 	}
-	return Fresh
+	return NewPlay
 }
 
-// Ready tells whether a restarted front end may take plays immediately after the first node list, because its play
+// ReadyImmediately tells whether a restarted front end may take plays immediately after the first node list, because its play
 // log is complete. If records are missing or none were kept, it must wait until each node has reported or its lease
 // has expired.
-func Ready(recorded bool, lost uint64) (immediately bool) { return recorded && lost == 0 }
+func ReadyImmediately(recorded bool, lost uint64) (immediately bool) { return recorded && lost == 0 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -10,7 +10,7 @@
 			for _, productKnown := range []bool{false, true} {
 				want := End
 				switch {
-				case s == Held:
+				case s == Tracked:
 					want = Nothing
 				case s == Recorded:
 					want = Confirm
@@ -23,18 +23,18 @@
 			}
 		}
 	}
-	if MissingIsOver(true, false) || !MissingIsOver(true, true) || !MissingIsOver(false, false) {
+	if MissingHasEnded(true, false) || !MissingHasEnded(true, true) || !MissingHasEnded(false, false) {
 		t.Error("a missing play is over only if it was set up before the report or the report is from another process")
 	}
 }
 
 func TestResolveRepeatedRequest(t *testing.T) {
 	for s := Unknown; s <= Ended; s++ {
-		if ResolveRequest(s, true, true) != Fresh || ResolveRequest(s, false, false) != Fresh {
+		if ResolveRequest(s, true, true) != NewPlay || ResolveRequest(s, false, false) != NewPlay {
 			t.Errorf("state %d: want Fresh for a play that was answered or not recorded", s)
 		}
-		want := Fresh
-		if s == Held {
+		want := NewPlay
+		if s == Tracked {
 			want = Resume
 		} else if s == Recorded {
 			want = Wait
@@ -43,7 +43,7 @@
 			t.Errorf("state %d, not answered: resolution %d, want %d", s, got, want)
 		}
 	}
-	if !Ready(true, 0) || Ready(true, 1) || Ready(false, 0) {
+	if !ReadyImmediately(true, 0) || ReadyImmediately(true, 1) || ReadyImmediately(false, 0) {
 		t.Error("a front end may start immediately only with a complete play log")
 	}
 }
--- a/session/core.go
+++ b/session/core.go
@@ -35,16 +35,16 @@
 // Allocation is what a node is asked to set up.
 type Allocation struct {
 	Ref
-	Name    string // of the node
-	Address string
-	Product int
-	Title   string
-	Viewer  string
-	Rung    int
-	MaxRung int
-	Seq     int   // sequence number of the rung; a node ignores orders with a lower one
-	Until   int64 // when the front end stops waiting for the set-up
-	Length  int64 // estimated length; 0 if unknown
+	Name     string // of the node
+	Address  string
+	Product  int
+	Title    string
+	Viewer   string
+	Rung     int
+	MaxRung  int
+	RungSeq  int   // sequence number of the rung; a node ignores orders with a lower one
+	Deadline int64 // when the front end stops waiting for the set-up
+	Length   int64 // estimated length; 0 if unknown
 }
 
 // Transport sends the core's orders to the playout nodes. Its methods must not block. Some lead to a later call on the
@@ -68,9 +68,9 @@
 	RecoveryDone()
 }
 
-// Expected is a play of an earlier run of this front end that may still be running according to the play log.
-type Expected struct {
-	Running
+// RecordedPlay is a play of an earlier run of this front end that may still be running according to the play log.
+type RecordedPlay struct {
+	ReportedPlay
 	Node     string // name of the node of its last allocation
 	Answered bool   // its viewer was told that it plays
 }
@@ -78,8 +78,8 @@
 // NodeEntry is one entry of the list of playout nodes.
 type NodeEntry = membership.Entry
 
-// Running is a play that a node reports as running for this front end.
-type Running struct {
+// ReportedPlay is a play that a node reports as running for this front end.
+type ReportedPlay struct {
 	Play      string
 	Epoch     int64 // of the front end when it set the play up
 	Attempt   int
@@ -89,7 +89,7 @@
 	CellCount int
 	Viewer    string
 	Rung      int
-	Seq       int // sequence number of the last rung order that the node received
+	RungSeq   int // sequence number of the last rung order that the node received
 	MaxRung   int
 	TimeLeft  int64 // estimated; 0 if unknown
 }
@@ -111,8 +111,8 @@
 
 // Event is a change of a running play.
 type Event struct {
-	Ended  playlog.EndReason // empty while the play runs
-	Answer Answer            // the current state; only the ID for an ended play
+	EndReason playlog.EndReason // empty while the play runs
+	Answer    Answer            // the current state; only the ID for an ended play
 }
 
 // key is the same for repeated requests of a viewer for the same title and product.
@@ -206,9 +206,9 @@
 
 // Counts are the counters since the core's start, and its current sizes.
 type Counts struct {
-	Taken, Plays, Declined, Failed, Denied, Moved, Lost, Adopted, Orphans uint64
-	InHand, Viewers, Titles, Nodes, Remembered                            int
-	Ready                                                                 bool
+	Accepted, Started, Declined, Failed, Denied, Moved, Broken, Adopted, Orphans uint64
+	Active, Viewers, Titles, Nodes, EndedKept                                    int
+	Ready                                                                        bool
 }
 
 // Core manages the plays of one front end. It is not safe for concurrent use, and now must not decrease from call to
@@ -233,7 +233,7 @@
 	products        Products
 	send            func(to int, bytes []byte) // nil if front ends exchange no messages
 	shuttingDown    bool
-	expected        []Expected       // plays to adopt with the first node list
+	expected        []RecordedPlay   // plays to adopt with the first node list
 	recordsComplete bool             // the play log of the earlier runs is complete
 	recovered       bool             // the nodes have accounted for all plays of earlier runs
 	unacknowledged  map[string]*play // recorded plays of earlier runs whose viewers may have got no answer, by key
@@ -261,8 +261,8 @@
 // Counts returns a copy of the counters.
 func (c *Core) Counts() Counts {
 	counts := c.counts
-	counts.InHand, counts.Viewers, counts.Titles, counts.Nodes = len(c.plays), c.viewers.Len(), c.titles.Len(), len(c.nodeIndexes)
-	counts.Remembered = len(c.ended)
+	counts.Active, counts.Viewers, counts.Titles, counts.Nodes = len(c.plays), c.viewers.Len(), c.titles.Len(), len(c.nodeIndexes)
+	counts.EndedKept = len(c.ended)
 	return counts
 }
 
@@ -270,8 +270,8 @@
 // tokens are no longer valid, lost is the number of missing records. It must be called before any other method. The
 // open plays are adopted with the first node list, so that their seats count from then on; the nodes' reports then tell
 // which of them still run. Only if records are missing must the front end wait for all nodes before it is ready.
-func (c *Core) Recover(now int64, open []Expected, ended []playlog.EndedPlay, lost uint64) {
-	c.expected, c.recordsComplete = open, recovery.Ready(true, lost)
+func (c *Core) Recover(now int64, open []RecordedPlay, ended []playlog.EndedPlay, lost uint64) {
+	c.expected, c.recordsComplete = open, recovery.ReadyImmediately(true, lost)
 	for _, p := range ended {
 		c.rememberEnd(now, p.Play, p.EndReason)
 	}
@@ -285,8 +285,8 @@
 		case !ok || e.Product < 0:
 			c.transport.PlayFinished(e.Play, max(0, e.Product), playlog.Broken)
 		case c.plays[e.Play] == nil:
-			p := c.adopt(now, index, 0, 0, e.Running)
-			if recovery.ResolveRequest(recovery.Recorded, e.Answered, true) != recovery.Fresh {
+			p := c.adopt(now, index, 0, 0, e.ReportedPlay)
+			if recovery.ResolveRequest(recovery.Recorded, e.Answered, true) != recovery.NewPlay {
 				c.unacknowledged[p.request.key()] = p
 			}
 		}
@@ -346,11 +346,11 @@
 	case p == nil:
 		return recovery.Unknown
 	case p.node != r.Node || p.attempt != r.Attempt || p.stage == waiting:
-		return recovery.Elsewhere
+		return recovery.Superseded
 	case p.adopted && p.instance == 0:
 		return recovery.Recorded
 	}
-	return recovery.Held
+	return recovery.Tracked
 }
 
 // RequestPlay handles a viewer's request. Its reply is resolved exactly once, during the call or later, unless it is
@@ -386,7 +386,7 @@
 		case reason == playlog.Served:
 			c.deny(req, "the play has ended")
 			return
-		case reason == playlog.Returned:
+		case reason == playlog.Resumed:
 			c.deny(req, "the token was used to come back already")
 			return
 		case reason == "" && c.fromThisEpoch(req.Previous.Play):
@@ -407,7 +407,7 @@
 	p := &play{id: fmt.Sprintf("%s-%x-%d", c.name, c.epoch, c.playsTaken), request: req, title: c.titles.Acquire(req.Title),
 		viewer: c.viewers.Acquire(req.Viewer)}
 	c.plays[p.id], c.pending[key] = p, p
-	c.counts.Taken++
+	c.counts.Accepted++
 	h, res := c.policy.AddPlay(now, decision.Request{Product: req.Product, Title: p.title, Viewer: p.viewer, Deadline: req.Deadline,
 		Length: req.Length, FirstCell: req.FirstCell, CellCount: req.CellCount, MaxRung: req.MaxRung, Key: decision.HashName(req.Title), Moved: isMoved, Retry: req.Previous != nil})
 	c.indexPlay(p, h)
@@ -494,7 +494,7 @@
 
 // nodeFailed ends a running play whose viewer reports that the node doesn't deliver it.
 func (c *Core) nodeFailed(now int64, p *play) {
-	c.counts.Lost++
+	c.counts.Broken++
 	c.endPlaying(now, p, "viewer says it broke", decision.ConnectionLost, playlog.Broken)
 }
 
@@ -527,10 +527,10 @@
 		c.endPlaying(now, p, "viewer left", decision.Canceled, playlog.Served)
 		return
 	}
-	c.counts.Plays++
+	c.counts.Started++
 	c.viewerAnswered(p)
 	if p.request.Previous != nil { // the token is used up only now, so that a declined viewer can retry with it
-		c.rememberEnd(now, p.request.Previous.Play, playlog.Returned)
+		c.rememberEnd(now, p.request.Previous.Play, playlog.Resumed)
 	}
 	if p.earlyEnd != nil {
 		c.PlayEnded(now, r, *p.earlyEnd)
@@ -571,7 +571,7 @@
 		reason := playlog.Served
 		if outcome != decision.Served {
 			reason = playlog.Broken
-			c.counts.Lost++
+			c.counts.Broken++
 		}
 		res := c.policy.AttemptEnded(now, p.handle, p.policyAttempt(), outcome, true, decision.UnknownLoad)
 		c.finish(now, p, reason)
@@ -604,7 +604,7 @@
 // StreamOpened handles the first message on a stream from a node: the node's own name, its process instance, the value of
 // its start counter and the plays it runs for this front end. Plays of an earlier run of this front end are adopted,
 // plays that this run has abandoned are ended, and plays that the node no longer runs are lost.
-func (c *Core) StreamOpened(now int64, index int, reportedName string, instance, startSeq int64, running []Running) {
+func (c *Core) StreamOpened(now int64, index int, reportedName string, instance, startSeq int64, running []ReportedPlay) {
 	if index >= len(c.nodes) || !c.nodes[index].keepStream {
 		return
 	}
@@ -621,7 +621,7 @@
 		switch recovery.Reconcile(c.recoveryState(r.Play, Ref{r.Play, r.Attempt, index}), r.Epoch < c.epoch, r.Product >= 0) {
 		case recovery.Confirm:
 			p := c.plays[r.Play]
-			p.instance, p.startSeq, p.rungSeq, p.rung = instance, startSeq, r.Seq, r.Rung
+			p.instance, p.startSeq, p.rungSeq, p.rung = instance, startSeq, r.RungSeq, r.Rung
 			c.execute(now, c.policy.RungReported(now, p.handle, r.Rung))
 		case recovery.Adopt:
 			c.adopt(now, index, instance, startSeq, r)
@@ -630,15 +630,15 @@
 		}
 	}
 	for _, p := range c.playingOn(index) {
-		if !reported[p.id] && recovery.MissingIsOver(p.instance == instance, p.startSeq <= startSeq) {
+		if !reported[p.id] && recovery.MissingHasEnded(p.instance == instance, p.startSeq <= startSeq) {
 			c.PlayEnded(now, Ref{p.id, p.attempt, index}, decision.ConnectionLost)
 		}
 	}
 }
 
-func (c *Core) adopt(now int64, index int, instance, startSeq int64, r Running) *play {
+func (c *Core) adopt(now int64, index int, instance, startSeq int64, r ReportedPlay) *play {
 	c.counts.Adopted++
-	p := &play{id: r.Play, stage: playing, node: index, instance: instance, startSeq: startSeq, attempt: r.Attempt, rung: r.Rung, rungSeq: r.Seq,
+	p := &play{id: r.Play, stage: playing, node: index, instance: instance, startSeq: startSeq, attempt: r.Attempt, rung: r.Rung, rungSeq: r.RungSeq,
 		adopted: true, title: c.titles.Acquire(r.Title), viewer: c.viewers.Acquire(r.Viewer),
 		request: Request{Product: r.Product, Title: r.Title, FirstCell: r.FirstCell, CellCount: r.CellCount, Viewer: r.Viewer, MaxRung: r.MaxRung,
 			Length: r.TimeLeft}}
@@ -853,11 +853,11 @@
 	var ids []string
 	for i, p := range c.playsByIndex {
 		if p != nil && p.stage == playing {
-			plays = append(plays, shutdown.Play{Importance: c.importance(p.request.Product), Key: i})
+			plays = append(plays, shutdown.Play{Importance: c.importance(p.request.Product), ID: i})
 			ids = append(ids, p.id)
 		}
 	}
-	order, times := shutdown.Release(now, end, plays)
+	order, times := shutdown.ReleaseSchedule(now, end, plays)
 	for i, next := range order {
 		c.releases = append(c.releases, scheduledRelease{ids[next], times[i]})
 	}
@@ -919,7 +919,7 @@
 			n := &c.nodes[order.Node]
 			n.playCount++
 			c.transport.SetUp(Allocation{Ref: Ref{p.id, p.attempt, order.Node}, Name: n.name, Address: n.address, Product: p.request.Product,
-				Title: p.request.Title, Viewer: p.request.Viewer, Rung: order.Rung, MaxRung: p.request.MaxRung, Seq: p.rungSeq, Until: order.Until,
+				Title: p.request.Title, Viewer: p.request.Viewer, Rung: order.Rung, MaxRung: p.request.MaxRung, RungSeq: p.rungSeq, Deadline: order.Deadline,
 				Length: p.request.Length})
 		case decision.Decline:
 			c.counts.Declined++
@@ -980,7 +980,7 @@
 
 func (c *Core) answer(p *play, reason string) Answer {
 	n := &c.nodes[p.node]
-	return Answer{Verdict: Plays, Play: p.id, Node: n.name, Address: n.address, Title: p.request.Title,
+	return Answer{Verdict: Started, Play: p.id, Node: n.name, Address: n.address, Title: p.request.Title,
 		Product: p.request.Product, Viewer: p.request.Viewer, Rung: p.rung, MaxRung: p.request.MaxRung, Reason: reason}
 }
 
@@ -1010,7 +1010,7 @@
 	if p.stage == playing { // otherwise no token was issued
 		c.rememberEnd(now, p.id, reason)
 		if p.request.OnEvent != nil {
-			p.request.OnEvent(Event{Ended: reason, Answer: Answer{Play: p.id}})
+			p.request.OnEvent(Event{EndReason: reason, Answer: Answer{Play: p.id}})
 		}
 	} else {
 		reason = ""
--- a/session/core_test.go
+++ b/session/core_test.go
@@ -110,7 +110,7 @@
 	allocation := out.last(t)
 	c.Started(readyTime, allocation.Ref, 7, int64(len(out.setUps)), allocation.Rung, decision.UnknownLoad)
 	ans := mustAnswer(t, req)
-	if ans.Verdict != Plays {
+	if ans.Verdict != Started {
 		t.Fatalf("got %+v", ans)
 	}
 	return ans
@@ -123,7 +123,7 @@
 	mustNotAnswer(t, a)
 	s := out.last(t)
 	c.Started(readyTime, s.Ref, 7, 1, s.Rung, decision.UnknownLoad)
-	if x := mustAnswer(t, a); x.Verdict != Plays || x.Node != fmt.Sprint("n", s.Node) {
+	if x := mustAnswer(t, a); x.Verdict != Started || x.Node != fmt.Sprint("n", s.Node) {
 		t.Fatalf("got %+v", x)
 	}
 	c.Started(readyTime, s.Ref, 7, 1, s.Rung, decision.UnknownLoad) // a repeated report of the start is treated as an orphan
@@ -142,8 +142,8 @@
 		t.Fatal("could not withdraw an unused reply")
 	}
 	c.Started(readyTime, s.Ref, 7, 1, s.Rung, decision.UnknownLoad) // after the withdrawal, so that the play must be ended
-	if len(out.ends) != 1 || c.Counts().InHand != 0 {
-		t.Fatalf("ended at nodes: %v, plays left: %d", out.ends, c.Counts().InHand)
+	if len(out.ends) != 1 || c.Counts().Active != 0 {
+		t.Fatalf("ended at nodes: %v, plays left: %d", out.ends, c.Counts().Active)
 	}
 	c.RequestWithdrawn(readyTime, a.Reply)
 
@@ -153,7 +153,7 @@
 		t.Fatal("withdrew a reply that was already answered")
 	}
 	c.RequestWithdrawn(readyTime, b.Reply)
-	if c.Counts().InHand != 1 {
+	if c.Counts().Active != 1 {
 		t.Fatal("a play that was answered was ended by a late withdrawal")
 	}
 }
@@ -182,7 +182,7 @@
 	c.RequestPlay(readyTime, b)
 	a.Reply.Withdraw()
 	c.RequestWithdrawn(readyTime, a.Reply)
-	if len(out.canceled) != 1 || c.Counts().InHand != 2 {
+	if len(out.canceled) != 1 || c.Counts().Active != 2 {
 		t.Fatalf("canceled: %v", out.canceled)
 	}
 	x := newRequest(1, "x")
@@ -218,7 +218,7 @@
 	}
 	a := returning(false, x.Play)
 	c.RequestPlay(readyTime, a)
-	if y := mustAnswer(t, a); y.Verdict != Plays || y.Play != x.Play || len(out.setUps) != 1 {
+	if y := mustAnswer(t, a); y.Verdict != Started || y.Play != x.Play || len(out.setUps) != 1 {
 		t.Fatalf("token of a running play: want the same play again, got %+v", y)
 	}
 	a = returning(true, x.Play)
@@ -272,7 +272,7 @@
 	s := out.last(t)
 	c.PlayEnded(readyTime, s.Ref, decision.Served)
 	c.Started(readyTime, s.Ref, 7, 1, s.Rung, decision.UnknownLoad)
-	if mustAnswer(t, a).Verdict != Plays || c.Counts().InHand != 0 {
+	if mustAnswer(t, a).Verdict != Started || c.Counts().Active != 0 {
 		t.Fatal("want the play answered as playing and then ended")
 	}
 }
@@ -291,8 +291,8 @@
 func TestStreamOpenedReconcilesPlays(t *testing.T) {
 	c, out := newTestCore(1)
 	kept, lost, recent := startPlay(t, c, out, newRequest(0, "a")), startPlay(t, c, out, newRequest(0, "b")), startPlay(t, c, out, newRequest(0, "c"))
-	running := []Running{{Play: kept.Play, Epoch: 0xe}, {Play: "f-e-77", Epoch: 0xe, Attempt: 1},
-		{Play: "f-d-5", Epoch: 0xd, Attempt: 2, Title: "clip", CellCount: 4, Viewer: "old", Rung: 1, MaxRung: 2, Seq: 4},
+	running := []ReportedPlay{{Play: kept.Play, Epoch: 0xe}, {Play: "f-e-77", Epoch: 0xe, Attempt: 1},
+		{Play: "f-d-5", Epoch: 0xd, Attempt: 2, Title: "clip", CellCount: 4, Viewer: "old", Rung: 1, MaxRung: 2, RungSeq: 4},
 		{Play: "f-d-6", Epoch: 0xd, Product: -1, Title: "gone", Viewer: "x"}}
 	c.StreamOpened(readyTime, 0, "", 7, 2, running) // reported before the third play started
 	if c.plays[kept.Play] == nil || c.plays[lost.Play] != nil || c.plays[recent.Play] == nil {
@@ -306,8 +306,8 @@
 	}
 	c.PlayEnded(readyTime, Ref{"f-d-5", 2, 0}, decision.Served)
 	c.StreamOpened(readyTime, 0, "", 8, 0, nil) // the node was restarted
-	if c.Counts().InHand != 0 {
-		t.Fatalf("%d plays left after the node's restart", c.Counts().InHand)
+	if c.Counts().Active != 0 {
+		t.Fatalf("%d plays left after the node's restart", c.Counts().Active)
 	}
 }
 
@@ -316,11 +316,11 @@
 	startPlay(t, c, out, newRequest(0, "v"))
 	c.StreamBroke(readyTime, 0, false)
 	c.Wake(readyTime + liveness.Lease)
-	if c.Counts().InHand != 1 {
+	if c.Counts().Active != 1 {
 		t.Fatal("play counted as lost while the node may still run it")
 	}
 	c.Wake(readyTime + 2*liveness.Lease)
-	if c.Counts().InHand != 0 || c.Counts().Lost != 1 {
+	if c.Counts().Active != 0 || c.Counts().Broken != 1 {
 		t.Fatal("want the play lost after its lease has expired")
 	}
 }
@@ -395,8 +395,8 @@
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	counts = c.Counts()
-	if counts.Plays != uint64(n) {
-		t.Fatalf("%d of %d plays started", counts.Plays, n)
+	if counts.Started != uint64(n) {
+		t.Fatalf("%d of %d plays started", counts.Started, n)
 	}
 	return m.HeapAlloc, counts
 }
@@ -407,7 +407,7 @@
 		n = soak
 	}
 	_, s := runPlays(t, n)
-	if s.Viewers > 1000 || s.Titles > 5000 || s.Remembered > 25_000 || s.InHand != 0 {
+	if s.Viewers > 1000 || s.Titles > 5000 || s.EndedKept > 25_000 || s.Active != 0 {
 		t.Fatalf("after %d plays: %+v", n, s)
 	}
 	if *soakPlays > 0 {
@@ -448,7 +448,7 @@
 	c, out := newTestCore(2)
 	x := startPlay(t, c, out, newRequest(0, "v"))
 	c.execute(readyTime, &decision.Result{Orders: []decision.Order{{Play: c.plays[x.Play].handle, Action: decision.Move}}})
-	if len(out.ends) != 1 || c.Counts().InHand != 0 {
+	if len(out.ends) != 1 || c.Counts().Active != 0 {
 		t.Fatalf("want the moved play ended at its node, got %v", out.ends)
 	}
 	returning := func() Request {
@@ -460,7 +460,7 @@
 	c.RequestPlay(readyTime, a)
 	s := out.last(t)
 	c.Started(readyTime, s.Ref, 7, 2, s.Rung, decision.UnknownLoad)
-	if y := mustAnswer(t, a); y.Verdict != Plays || y.Play == x.Play {
+	if y := mustAnswer(t, a); y.Verdict != Started || y.Play == x.Play {
 		t.Fatalf("first return: want a new play, got %+v", y)
 	}
 	a = returning()
@@ -473,10 +473,10 @@
 func TestRecordedPlaysOccupySeatsUntilNodesReport(t *testing.T) {
 	out := &fakeTransport{dials: map[int]int64{}}
 	c := NewCore(startTime, "f", 2, placement.New(policySettings(), 1), out, testProducts{}, 1)
-	recorded := func(play, node string) Expected {
-		return Expected{Running{Play: play, Epoch: 1, Product: 1, Title: "clip", CellCount: 4, Viewer: play, Rung: 1, MaxRung: 2}, node, true}
+	recorded := func(play, node string) RecordedPlay {
+		return RecordedPlay{ReportedPlay{Play: play, Epoch: 1, Product: 1, Title: "clip", CellCount: 4, Viewer: play, Rung: 1, MaxRung: 2}, node, true}
 	}
-	c.Recover(startTime, []Expected{recorded("a", "n0"), recorded("b", "n1"), recorded("gone", "n9")}, nil, 0)
+	c.Recover(startTime, []RecordedPlay{recorded("a", "n0"), recorded("b", "n1"), recorded("gone", "n9")}, nil, 0)
 	if c.Ready(startTime) {
 		t.Fatal("ready without a node list")
 	}
@@ -485,7 +485,7 @@
 		entries = append(entries, NodeEntry{Name: fmt.Sprint("n", i), Address: fmt.Sprint("a", i), Cell: i, Weight: 1})
 	}
 	c.UpdateList(startTime, entries, true)
-	if !c.Ready(startTime) || c.Counts().InHand != 2 || len(out.finished) != 1 || out.finished[0] != "gone" {
+	if !c.Ready(startTime) || c.Counts().Active != 2 || len(out.finished) != 1 || out.finished[0] != "gone" {
 		t.Fatalf("ready %v, %+v, finished %v", c.Ready(startTime), c.Counts(), out.finished)
 	}
 	full := newRequest(1, "w")
@@ -493,7 +493,7 @@
 	if mustAnswer(t, full).Verdict != Declined {
 		t.Fatal("a third play was not declined although both seats are in use")
 	}
-	c.StreamOpened(startTime, 0, "", 7, 3, []Running{{Play: "a", Epoch: 1, Product: 1, Title: "clip", CellCount: 4, Viewer: "a", Rung: 2, Seq: 5, MaxRung: 2}})
+	c.StreamOpened(startTime, 0, "", 7, 3, []ReportedPlay{{Play: "a", Epoch: 1, Product: 1, Title: "clip", CellCount: 4, Viewer: "a", Rung: 2, RungSeq: 5, MaxRung: 2}})
 	c.StreamOpened(startTime, 1, "", 7, 3, nil) // the node doesn't run play b
 	if p := c.plays["a"]; p == nil || p.rung != 2 || p.rungSeq != 5 || c.plays["b"] != nil {
 		t.Fatal("want play a with the node's rung and sequence number, and play b lost")
--- a/session/recovery_test.go
+++ b/session/recovery_test.go
@@ -15,7 +15,7 @@
 // modelPlay is the reference model of a play after a crash of the front end: where it really runs, whatever was
 // recorded.
 type modelPlay struct {
-	Running
+	ReportedPlay
 	node     int
 	running  bool
 	recorded bool // the play log says that it has not ended
@@ -36,10 +36,10 @@
 		c := NewCore(now, "f", 5, placement.New(policySettings(), 1), transport, testProducts{}, 1)
 		lost := uint64(rapid.IntRange(0, 1).Draw(t, "lost"))
 		var plays []*modelPlay
-		var open []Expected
+		var open []RecordedPlay
 		var ended []playlog.EndedPlay
 		for i := range rapid.IntRange(0, 8).Draw(t, "plays") {
-			p := &modelPlay{Running: Running{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Attempt: rapid.IntRange(0, 2).Draw(t, "attempt"),
+			p := &modelPlay{ReportedPlay: ReportedPlay{Play: fmt.Sprint("f-1-", i), Epoch: int64(rapid.IntRange(1, 4).Draw(t, "epoch")), Attempt: rapid.IntRange(0, 2).Draw(t, "attempt"),
 				Product: 1, Title: fmt.Sprint("t", i), CellCount: 4, Viewer: fmt.Sprint("v", i), Rung: 1, MaxRung: 2}, node: rapid.IntRange(0, nodes-1).Draw(t, "node")}
 			// An allocation is recorded before it is sent, and its end after it has ended. A running play is therefore
 			// recorded unless records were lost.
@@ -49,7 +49,7 @@
 			plays = append(plays, p)
 			switch {
 			case p.recorded:
-				open = append(open, Expected{p.Running, fmt.Sprint("n", p.node), p.answered})
+				open = append(open, RecordedPlay{p.ReportedPlay, fmt.Sprint("n", p.node), p.answered})
 			case !p.running:
 				ended = append(ended, playlog.EndedPlay{Play: p.Play, EndReason: playlog.Served})
 			}
@@ -65,10 +65,10 @@
 		}
 		var reported, gone [nodes]bool
 		reportedAt := [nodes]int64{}
-		runningOn := func(node int) (reports []Running) {
+		runningOn := func(node int) (reports []ReportedPlay) {
 			for _, p := range plays {
 				if p.running && p.node == node {
-					reports = append(reports, p.Running)
+					reports = append(reports, p.ReportedPlay)
 				}
 			}
 			return reports
@@ -117,16 +117,16 @@
 				}
 				p := plays[rapid.IntRange(0, len(plays)-1).Draw(t, "repeated play")]
 				tracked := c.plays[p.Play]
-				before := c.Counts().Taken
+				before := c.Counts().Accepted
 				req := Request{Product: 1, Title: p.Title, CellCount: 4, Viewer: p.Viewer, Deadline: now + 4*decision.Second, MaxRung: 2, Reply: NewReply()}
 				c.RequestPlay(now, req)
 				if c.wasReady() && p.recorded && !p.answered && tracked != nil {
 					select {
 					case ans := <-req.Reply.Answer():
-						if ans.Verdict == Plays && ans.Play != p.Play || ans.Verdict == Declined || ans.Verdict == Failed || c.Counts().Taken != before {
+						if ans.Verdict == Started && ans.Play != p.Play || ans.Verdict == Declined || ans.Verdict == Failed || c.Counts().Accepted != before {
 							t.Fatalf("repeated request of %s: %+v", p.Play, ans)
 						}
-						if ans.Verdict == Plays {
+						if ans.Verdict == Started {
 							p.answered = true
 						}
 					default:
@@ -172,7 +172,7 @@
 
 func TestUsedUpTokensStayInvalidAfterCrash(t *testing.T) {
 	c := NewCore(startTime, "f", 2, placement.New(policySettings(), 1), &fakeTransport{dials: map[int]int64{}}, testProducts{}, 1)
-	c.Recover(startTime, nil, []playlog.EndedPlay{{Play: "f-1-1", EndReason: playlog.Returned}, {Play: "f-1-2", EndReason: playlog.Served}, {Play: "f-1-3", EndReason: playlog.Moved}}, 0)
+	c.Recover(startTime, nil, []playlog.EndedPlay{{Play: "f-1-1", EndReason: playlog.Resumed}, {Play: "f-1-2", EndReason: playlog.Served}, {Play: "f-1-3", EndReason: playlog.Moved}}, 0)
 	c.UpdateList(startTime, []NodeEntry{{Name: "n0", Address: "a0", Weight: 1}}, true)
 	c.StreamOpened(startTime, 0, "", 7, 0, nil)
 	for play, reason := range map[string]string{"f-1-1": "the token was used to come back already", "f-1-2": "the play has ended"} {
@@ -186,7 +186,7 @@
 	req := newRequest(1, "moved")
 	req.Previous = &Previous{Play: "f-1-3"}
 	c.RequestPlay(readyTime, req)
-	if c.Counts().Taken != 1 {
+	if c.Counts().Accepted != 1 {
 		t.Error("the viewer of a play that was moved before the crash got no new play")
 	}
 }
--- a/session/reply.go
+++ b/session/reply.go
@@ -6,7 +6,7 @@
 type Verdict uint8
 
 const (
-	Plays    Verdict = iota // the play runs; the answer says where
+	Started  Verdict = iota // the play runs; the answer says where
 	Declined                // refused; if its product is paid, no allocation can have run
 	Failed                  // an allocation may have run
 	Denied                  // not accepted because of its token, or because the play may already be under way
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -61,14 +61,14 @@
 // Play is a running play.
 type Play struct {
 	Importance float64
-	Key        int // a unique number that makes the order deterministic
+	ID         int // a unique number that makes the order deterministic
 }
 
-// Release schedules the ends of the running plays of a front end that is not replaced, least important first, so that
+// ReleaseSchedule schedules the ends of the running plays of a front end that is not replaced, least important first, so that
 // their viewers don't all reach the other front ends at once. Plays are releaseInterval apart, or closer and evenly
 // spaced if they would not all end in time otherwise. It returns indexes into plays in that order, and the time for
 // each.
-func Release(now, end int64, plays []Play) (order []int, times []int64) {
+func ReleaseSchedule(now, end int64, plays []Play) (order []int, times []int64) {
 	order = make([]int, len(plays))
 	for i := range order {
 		order[i] = i
@@ -78,7 +78,7 @@
 		if p.Importance != q.Importance {
 			return p.Importance < q.Importance
 		}
-		return p.Key < q.Key
+		return p.ID < q.ID
 	})
 	interval := int64(releaseInterval)
 	if n := int64(len(plays)); n > 0 {
--- a/shutdown/shutdown_test.go
+++ b/shutdown/shutdown_test.go
@@ -38,17 +38,17 @@
 
 func TestReleaseSpacesPlaysByImportance(t *testing.T) {
 	plays := []Play{{2, 1}, {1, 2}, {1, 3}, {3, 4}}
-	order, times := Release(now, now+10*decision.Second, plays)
+	order, times := ReleaseSchedule(now, now+10*decision.Second, plays)
 	for i, want := range []int{1, 2, 0, 3} {
 		if order[i] != want || times[i] != now+int64(i)*releaseInterval {
 			t.Fatalf("order %v, times %v", order, times)
 		}
 	}
 	many := make([]Play, 1000)
-	if _, times := Release(now, now+decision.Second, many); times[999] > Deadline(now+decision.Second) || times[999]-times[0] < decision.Second/2 {
+	if _, times := ReleaseSchedule(now, now+decision.Second, many); times[999] > Deadline(now+decision.Second) || times[999]-times[0] < decision.Second/2 {
 		t.Fatalf("the last play ends %d after the start", times[999]-now)
 	}
-	if order, _ := Release(now, now, nil); len(order) != 0 {
+	if order, _ := ReleaseSchedule(now, now, nil); len(order) != 0 {
 		t.Fatal("want no releases without plays")
 	}
 }
--- a/sockets/sockets.go
+++ b/sockets/sockets.go
@@ -44,17 +44,17 @@
 // for single HTTP requests and health checks.
 func MaxSockets(connections int) int { return max(1, connections*3/4) }
 
-// Refusal is the result of Admission.Admit: Admitted, or why the socket is refused.
-type Refusal uint8
+// AdmitResult is the result of Admission.Admit: Admitted, or why the socket is refused.
+type AdmitResult uint8
 
 const (
-	Admitted    Refusal = iota
-	Full                // the front is at its socket limit
-	RateLimited         // too many new sockets at once
-	Banned              // the player was recently disconnected for its behavior
+	Admitted    AdmitResult = iota
+	Full                    // the front is at its socket limit
+	RateLimited             // too many new sockets at once
+	Banned                  // the player was recently disconnected for its behavior
 )
 
-func (r Refusal) String() string {
+func (r AdmitResult) String() string {
 	return [...]string{"welcome", "the front holds as many sockets as it may", "too many come at once", "this player was cut off"}[r]
 }
 
@@ -84,7 +84,7 @@
 
 // Admit decides whether to accept a new socket of client while open sockets exist. If it refuses, it also returns the
 // delay before the client may retry.
-func (a *Admission) Admit(now int64, client string, open int) (Refusal, int64) {
+func (a *Admission) Admit(now int64, client string, open int) (AdmitResult, int64) {
 	if until, ok := a.bans.Get(client); ok {
 		if now < until {
 			return Banned, max(MinRetryAfter, until-now)
@@ -110,17 +110,17 @@
 	if a.nextRetry > now+maxRetryAfter { // every time within the limit is assigned: start over; the jitter mixes the clients
 		a.nextRetry = now + MinRetryAfter
 	}
-	return a.nextRetry - now + int64(a.random.Float()*float64(interval))
+	return a.nextRetry - now + int64(a.random.Float64()*float64(interval))
 }
 
 // Ban refuses new sockets of a client for banDuration.
 func (a *Admission) Ban(now int64, client string) { a.bans.Add(client, now+banDuration) }
 
-// SpreadReturns returns a retry delay for one of sockets clients that are told to reconnect elsewhere. It is drawn at
+// ReconnectDelay returns a retry delay for one of sockets clients that are told to reconnect elsewhere. It is drawn at
 // random from the time that one front needs to accept them all at admitRate, limited to maxRetryAfter.
-func (a *Admission) SpreadReturns(sockets int) int64 {
+func (a *Admission) ReconnectDelay(sockets int) int64 {
 	window := max(MinRetryAfter, int64(float64(sockets)/admitRate*float64(decision.Second)))
-	return MinRetryAfter + int64(a.random.Float()*float64(min(window, maxRetryAfter)))
+	return MinRetryAfter + int64(a.random.Float64()*float64(min(window, maxRetryAfter)))
 }
 
 // SocketState is the input to Shed for one socket.
@@ -201,8 +201,8 @@
 	return Forget, 0
 }
 
-// Behavior limits the messages of one player on one socket.
-type Behavior struct {
+// MessageLimiter limits the messages of one player on one socket.
+type MessageLimiter struct {
 	tokens         float64
 	refilledAt     int64
 	warnings       int
@@ -211,21 +211,23 @@
 	nextClaim      int
 }
 
-// Response is what to do with a message.
-type Response uint8
+// Action is what to do with a message.
+type Action uint8
 
 const (
-	Accept     Response = iota
-	Ignore              // warn the player and do not act on the message
-	Disconnect          // close the socket and ban the player
+	Accept     Action = iota
+	Ignore            // warn the player and do not act on the message
+	Disconnect        // close the socket and ban the player
 )
 
-// NewBehavior returns a Behavior with a full token bucket.
-func NewBehavior(now int64) Behavior { return Behavior{tokens: messageBurst, refilledAt: now} }
+// NewMessageLimiter returns a MessageLimiter with a full token bucket.
+func NewMessageLimiter(now int64) MessageLimiter {
+	return MessageLimiter{tokens: messageBurst, refilledAt: now}
+}
 
 // Message counts one more message against the rate limit. A player that sends in a loop loses its own socket without
 // cost to others, as messages over the rate are not processed.
-func (b *Behavior) Message(now int64) Response {
+func (b *MessageLimiter) Message(now int64) Action {
 	b.tokens = min(messageBurst, b.tokens+float64(now-b.refilledAt)/float64(decision.Second)*messageRate)
 	b.refilledAt = now
 	if b.tokens >= 1 {
@@ -239,7 +241,7 @@
 }
 
 // Malformed counts a malformed message.
-func (b *Behavior) Malformed() Response {
+func (b *MessageLimiter) Malformed() Action {
 	if b.malformed++; b.malformed >= maxMalformed {
 		return Disconnect
 	}
@@ -249,7 +251,7 @@
 // NotDelivered decides whether to accept a player's report that its node does not deliver, which ends the play there
 // and asks for another node. The limit keeps a player with a broken connection, or one that reports falsely, from being
 // moved from node to node.
-func (b *Behavior) NotDelivered(now int64) Response {
+func (b *MessageLimiter) NotDelivered(now int64) Action {
 	oldest := b.deliveryClaims[b.nextClaim]
 	if oldest != 0 && now-oldest < deliveryClaimWindow {
 		return Ignore
--- a/sockets/sockets_test.go
+++ b/sockets/sockets_test.go
@@ -201,14 +201,14 @@
 }
 
 func TestBehaviorLimits(t *testing.T) {
-	behavior := NewBehavior(now)
+	limiter := NewMessageLimiter(now)
 	accepted, ignored := 0, 0
 	for {
-		response := behavior.Message(now)
-		if response == Disconnect {
+		action := limiter.Message(now)
+		if action == Disconnect {
 			break
 		}
-		if response == Accept {
+		if action == Accept {
 			accepted++
 		} else {
 			ignored++
@@ -217,23 +217,23 @@
 	if accepted != messageBurst || ignored != maxWarnings {
 		t.Fatalf("%d messages accepted, %d ignored", accepted, ignored)
 	}
-	behavior = NewBehavior(now)
+	limiter = NewMessageLimiter(now)
 	for i := range 600 { // a report each second and an acknowledgement every two seconds, for ten minutes
-		if behavior.Message(now+int64(i)*decision.Second) != Accept || i%2 == 0 && behavior.Message(now+int64(i)*decision.Second) != Accept {
+		if limiter.Message(now+int64(i)*decision.Second) != Accept || i%2 == 0 && limiter.Message(now+int64(i)*decision.Second) != Accept {
 			t.Fatal("a message within the rate was not accepted")
 		}
 	}
-	for i, want := range []Response{Ignore, Ignore, Disconnect} {
-		if got := behavior.Malformed(); got != want {
+	for i, want := range []Action{Ignore, Ignore, Disconnect} {
+		if got := limiter.Malformed(); got != want {
 			t.Fatalf("malformed message %d: got %v, want %v", i+1, got, want)
 		}
 	}
 	for i := range maxDeliveryClaims {
-		if behavior.NotDelivered(now+int64(i)) != Accept {
+		if limiter.NotDelivered(now+int64(i)) != Accept {
 			t.Fatal("a report of a broken node was not accepted")
 		}
 	}
-	if behavior.NotDelivered(now+deliveryClaimWindow-1) != Ignore || behavior.NotDelivered(now+deliveryClaimWindow) != Accept {
+	if limiter.NotDelivered(now+deliveryClaimWindow-1) != Ignore || limiter.NotDelivered(now+deliveryClaimWindow) != Accept {
 		t.Fatal("reports of broken nodes are not limited per deliveryClaimWindow")
 	}
 }
--- a/testbed/baseline.go
+++ b/testbed/baseline.go
@@ -135,7 +135,7 @@
 			if !n.listed || n.Phase != decision.Ready || ((n.Cell-p.request.FirstCell)%cells+cells)%cells >= p.request.CellCount || p.hasTried(i) {
 				continue
 			}
-			score := b.random.Float()
+			score := b.random.Float64()
 			if b.leastLoaded {
 				score = -n.linkLoad + score/1e6
 			}
@@ -177,7 +177,7 @@
 	if !paid && target < giveUpAt {
 		giveUpAt = target
 	}
-	b.result.Orders = append(b.result.Orders, decision.Order{Play: h, Action: decision.Place, Node: chosen, Rung: rung, Until: giveUpAt})
+	b.result.Orders = append(b.result.Orders, decision.Order{Play: h, Action: decision.Place, Node: chosen, Rung: rung, Deadline: giveUpAt})
 }
 
 func (p *baselinePlay) hasTried(node int) bool {
@@ -245,8 +245,8 @@
 }
 
 func (b *baseline) recordLoad(node int, load decision.Load) {
-	if load.Link >= 0 {
-		b.nodes[node].linkLoad = load.Link
+	if load.LinkUtilization >= 0 {
+		b.nodes[node].linkLoad = load.LinkUtilization
 	}
 }
 
--- a/testbed/list.go
+++ b/testbed/list.go
@@ -16,7 +16,7 @@
 type ListService struct {
 	recorder *trace.Recorder
 	mu       sync.Mutex
-	current  map[string]nodes.Line
+	current  map[string]nodes.ListNode
 	names    []string       // in order of first appearance
 	changes  []nodes.Change // in order of versions, the first is version 1
 	sendAt   []time.Time    // earliest time to send each change
@@ -29,11 +29,11 @@
 
 // NewListService returns a list service that sends changes after a delay.
 func NewListService(t *trace.Recorder, delay time.Duration) *ListService {
-	return &ListService{recorder: t, current: map[string]nodes.Line{}, changed: make(chan struct{}), delay: delay}
+	return &ListService{recorder: t, current: map[string]nodes.ListNode{}, changed: make(chan struct{}), delay: delay}
 }
 
 // UpdateNodes records changes of nodes as one new version of the list. The first version is sent without delay.
-func (s *ListService) UpdateNodes(lines ...nodes.Line) {
+func (s *ListService) UpdateNodes(lines ...nodes.ListNode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range lines {
@@ -108,7 +108,7 @@
 		}
 		if sent == 0 && len(next) > 0 { // the full list, as of the last version that is due
 			version := next[len(next)-1].Version
-			latest := map[string]nodes.Line{}
+			latest := map[string]nodes.ListNode{}
 			for _, c := range next {
 				for _, l := range c.Nodes {
 					latest[l.Name] = l
@@ -140,7 +140,7 @@
 		case <-timer.C:
 		case <-changed:
 		case <-heartbeat.C:
-			if enc.Encode(nodes.Change{Beat: true, Version: int64(sent)}) != nil {
+			if enc.Encode(nodes.Change{Heartbeat: true, Version: int64(sent)}) != nil {
 				timer.Stop()
 				return
 			}
--- a/testbed/node.go
+++ b/testbed/node.go
@@ -95,7 +95,7 @@
 // Node is an emulated playout node.
 type Node struct {
 	fleet  *Fleet
-	line   nodes.Line
+	line   nodes.ListNode
 	cell   int
 	server *http.Server
 	ctx    context.Context
@@ -314,9 +314,9 @@
 // setLoadHeader sets the response header with the reported loads. The caller holds the fleet's lock.
 func (n *Node) setLoadHeader(w http.ResponseWriter) {
 	link, uplink := n.reportedLoads()
-	l := decision.Load{Streams: float64(len(n.plays)), Link: link, Uplink: -1}
+	l := decision.Load{Streams: float64(len(n.plays)), LinkUtilization: link, UplinkUtilization: -1}
 	if n.fleet.service.ReportUplinks {
-		l.Uplink = uplink
+		l.UplinkUtilization = uplink
 	}
 	w.Header().Set(nodes.LoadHeader, nodes.FormatLoad(l))
 }
--- a/testbed/path_test.go
+++ b/testbed/path_test.go
@@ -217,7 +217,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dead := nodes.Line{Name: "dead", Address: l.Addr().String(), Phase: "ready", Kind: "std", Zone: "z", Weight: 1}
+	dead := nodes.ListNode{Name: "dead", Address: l.Addr().String(), Phase: "ready", Kind: "std", Zone: "z", Weight: 1}
 	l.Close()
 	r := newRig(t, 1, dead)
 	for i := range 3 {
@@ -294,7 +294,7 @@
 	r.eventually("the set-up is pending", func() bool { return r.countEvents(trace.SetUp, "") == 1 })
 	cancel()
 	r.eventually("the front closes its connection to the node", func() bool { return r.countEvents(trace.Dropped, "") == 1 })
-	r.eventually("the front holds no play", func() bool { return r.front.Counts(context.Background()).InHand == 0 })
+	r.eventually("the front holds no play", func() bool { return r.front.Counts(context.Background()).Active == 0 })
 }
 
 func TestSlowReadersDoNotBlockOthers(t *testing.T) {
@@ -417,7 +417,7 @@
 	}
 	r.stop()
 	r.startFront()
-	if n := r.front.Counts(context.Background()); n.Adopted != 3 || n.InHand != 3 {
+	if n := r.front.Counts(context.Background()); n.Adopted != 3 || n.Active != 3 {
 		t.Fatalf("adopted: %+v", n)
 	}
 	if x := r.requestPlay("clip", "paid", "w"); x.status != http.StatusServiceUnavailable {
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -52,7 +52,7 @@
 }
 
 // NodeUpdater accepts changes of nodes: the list service, in this or another process.
-type NodeUpdater interface{ UpdateNodes(lines ...nodes.Line) }
+type NodeUpdater interface{ UpdateNodes(lines ...nodes.ListNode) }
 
 // frontProcess is a front end and its current process, if any. Faults may kill and restart the process.
 type frontProcess struct {
@@ -181,7 +181,7 @@
 
 // startNodes starts the selected nodes of the scenario. It draws a capacity for every node, selected or not, so
 // that all processes agree on them.
-func (r *Rehearsal) startNodes(selected func(number int) bool) (lines []nodes.Line, err error) {
+func (r *Rehearsal) startNodes(selected func(number int) bool) (lines []nodes.ListNode, err error) {
 	for i := range r.Scenario.Nodes {
 		linkKB := r.Scenario.Service.WeightKB * r.spreadFactor()
 		if !selected(i) {
@@ -229,7 +229,7 @@
 		return nil, err
 	}
 	service := &r.Scenario.Service
-	n := &Node{fleet: r.fleet, cell: cell, linkKB: linkKB, setUpSlowdown: 1, line: nodes.Line{Name: name,
+	n := &Node{fleet: r.fleet, cell: cell, linkKB: linkKB, setUpSlowdown: 1, line: nodes.ListNode{Name: name,
 		Address: addr, Phase: "ready", Kind: service.Kinds[i%len(service.Kinds)].Name, Zone: service.Zones[i%len(service.Zones)],
 		Cell: cell, Weight: 1}}
 	r.fleet.mu.Lock()
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -55,13 +55,13 @@
 }
 
 // newRig starts n simulated nodes and a front, and waits until the front is ready. The list also names extraNodes.
-func newRig(t *testing.T, n int, extraNodes ...nodes.Line) *rig {
+func newRig(t *testing.T, n int, extraNodes ...nodes.ListNode) *rig {
 	t.Helper()
 	return newRigWith(t, n, func(*rig) {}, extraNodes...)
 }
 
 // newRigWith is newRig with a function that configures the rig before the nodes start.
-func newRigWith(t *testing.T, n int, configure func(r *rig), extraNodes ...nodes.Line) *rig {
+func newRigWith(t *testing.T, n int, configure func(r *rig), extraNodes ...nodes.ListNode) *rig {
 	t.Helper()
 	r := &rig{t: t, scheme: "http", recorder: trace.New(), client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{}}}
 	doc, v, err := config.Parse("service", []byte(testService))
@@ -89,7 +89,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		node := &Node{fleet: r.fleet, cell: i % 4, linkKB: 1e6, setUpSlowdown: 1, line: nodes.Line{Name: fmt.Sprint("n", i), Address: addr,
+		node := &Node{fleet: r.fleet, cell: i % 4, linkKB: 1e6, setUpSlowdown: 1, line: nodes.ListNode{Name: fmt.Sprint("n", i), Address: addr,
 			Phase: "ready", Kind: "std", Zone: "z", Cell: i % 4, Weight: 1}}
 		r.fleet.nodes[node.line.Name] = node
 		r.nodes = append(r.nodes, node)
@@ -239,7 +239,7 @@
 
 // scriptedNode is a node whose answer to each set-up is scripted by the test.
 type scriptedNode struct {
-	line     nodes.Line
+	line     nodes.ListNode
 	mu       sync.Mutex
 	received int // set-ups
 }
@@ -282,7 +282,7 @@
 	server := &http.Server{Handler: mux}
 	go server.Serve(l)
 	t.Cleanup(func() { server.Close() })
-	s.line = nodes.Line{Name: name, Address: l.Addr().String(), Phase: "ready", Kind: "std", Zone: "z", Weight: 1}
+	s.line = nodes.ListNode{Name: name, Address: l.Addr().String(), Phase: "ready", Kind: "std", Zone: "z", Weight: 1}
 	return s
 }
 
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -100,7 +100,7 @@
 // simNode is a simulated playout node, the counterpart of Node.
 type simNode struct {
 	sim             *Sim
-	line            nodes.Line
+	line            nodes.ListNode
 	cell            int
 	linkKB          float64
 	demandKB        float64 // sum of the bit rates of its plays in kB/s
@@ -165,9 +165,9 @@
 	if k := len(n.samples) - 1 - int(n.sim.reportDelay); n.sim.reportDelay > 0 && len(n.samples) > 0 {
 		link, uplink = n.samples[max(0, k)].link, n.samples[max(0, k)].uplink
 	}
-	l := decision.Load{Streams: float64(len(n.orderedPlays)), Link: link, Uplink: -1}
+	l := decision.Load{Streams: float64(len(n.orderedPlays)), LinkUtilization: link, UplinkUtilization: -1}
 	if n.sim.Scenario.Service.ReportUplinks {
-		l.Uplink = uplink
+		l.UplinkUtilization = uplink
 	}
 	return l
 }
@@ -222,7 +222,7 @@
 
 func (s *Sim) newNode(name string, cell, i int, linkKB float64) *simNode {
 	service := &s.Scenario.Service
-	n := &simNode{sim: s, cell: cell, linkKB: linkKB, setUpSlowdown: 1, life: 1, line: nodes.Line{Name: name, Address: name + ":1", Phase: "ready",
+	n := &simNode{sim: s, cell: cell, linkKB: linkKB, setUpSlowdown: 1, life: 1, line: nodes.ListNode{Name: name, Address: name + ":1", Phase: "ready",
 		Kind: service.Kinds[i%len(service.Kinds)].Name, Zone: service.Zones[i%len(service.Zones)], Cell: cell, Weight: 1}}
 	s.nodesByAddress[n.line.Address] = n
 	s.allNodes = append(s.allNodes, n)
@@ -475,7 +475,7 @@
 	p := &pendingSetUp{allocation: a, node: s.nodesByAddress[a.Address]}
 	f.nodeNumbers[p.node] = a.Node
 	f.pendingSetUps[a.Ref] = p
-	s.after(a.Until-s.now, func() { f.finishSetUp(a.Ref, p, decision.NoAnswer, 0) })
+	s.after(a.Deadline-s.now, func() { f.finishSetUp(a.Ref, p, decision.NoAnswer, 0) })
 	s.after(2*nodeLatency, func() { f.receiveSetUp(p) })
 }
 
@@ -521,7 +521,7 @@
 	s.after(delay, func() {
 		switch {
 		case n.plays[a.Play] != play || !n.up:
-		case n.silences > 0: // no answer: the front gives up at Until
+		case n.silences > 0: // no answer: the front gives up at Deadline
 		case fails:
 			n.removePlay(play)
 			recordEnd(trace.Errored, "")
@@ -593,8 +593,8 @@
 
 func (f *simFront) SetRung(r session.Ref, address string, rung, seq int) {
 	f.callNode(address, func(n *simNode) {
-		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt && seq > p.Seq {
-			p.Seq = seq
+		if p := n.plays[r.Play]; p != nil && p.Attempt == r.Attempt && seq > p.RungSeq {
+			p.RungSeq = seq
 			n.setRung(p, rung)
 			f.sim.record(trace.Event{Kind: trace.Rung, Node: n.line.Name, Front: f.name, Play: r.Play, Attempt: r.Attempt, Product: p.product.Name, Rung: rung})
 		}
@@ -650,12 +650,12 @@
 		default:
 			f.streams[node] = n
 			n.lastHeartbeat[f.number] = s.now
-			var running []session.Running
+			var running []session.ReportedPlay
 			for _, p := range n.orderedPlays {
 				if p.front == f.number && p.playing {
 					firstCell, cellCount, _ := s.Scenario.Service.Title(p.Title)
-					running = append(running, session.Running{Play: p.Play, Epoch: p.epoch, Attempt: p.Attempt, Product: p.Product, Title: p.Title,
-						FirstCell: firstCell, CellCount: cellCount, Viewer: p.Viewer, Rung: p.Rung, Seq: p.Seq, MaxRung: p.MaxRung})
+					running = append(running, session.ReportedPlay{Play: p.Play, Epoch: p.epoch, Attempt: p.Attempt, Product: p.Product, Title: p.Title,
+						FirstCell: firstCell, CellCount: cellCount, Viewer: p.Viewer, Rung: p.Rung, RungSeq: p.RungSeq, MaxRung: p.MaxRung})
 				}
 			}
 			nodeLife, mark := n.life, n.mark
@@ -728,7 +728,7 @@
 // simChange is a change of the list of nodes.
 type simChange struct {
 	sendAt int64 // earliest time to send it
-	lines  []nodes.Line
+	lines  []nodes.ListNode
 }
 
 // simList is the simulated list service.
@@ -739,7 +739,7 @@
 }
 
 // updateNodes records changes of nodes as one change of the list. The first change is sent without delay.
-func (s *Sim) updateNodes(lines ...nodes.Line) {
+func (s *Sim) updateNodes(lines ...nodes.ListNode) {
 	sendAt := s.now + s.list.delay
 	if k := len(s.list.changes); k == 0 {
 		sendAt = s.now
@@ -767,10 +767,10 @@
 		return
 	}
 	full := f.listVersion == 0
-	var lines []nodes.Line
+	var lines []nodes.ListNode
 	for _, c := range s.list.changes[f.listVersion:version] {
 		for _, l := range c.lines {
-			lines = slices.DeleteFunc(lines, func(o nodes.Line) bool { return o.Name == l.Name })
+			lines = slices.DeleteFunc(lines, func(o nodes.ListNode) bool { return o.Name == l.Name })
 			lines = append(lines, l)
 		}
 	}
@@ -885,7 +885,7 @@
 	event := trace.Event{Kind: trace.Answer, ID: id, Play: a.Play, Note: a.Reason}
 	switch {
 	case a.Verdict == connectionCut:
-	case a.Verdict == session.Plays:
+	case a.Verdict == session.Started:
 		event.Status = 200
 	case a.Verdict == session.Declined:
 		event.Status = 503
@@ -989,7 +989,7 @@
 		}
 		s.racks = append(s.racks, rack{uplinkKB * spreadFactor(), 1})
 	}
-	var lines []nodes.Line
+	var lines []nodes.ListNode
 	for i := range sc.Nodes {
 		n := s.newNode(fmt.Sprintf("n%d", i), i%sc.Service.Cells, i, sc.Service.WeightKB*spreadFactor())
 		s.nodesByNumber = append(s.nodesByNumber, n)
--- a/testbed/stand.go
+++ b/testbed/stand.go
@@ -18,7 +18,7 @@
 // common start time.
 
 // StartRack starts the nodes of one rack, and returns their entries for a list service in another process.
-func (r *Rehearsal) StartRack(rack int, t *trace.Recorder) ([]nodes.Line, error) {
+func (r *Rehearsal) StartRack(rack int, t *trace.Recorder) ([]nodes.ListNode, error) {
 	if _, err := r.prepare(t); err != nil {
 		return nil, err
 	}
@@ -28,7 +28,7 @@
 
 // StartList starts the list service with the given nodes. The caller must serve HandleUpdateNodes to receive
 // changes of nodes in other processes.
-func (r *Rehearsal) StartList(t *trace.Recorder, lines []nodes.Line) (addr string, err error) {
+func (r *Rehearsal) StartList(t *trace.Recorder, lines []nodes.ListNode) (addr string, err error) {
 	if _, err := r.prepare(t); err != nil {
 		return "", err
 	}
@@ -50,7 +50,7 @@
 	logf func(format string, args ...any)
 }
 
-func (a remoteList) UpdateNodes(lines ...nodes.Line) {
+func (a remoteList) UpdateNodes(lines ...nodes.ListNode) {
 	body, err := json.Marshal(lines)
 	if err == nil {
 		var resp *http.Response
@@ -66,7 +66,7 @@
 // HandleUpdateNodes receives changes of nodes from other processes. It has its own address, so that it works while
 // a fault has stopped the list service.
 func (r *Rehearsal) HandleUpdateNodes(w http.ResponseWriter, req *http.Request) {
-	var lines []nodes.Line
+	var lines []nodes.ListNode
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, 1<<20)).Decode(&lines); err != nil || len(lines) == 0 {
 		http.Error(w, fmt.Sprint("announce: ", err), http.StatusBadRequest)
 		return
--- a/testbed/store_test.go
+++ b/testbed/store_test.go
@@ -27,7 +27,7 @@
 	defer endSilence()
 	r.stop()
 	r.startFront() // waits until ready; without records, the front would wait until the silent node's lease expires
-	if n := r.front.Counts(t.Context()); n.InHand != 3 || n.Lost != 0 {
+	if n := r.front.Counts(t.Context()); n.Active != 3 || n.Broken != 0 {
 		t.Fatalf("recovered from records: %+v", n)
 	}
 	if x := r.requestPlay("clip", "paid", "w"); x.status != http.StatusServiceUnavailable {
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -68,7 +68,7 @@
 		t.Fatalf("status %d, play %s, want play %s", x.status, x.play, grant.Play)
 	}
 	p.End()
-	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
+	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).Active == 0 })
 }
 
 func TestSocketPlayMovesAfterNodeCrash(t *testing.T) {
@@ -150,7 +150,7 @@
 	if _, err := c.RequestPlay(ctx, client.Request{Title: "clip", Product: "safe", MaxRung: -1, Timeout: time.Second, MaxRetries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
-	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
+	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).Active == 0 })
 	c.Close()
 	if _, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
 		t.Fatalf("after Close: %v", err)
--- a/token/token.go
+++ b/token/token.go
@@ -36,7 +36,7 @@
 	Viewer  string `json:"vwr"`
 	Node    string `json:"nod"` // name of the playout node
 	Rung    int    `json:"rng"` // highest rung that the node may send
-	Top     int    `json:"top"` // highest rung that the viewer can use
+	MaxRung int    `json:"top"` // highest rung that the viewer can use
 	jwt.RegisteredClaims
 }
 
@@ -87,7 +87,7 @@
 	case parsed.Header["typ"] != tokenType || len(claims.Audience) != 1 || claims.Audience[0] != audience:
 		return Claims{}, fmt.Errorf("%w: type or audience", ErrWrongType)
 	case claims.ExpiresAt == nil || claims.Play == "" || claims.Title == "" || claims.Product == "" || claims.Viewer == "" ||
-		claims.Node == "" || claims.Front == "" || claims.Rung < 0 || claims.Top < 0:
+		claims.Node == "" || claims.Front == "" || claims.Rung < 0 || claims.MaxRung < 0:
 		return Claims{}, fmt.Errorf("%w: a claim is missing", ErrMalformed)
 	case !now.Before(claims.ExpiresAt.Time):
 		return claims, fmt.Errorf("%w at %s", ErrExpired, claims.ExpiresAt.Time.UTC().Format(time.RFC3339))
--- a/token/token_test.go
+++ b/token/token_test.go
@@ -28,7 +28,7 @@
 	return m
 }
 
-var testClaims = Claims{Play: "f1-1", Front: "f1", Title: "clip", Product: "lesson", Viewer: "v", Node: "n1", Rung: 1, Top: 2}
+var testClaims = Claims{Play: "f1-1", Front: "f1", Title: "clip", Product: "lesson", Viewer: "v", Node: "n1", Rung: 1, MaxRung: 2}
 
 func TestRotationAcceptsTheOlderKeyUntilItIsRemoved(t *testing.T) {
 	older, newer := testKey("a", 'a'), testKey("b", 'b')
--- a/wsapi/ticket.go
+++ b/wsapi/ticket.go
@@ -38,7 +38,7 @@
 func (t *ticket) onAnswer(answer session.Answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.answered, t.granted, t.playID, t.pending = true, answer.Verdict == session.Plays, answer.Play, nil
+	t.answered, t.granted, t.playID, t.pending = true, answer.Verdict == session.Started, answer.Play, nil
 	t.ended = !t.granted
 	t.answerCursor = t.outbox.Put(sockets.Answer, answer)
 	if t.dropped && t.granted { // the viewer no longer waits; a new goroutine, as this callback must not call the core
@@ -52,7 +52,7 @@
 func (t *ticket) onEvent(event session.Event) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if event.Ended != "" {
+	if event.EndReason != "" {
 		t.ended = true
 		t.outbox.Put(sockets.End, event)
 	} else {
@@ -81,10 +81,10 @@
 	switch value := m.Value.(type) {
 	case session.Event:
 		out.Type, out.Play = "ended", value.Answer.Play
-		switch value.Ended {
+		switch value.EndReason {
 		case playlog.Moved, playlog.Broken:
 			out.Type = "moved"
-		case playlog.Returned:
+		case playlog.Resumed:
 			out.Why = "it was taken up elsewhere"
 		}
 		return out, true
@@ -94,7 +94,7 @@
 			out.Type, out.Verdict, out.Why, out.ComeBack = "answer", value.Verdict.String(), value.Reason, session.Duration(value.RetryAfter).Milliseconds()
 			t.front.service.Log(t.request, value, "socket", time.Since(t.startedAt))
 		}
-		if value.Verdict == session.Plays {
+		if value.Verdict == session.Started {
 			grant, err := t.front.service.Grant(value)
 			if err != nil { // ended, as the viewer can't use the play without the grant
 				t.front.log.Error().Err(err).Msg("granting a play failed; ending the play")
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -64,16 +64,16 @@
 func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	clientID := r.URL.Query().Get("viewer") // unauthenticated: used only to recognize banned clients
 	f.mu.Lock()
-	refusal, retryAfter := f.admission.Admit(f.now(), clientID, len(f.open)+f.handshakes)
-	if refusal == sockets.Admitted {
+	result, retryAfter := f.admission.Admit(f.now(), clientID, len(f.open)+f.handshakes)
+	if result == sockets.Admitted {
 		f.handshakes++ // counted before the handshake: thousands of concurrent handshakes could exceed the limit otherwise
 	}
 	var shed []*socket
-	if refusal == sockets.Full {
+	if result == sockets.Full {
 		shed = f.selectForShedding()
 	}
 	closing := f.closing
-	if closing && refusal == sockets.Admitted {
+	if closing && result == sockets.Admitted {
 		f.handshakes--
 	}
 	f.mu.Unlock()
@@ -81,13 +81,13 @@
 		f.counts.Shed.Add(1)
 		s.closeWith(websocket.StatusTryAgainLater, "the front holds as many sockets as it may")
 	}
-	if closing || refusal != sockets.Admitted {
+	if closing || result != sockets.Admitted {
 		f.counts.Refused.Add(1)
 		h := w.Header()
 		h.Set("Cache-Control", "no-store")
 		h.Set("Retry-After", strconv.FormatInt((max(retryAfter, decision.Second)+decision.Second-1)/decision.Second, 10))
 		h.Set(RetryAfterMsHeader, strconv.FormatInt(session.Duration(max(retryAfter, decision.Second)).Milliseconds(), 10))
-		reason := refusal.String()
+		reason := result.String()
 		if closing {
 			reason = "the front is ending"
 		}
@@ -109,7 +109,7 @@
 	conn.SetReadLimit(sockets.MaxMessageBytes)
 	ctx, cancel := context.WithCancel(f.ctx)
 	now := f.now()
-	s := &socket{front: f, conn: conn, clientID: clientID, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1), behavior: sockets.NewBehavior(now), activeAt: now}
+	s := &socket{front: f, conn: conn, clientID: clientID, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1), limiter: sockets.NewMessageLimiter(now), activeAt: now}
 	f.mu.Lock()
 	f.handshakes--
 	if f.closing {
@@ -179,7 +179,7 @@
 	var openSockets []*socket
 	for _, s := range f.openOrder {
 		if f.open[s] {
-			s.retryAfter = f.admission.SpreadReturns(len(f.open))
+			s.retryAfter = f.admission.ReconnectDelay(len(f.open))
 			openSockets = append(openSockets, s)
 		}
 	}
@@ -236,8 +236,8 @@
 	ctx        context.Context
 	cancel     context.CancelFunc
 	wake       chan struct{}
-	behavior   sockets.Behavior // used only by readLoop
-	retryAfter int64            // reconnection delay sent by Shut, 0 before; guarded by front.mu
+	limiter    sockets.MessageLimiter // used only by readLoop
+	retryAfter int64                  // reconnection delay sent by Shut, 0 before; guarded by front.mu
 
 	mu          sync.Mutex
 	tickets     []*ticket
@@ -380,7 +380,7 @@
 			s.front.mu.Lock()
 			retryAfter := s.retryAfter
 			if retryAfter == 0 {
-				retryAfter = s.front.admission.SpreadReturns(1)
+				retryAfter = s.front.admission.ReconnectDelay(1)
 			}
 			s.front.mu.Unlock()
 			s.send(Message{Type: "bye", Why: closeReason, ComeBack: session.Duration(retryAfter).Milliseconds()})
@@ -437,7 +437,7 @@
 		if err != nil {
 			return // closed, lost, or a message above the size limit, for which the library closes with code 1009
 		}
-		switch s.behavior.Message(s.front.now()) {
+		switch s.limiter.Message(s.front.now()) {
 		case sockets.Disconnect:
 			s.disconnectAndBan("too many messages")
 			continue
@@ -450,7 +450,7 @@
 			err = errors.New("message: text is needed")
 		}
 		if err != nil {
-			if s.behavior.Malformed() == sockets.Disconnect {
+			if s.limiter.Malformed() == sockets.Disconnect {
 				s.disconnectAndBan("messages that do not hold")
 				continue
 			}
@@ -508,7 +508,7 @@
 			return "it does not play"
 		}
 		if m.Broken {
-			if s.behavior.NotDelivered(s.front.now()) != sockets.Accept {
+			if s.limiter.NotDelivered(s.front.now()) != sockets.Accept {
 				return "too many broken nodes in a short time: look at the player's own line"
 			}
 			s.front.service.Post(func(now int64, c *session.Core) { c.NotDelivered(now, playID) })
@@ -546,7 +546,7 @@
 
 func (s *socket) handleAsk(m Message) string {
 	f := s.front
-	params := playapi.Params{Title: m.Title, Product: m.Product, Viewer: m.Viewer, MaxRung: -1, LimitMs: m.LimitMs, LengthMs: m.LengthMs, NotDelivered: m.Broken}
+	params := playapi.Params{Title: m.Title, Product: m.Product, Viewer: m.Viewer, MaxRung: -1, TimeoutMs: m.LimitMs, LengthMs: m.LengthMs, NotDelivered: m.Broken}
 	if m.Top != nil {
 		params.MaxRung = *m.Top
 	}
@@ -563,7 +563,7 @@
 			return "token: made for another title, viewer or product"
 		}
 		request.Previous = &session.Previous{Play: claims.Play, NotDelivered: m.Broken}
-		if m.Broken && s.behavior.NotDelivered(f.now()) != sockets.Accept {
+		if m.Broken && s.limiter.NotDelivered(f.now()) != sockets.Accept {
 			return "too many broken nodes in a short time: look at the player's own line"
 		}
 	}
@@ -621,7 +621,7 @@
 		s.sendUnknown(m.Ticket, err.Error())
 		return ""
 	}
-	request, err := playapi.NewReturnRequest(f.service.Config, claims, playapi.Params{})
+	request, err := playapi.NewTokenRequest(f.service.Config, claims, playapi.Params{})
 	if err != nil {
 		return err.Error()
 	}
@@ -653,7 +653,7 @@
 		case ended != "":
 			f.counts.Resumed.Add(1)
 			t.ended = true
-			t.outbox.Put(sockets.End, session.Event{Ended: ended, Answer: session.Answer{Play: claims.Play}})
+			t.outbox.Put(sockets.End, session.Event{EndReason: ended, Answer: session.Answer{Play: claims.Play}})
 		default:
 			t.ended, t.dropped = true, true
 			go func() { f.removeTicket(t); s.removeTicket(t); s.sendUnknown(m.Ticket, "") }()
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -75,7 +75,7 @@
 }
 
 func playsAnswer(play string, rung int) session.Answer {
-	return session.Answer{Verdict: session.Plays, Play: play, Node: "n", Address: "127.0.0.1:1", Title: "t", Viewer: "v", Rung: rung, MaxRung: 1}
+	return session.Answer{Verdict: session.Started, Play: play, Node: "n", Address: "127.0.0.1:1", Title: "t", Viewer: "v", Rung: rung, MaxRung: 1}
 }
 
 type fixture struct {
@@ -191,7 +191,7 @@
 	if m = p.receive(); m.Type != "rung" || m.Cursor != 2 || len(m.Grant.Rungs) != 2 || m.Grant.Rungs[1].ID != "r1" {
 		t.Fatalf("%+v", m)
 	}
-	request.OnEvent(session.Event{Ended: playlog.Moved, Answer: session.Answer{Play: "p1"}})
+	request.OnEvent(session.Event{EndReason: playlog.Moved, Answer: session.Answer{Play: "p1"}})
 	if m = p.receive(); m.Type != "moved" || m.Cursor != 3 || m.Play != "p1" {
 		t.Fatalf("%+v", m)
 	}
@@ -233,7 +233,7 @@
 			t.Fatalf("%d: %+v", want, m)
 		}
 	}
-	request.OnEvent(session.Event{Ended: playlog.Served, Answer: session.Answer{Play: "p1"}})
+	request.OnEvent(session.Event{EndReason: playlog.Served, Answer: session.Answer{Play: "p1"}})
 	q.conn.CloseNow()
 	r := f.dial(t)
 	r.send(`{"type":"resume","ticket":%q,"cursor":3}`, ticketA)
