--- a/client/client.go
+++ b/client/client.go
@@ -225,7 +225,7 @@
 func (p *Play) ReportNotDelivered() {
 	p.client.mu.Lock()
 	if p.state == statePlaying {
-		p.client.send(wsapi.Message{Type: "report", Ticket: p.ticket, Broken: true})
+		p.client.send(wsapi.Message{Type: "report", Ticket: p.ticket, NotDelivered: true})
 	}
 	p.client.mu.Unlock()
 	p.client.wake()
@@ -430,7 +430,7 @@
 		select {
 		case m := <-incoming:
 			if m.Type == "bye" {
-				retryAfter = time.Duration(m.ComeBack) * time.Millisecond
+				retryAfter = time.Duration(m.RetryAfterMs) * time.Millisecond
 				continue // the front closes the socket next
 			}
 			c.handle(m, front)
@@ -508,17 +508,17 @@
 func (c *Client) requestNow(p *Play, front int, now time.Time) {
 	p.ticket, p.front, p.state, p.cursor = newTicketID(), front, statePending, 0
 	m := wsapi.Message{Type: "ask", Ticket: p.ticket, Title: p.request.Title, Product: p.request.Product, Viewer: c.options.Viewer,
-		LimitMs: int(p.request.Timeout.Milliseconds()), LengthMs: int(p.request.Length.Milliseconds()), Token: p.previousToken, Broken: p.notDelivered && p.previousToken != ""}
+		TimeoutMs: int(p.request.Timeout.Milliseconds()), LengthMs: int(p.request.Length.Milliseconds()), Token: p.previousToken, NotDelivered: p.notDelivered && p.previousToken != ""}
 	if p.request.MaxRung >= 0 {
 		maxRung := p.request.MaxRung
-		m.Top = &maxRung
+		m.MaxRung = &maxRung
 	}
 	timeout := p.request.Timeout
 	if timeout == 0 {
 		timeout = 30 * time.Second
 	}
 	p.deadline = now.Add(timeout)
-	c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Request: p.request, PreviousPlay: p.playID, NotDelivered: m.Broken})
+	c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Request: p.request, PreviousPlay: p.playID, NotDelivered: m.NotDelivered})
 	c.send(m)
 }
 
@@ -594,15 +594,15 @@
 			}
 			return
 		}
-		c.retry(p, &RefusedError{Verdict: m.Verdict, Reason: m.Why, RetryAfter: time.Duration(m.ComeBack) * time.Millisecond})
+		c.retry(p, &RefusedError{Verdict: m.Verdict, Reason: m.Reason, RetryAfter: time.Duration(m.RetryAfterMs) * time.Millisecond})
 	case "rung":
 		p.grant = *m.Grant
 		p.emit(Event{Kind: Rung, Grant: p.grant})
 	case "moved":
-		p.emit(Event{Kind: Interrupted, Reason: m.Why})
+		p.emit(Event{Kind: Interrupted, Reason: m.Reason})
 		p.previousToken, p.state, p.requestAt = p.grant.Token, stateWaiting, time.Now()
 	case "ended":
-		c.end(p, Event{Kind: Ended, Reason: m.Why}, &RefusedError{Verdict: "failed", Reason: "ended"})
+		c.end(p, Event{Kind: Ended, Reason: m.Reason}, &RefusedError{Verdict: "failed", Reason: "ended"})
 	case "taken":
 		c.end(p, Event{Kind: Ended, Reason: "taken over by another socket"}, errors.New("client: taken over by another socket"))
 	case "unknown":
@@ -615,9 +615,9 @@
 		p.state, p.requestAt = stateWaiting, time.Now()
 	case "error":
 		if p.state == statePending {
-			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Why: m.Why}})
+			c.onExchange(Exchange{Ticket: p.ticket, Front: c.options.Fronts[front], Answer: &wsapi.Message{Type: "answer", Verdict: "denied", Reason: m.Reason}})
 			p.previousToken = "" // the token may have been rejected
-			c.retry(p, &RefusedError{Verdict: "denied", Reason: m.Why})
+			c.retry(p, &RefusedError{Verdict: "denied", Reason: m.Reason})
 		}
 	}
 }
--- a/client/manifest.go
+++ b/client/manifest.go
@@ -15,8 +15,8 @@
 
 const maxManifestBytes = 1 << 20 // bytes
 
-// FirstManifestURL returns the URL by which a play of a title is requested without a token.
-func FirstManifestURL(scheme, front, viewer string, request Request) string {
+// ManifestURL returns the URL by which a play of a title is requested without a token.
+func ManifestURL(scheme, front, viewer string, request Request) string {
 	query := url.Values{"product": {request.Product}, "viewer": {viewer}}
 	if request.MaxRung >= 0 {
 		query.Set("top", strconv.Itoa(request.MaxRung))
@@ -30,8 +30,8 @@
 	return scheme + "://" + front + "/v1/titles/" + url.PathEscape(request.Title) + "/manifest.mpd?" + query.Encode()
 }
 
-// ManifestAnswer is the answer to a request for a manifest.
-type ManifestAnswer struct {
+// ManifestResponse is the answer to a request for a manifest.
+type ManifestResponse struct {
 	Status     int
 	Play       string
 	Reason     string        // why the request was refused, or why the manifest is invalid
@@ -41,28 +41,28 @@
 
 // RequestManifest requests a manifest, without retries. It returns an error if no answer is received. If the manifest in the
 // answer is invalid, Status is 0.
-func RequestManifest(ctx context.Context, httpClient *http.Client, manifestURL string) (ManifestAnswer, error) {
+func RequestManifest(ctx context.Context, httpClient *http.Client, manifestURL string) (ManifestResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, manifestURL, nil)
 	if err != nil {
-		return ManifestAnswer{}, fmt.Errorf("manifest: %w", err)
+		return ManifestResponse{}, fmt.Errorf("manifest: %w", err)
 	}
 	resp, err := httpClient.Do(req)
 	if err != nil {
-		return ManifestAnswer{}, err
+		return ManifestResponse{}, err
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxManifestBytes))
 	if err != nil {
-		return ManifestAnswer{}, err
+		return ManifestResponse{}, err
 	}
-	answer := ManifestAnswer{Status: resp.StatusCode, Play: resp.Header.Get(dash.PlayHeader)}
+	answer := ManifestResponse{Status: resp.StatusCode, Play: resp.Header.Get(dash.PlayHeader)}
 	answer.RetryAfter = parseRetryAfter(resp.Header)
 	if resp.StatusCode != http.StatusOK {
 		answer.Reason = strings.TrimSpace(string(body))
 		return answer, nil
 	}
 	if answer.Manifest, err = dash.Decode(body); err != nil {
-		return ManifestAnswer{Reason: err.Error()}, nil
+		return ManifestResponse{Reason: err.Error()}, nil
 	}
 	if location, err := resp.Request.URL.Parse(answer.Manifest.Location); err == nil {
 		answer.Manifest.Location = location.String()
--- a/cmd/gullrail/fleet.go
+++ b/cmd/gullrail/fleet.go
@@ -73,7 +73,7 @@
 		if node.Usable {
 			usable++
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%v\t%s\n", node.Name, node.Address, node.Phase, usability(node), node.Alive, node.Source,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%v\t%s\t%v\t%s\n", node.Name, node.Address, node.Phase, usability(node), node.Connected, node.Source,
 			(time.Duration(node.AgeMs) * time.Millisecond).Round(time.Second), node.Reason)
 	}
 	if err := w.Flush(); err != nil {
@@ -98,7 +98,7 @@
 			continue
 		}
 		connection := "connected"
-		if !node.Alive {
+		if !node.Connected {
 			connection = "not connected"
 		}
 		fmt.Printf("%s at %s, zone %s, kind %s, cell %d, weight %v\n", node.Name, node.Address, node.Zone, node.Kind, node.Cell, node.Weight)
--- a/cmd/gullrail/kit.go
+++ b/cmd/gullrail/kit.go
@@ -91,7 +91,7 @@
 			lastCheck = true
 		case <-time.After(20 * time.Millisecond):
 		}
-		if ok, err := r.run.Find(name, info); ok || err != nil {
+		if ok, err := r.run.MemberInfo(name, info); ok || err != nil {
 			return err
 		}
 	}
@@ -196,7 +196,7 @@
 	r, err := startRun(ctx, c.Dir, c.File, c.Seed, nil)
 	if err != nil {
 		if r != nil {
-			r.run.Clean(stopTimeout)
+			r.run.Stop(stopTimeout)
 		}
 		return err
 	}
@@ -238,7 +238,7 @@
 			r.scenario.Seed, r.scenario.Service.Fronts, r.scenario.Nodes, r.scenario.ViewersPerSecond, r.scenario.Seconds)
 		err = r.playScenario(ctx, &result)
 	}
-	_, cleanErr := r.run.Clean(stopTimeout)
+	_, cleanErr := r.run.Stop(stopTimeout)
 	if err = errors.Join(err, cleanErr); err != nil {
 		return nil, err
 	}
@@ -358,7 +358,7 @@
 	if err != nil {
 		return inputError{err}
 	}
-	ended, err := run.Clean(stopTimeout)
+	ended, err := run.Stop(stopTimeout)
 	fmt.Printf("stopped %d processes\n", len(ended))
 	return err
 }
@@ -378,7 +378,7 @@
 	if run.Ended {
 		state = "ended"
 	}
-	fmt.Printf("run of %s, seed %d, started %s, %s\n", filepath.Base(run.Day), run.Seed, run.Began.Format(time.RFC3339), state)
+	fmt.Printf("run of %s, seed %d, started %s, %s\n", filepath.Base(run.ScenarioFile), run.Seed, run.StartedAt.Format(time.RFC3339), state)
 	for _, m := range members {
 		fmt.Printf("  %-10s process %-8d %s\n", m.Name, m.PID, run.StateOf(m))
 	}
@@ -391,19 +391,19 @@
 	run, err := rundir.Open(c.Dir)
 	if errors.Is(err, rundir.ErrNoRun) {
 		fmt.Println("nothing to clean")
-		return rundir.RemoveUnstarted(c.Dir)
+		return rundir.RemoveIncomplete(c.Dir)
 	}
 	if err != nil {
 		return inputError{err}
 	}
-	ended, err := run.Clean(stopTimeout)
+	ended, err := run.Stop(stopTimeout)
 	if err != nil {
 		return err
 	}
 	for _, m := range ended {
 		fmt.Printf("stopped %s, PID %d\n", m.Name, m.PID)
 	}
-	return run.Remove()
+	return run.RemoveFiles()
 }
 
 // kitMember runs one process of a run. It registers as NAME.starting before it opens anything and as NAME once it is ready, and
@@ -420,32 +420,32 @@
 	if err != nil {
 		return err
 	}
-	if err := run.Join(c.Name+".starting", nil); err != nil {
+	if err := run.Register(c.Name+".starting", nil); err != nil {
 		return err
 	}
-	defer run.Leave(c.Name)
-	defer run.Leave(c.Name + ".starting")
+	defer run.Unregister(c.Name)
+	defer run.Unregister(c.Name + ".starting")
 	if c.File != "" {
-		if err := run.Join(c.Name, nil); err != nil {
+		if err := run.Register(c.Name, nil); err != nil {
 			return err
 		}
-		run.Leave(c.Name + ".starting")
+		run.Unregister(c.Name + ".starting")
 		return (&serveCommand{File: c.File}).Run(ctx)
 	}
-	scenario, err := testbed.ReadScenario(run.Day)
+	scenario, err := testbed.ReadScenario(run.ScenarioFile)
 	if err != nil {
 		return err
 	}
 	scenario.Seed = run.Seed
-	recorder := trace.NewSince(time.Duration(run.BaseNs))
+	recorder := trace.NewSince(time.Duration(run.ClockBaseNs))
 	rehearsal := &testbed.Rehearsal{Scenario: scenario, Folder: run.Folder, Logf: func(format string, args ...any) { fmt.Printf(format+"\n", args...) }}
 	defer rehearsal.Stop()
 	var events []trace.Event
 	if c.Name == "viewers" {
-		if err := run.Join(c.Name, nil); err != nil {
+		if err := run.Register(c.Name, nil); err != nil {
 			return err
 		}
-		run.Leave(c.Name + ".starting")
+		run.Unregister(c.Name + ".starting")
 		var fronts []testbed.FrontAddress
 		if err := readJSON(filepath.Join(run.Folder, "fronts.json"), &fronts); err != nil {
 			return err
@@ -488,14 +488,14 @@
 		defer server.Close()
 		registration = listServiceInfo{addr, updateListener.Addr().String()}
 	}
-	if err := run.Join(c.Name, registration); err != nil {
+	if err := run.Register(c.Name, registration); err != nil {
 		return err
 	}
-	run.Leave(c.Name + ".starting")
+	run.Unregister(c.Name + ".starting")
 	if startTime, err := awaitStart(ctx, run.Folder); err == nil {
 		if c.Rack >= 0 {
 			var listService listServiceInfo
-			if ok, err := run.Find("list", &listService); !ok {
+			if ok, err := run.MemberInfo("list", &listService); !ok {
 				return fmt.Errorf("kit: list service is not registered: %w", err)
 			}
 			rehearsal.ForwardUpdatesTo(listService.UpdateAddress)
--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return inputError{err}
 	}
-	level, err := zerolog.ParseLevel(settings.Log)
+	level, err := zerolog.ParseLevel(settings.LogLevel)
 	if err != nil {
 		return inputError{err}
 	}
@@ -96,7 +96,7 @@
 	}
 	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", opts.Name).Logger()
 	relay, err := platform.Listen(opts, c.File, log)
-	if errors.Is(err, platform.ErrEnded) {
+	if errors.Is(err, platform.ErrStoppedBeforeListening) {
 		return nil // a signal came before the socket was open, so there are no connections to close
 	}
 	if err != nil {
--- a/cmd/gullrail/store.go
+++ b/cmd/gullrail/store.go
@@ -26,7 +26,7 @@
 type storeCheck struct{ storeArgument }
 
 func (c *storeCheck) Run() error {
-	contents, err := store.Inspect(store.Folder(c.Folder))
+	contents, err := store.Inspect(store.Dir(c.Folder))
 	if err != nil {
 		if contents != nil {
 			fmt.Printf("%s: before the damage: %d records, %d bytes\n", c.Folder, len(contents.Records), contents.Bytes)
@@ -45,7 +45,7 @@
 type storeDump struct{ storeArgument }
 
 func (c *storeDump) Run() error {
-	contents, err := store.Inspect(store.Folder(c.Folder))
+	contents, err := store.Inspect(store.Dir(c.Folder))
 	if contents == nil {
 		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
@@ -85,7 +85,7 @@
 func (c *storeSalvage) Run() error {
 	result, err := frontend.SalvageStore(c.Folder, c.Into)
 	for _, gap := range result.Gaps {
-		fmt.Printf("%s: bytes %d to %d: %d records missing: %s\n", gap.File, gap.From, gap.To, gap.Records, gap.What)
+		fmt.Printf("%s: bytes %d to %d: %d records missing: %s\n", gap.File, gap.From, gap.To, gap.Records, gap.Reason)
 	}
 	if err != nil {
 		return err
--- a/cmd/gullrail/store_test.go
+++ b/cmd/gullrail/store_test.go
@@ -41,7 +41,7 @@
 	if err := os.Mkdir(plays, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	log, _, err := store.Open(store.Folder(plays))
+	log, _, err := store.Open(store.Dir(plays))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/config/service.go
+++ b/config/service.go
@@ -41,7 +41,7 @@
 	Racks             int
 	Kinds             []Kind
 	Zones             []string
-	WeightKB          float64 // link of a node of weight 1, kB/s
+	LinkKBPerWeight   float64 // link of a node of weight 1, kB/s
 	UplinkKB          float64 // mean uplink of a rack, kB/s; 0 if unknown
 	Fronts            int
 	ReportMode        string  // how nodes report their load: probe, answers or none
@@ -74,7 +74,7 @@
 	s := Service{RatesKB: v.At("rates_kb").Floats(0.001, maxNumber), RungWorth: v.At("worth").Floats(0, 1e6),
 		SegmentMs:     v.At("segment_ms").FloatOr(2000, 100, 60000),
 		SwitchSeconds: v.At("switch_s").FloatOr(0, 0, 3600), Cells: v.At("cells").Int(1, 1<<20),
-		Racks: v.At("racks").Int(1, 1<<20), WeightKB: v.At("link_kb").Float(0.001, maxNumber),
+		Racks: v.At("racks").Int(1, 1<<20), LinkKBPerWeight: v.At("link_kb").Float(0.001, maxNumber),
 		UplinkKB: v.At("uplink_kb").FloatOr(0, 0, maxNumber), Fronts: v.At("fronts").Int(1, 1<<20),
 		MaxAttempts: v.At("tries").IntOr(4, 1, 100), MaxRetryAfterMs: v.At("come_back_ms").FloatOr(1000, 0, maxMs),
 		SharedStreamShare: v.At("join_adds").FloatOr(1, 0.001, 1)}
@@ -170,7 +170,7 @@
 	}
 	out := map[string][]float64{"fronts": single(float64(s.Fronts)), "front": single(float64(front)),
 		"cells": single(float64(s.Cells)), "racks": single(float64(s.Racks)), "rung.rate": s.RatesKB, "rung.worth": s.RungWorth,
-		"weight.rate": single(s.WeightKB), "uplink.rate": single(s.UplinkKB), "reports.uplink": flag(s.ReportUplinks && s.ReportMode != "none"),
+		"weight.rate": single(s.LinkKBPerWeight), "uplink.rate": single(s.UplinkKB), "reports.uplink": flag(s.ReportUplinks && s.ReportMode != "none"),
 		"note.lag": single(s.ReportDelayMs * 10), "switch.seconds": single(s.SwitchSeconds), "tries": single(float64(s.MaxAttempts)),
 		"probing": flag(s.ReportMode == "probe"), "recall": single(1), "comeback": flag(s.MaxRetryAfterMs > 0),
 		"comeback.most": single(s.MaxRetryAfterMs * 10), "cold.share": single(s.ColdShare), "cold.lasts": single(s.ColdDurationMs * 10),
@@ -209,8 +209,8 @@
 // Product returns the name of the product with the given number.
 func (s *Service) Product(number int) string { return s.Products[number].Name }
 
-// LongestLimitMs returns the longest time limit of all products, in milliseconds.
-func (s *Service) LongestLimitMs() (longest float64) {
+// MaxDeadlineMs returns the longest time limit of all products, in milliseconds.
+func (s *Service) MaxDeadlineMs() (longest float64) {
 	for _, p := range s.Products {
 		longest = max(longest, p.DeadlineMs)
 	}
@@ -256,7 +256,7 @@
 	Listen       string  // host:port
 	ListURL      string  // of the list service
 	Seed         uint64  // of random choices
-	Log          string  // log level
+	LogLevel     string  // log level
 	MaxWaiting   int     // maximum number of queued requests
 	MaxSockets   int     // maximum number of connections of viewers
 	TokenMs      float64 // validity of session tokens
@@ -289,10 +289,10 @@
 
 // Key is a key of session tokens. Seed is required for the signing key only.
 type Key struct {
-	ID     string
-	Seed   []byte // 32 bytes of an Ed25519 private key, or nil
-	Public ed25519.PublicKey
-	Signs  bool
+	ID      string
+	Seed    []byte // 32 bytes of an Ed25519 private key, or nil
+	Public  ed25519.PublicKey
+	Signing bool
 }
 
 // ReadFront reads and checks the settings file of a front.
@@ -324,10 +324,10 @@
 	f.Zone = e.At("zone").OneOf(append([]string{}, orEmptyString(f.Service.Zones)...)...)
 	f.Listen = Address(e.At("listen"))
 	f.Seed = uint64(e.At("seed").IntOr(1, 0, 1<<53))
-	f.Log = e.At("log").OneOf("info", "debug", "warn", "error")
+	f.LogLevel = e.At("log").OneOf("info", "debug", "warn", "error")
 	f.MaxWaiting, f.MaxSockets = e.At("waiting").IntOr(256, 1, 1<<20), e.At("sockets").IntOr(8192, 1, 1<<20)
 	f.TokenMs = e.At("token_ms").FloatOr(600_000, 1000, 24*maxMs)
-	f.StateFolder, f.ShutdownMs = e.At("state").TextOr(""), e.At("end_within_ms").FloatOr(max(1000, f.Service.LongestLimitMs()), 100, maxMs)
+	f.StateFolder, f.ShutdownMs = e.At("state").TextOr(""), e.At("end_within_ms").FloatOr(max(1000, f.Service.MaxDeadlineMs()), 100, maxMs)
 	f.ReleasePlays = e.At("retire").BoolOr(false)
 	if t := e.At("tls"); t.Present() {
 		t.Object(true)
@@ -405,18 +405,18 @@
 	seen, signing := map[string]bool{}, 0
 	for _, e := range v.List(true) {
 		e.Object(true)
-		k := Key{ID: uniqueText(seen, e.At("id")), Signs: e.At("signs").BoolOr(false)}
+		k := Key{ID: uniqueText(seen, e.At("id")), Signing: e.At("signs").BoolOr(false)}
 		if seed := e.At("seed"); seed.Present() {
 			if k.Seed = base64Bytes32(seed); k.Seed != nil {
 				k.Public = ed25519.NewKeyFromSeed(k.Seed).Public().(ed25519.PublicKey)
 			}
-		} else if k.Signs {
+		} else if k.Signing {
 			e.At("seed").Report("is required for the signing key")
 		} else {
 			k.Public = base64Bytes32(e.At("public"))
 		}
 		e.At("public")
-		if k.Signs {
+		if k.Signing {
 			signing++
 		}
 		e.RejectUnknown()
--- a/dash/dash.go
+++ b/dash/dash.go
@@ -21,27 +21,27 @@
 // PlayHeader is the response header with the id of the play, so that reports of players can be traced.
 const PlayHeader = "Gullrail-Play"
 
-// Front is the HTTP handler for the DASH players of one front end. It is stateless.
-type Front struct {
+// Handler is the HTTP handler for the DASH players of one front end. It is stateless.
+type Handler struct {
 	service *playapi.Service
 	log     zerolog.Logger
 	mux     *http.ServeMux
 }
 
-// NewFront returns the handler.
-func NewFront(service *playapi.Service, log zerolog.Logger) *Front {
-	f := &Front{service: service, log: log, mux: http.NewServeMux()}
+// NewHandler returns the handler.
+func NewHandler(service *playapi.Service, log zerolog.Logger) *Handler {
+	f := &Handler{service: service, log: log, mux: http.NewServeMux()}
 	f.mux.HandleFunc("GET /v1/titles/{title}/manifest.mpd", f.serveTitle)
 	f.mux.HandleFunc("GET /v1/plays/{token}/manifest.mpd", f.servePlay)
 	f.mux.HandleFunc("DELETE /v1/plays/{token}", f.endPlay)
 	return f
 }
 
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
+func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { f.mux.ServeHTTP(w, r) }
 
-// ParseFirst parses a request for a title: product and viewer are required; top, limit_ms, length_ms and
+// ParseTitleRequest parses a request for a title: product and viewer are required; top, limit_ms, length_ms and
 // broken are optional.
-func ParseFirst(service *config.Service, title string, q url.Values) (playapi.Request, error) {
+func ParseTitleRequest(service *config.Service, title string, q url.Values) (playapi.Request, error) {
 	params, err := parseParams(q)
 	if err != nil {
 		return playapi.Request{}, err
@@ -50,8 +50,8 @@
 	return playapi.NewRequest(service, params)
 }
 
-// ParseReturn parses a request for the play of a token, whose claims have been verified.
-func ParseReturn(service *config.Service, claims token.Claims, q url.Values) (playapi.Request, error) {
+// ParseTokenRequest parses a request for the play of a token, whose claims have been verified.
+func ParseTokenRequest(service *config.Service, claims token.Claims, q url.Values) (playapi.Request, error) {
 	params, err := parseParams(q)
 	if err != nil {
 		return playapi.Request{}, err
@@ -92,8 +92,8 @@
 }
 
 // serveTitle handles a request for a title, with or without the token of an earlier play.
-func (f *Front) serveTitle(w http.ResponseWriter, r *http.Request) {
-	req, err := ParseFirst(f.service.Config, r.PathValue("title"), r.URL.Query())
+func (f *Handler) serveTitle(w http.ResponseWriter, r *http.Request) {
+	req, err := ParseTitleRequest(f.service.Config, r.PathValue("title"), r.URL.Query())
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
@@ -113,12 +113,12 @@
 }
 
 // servePlay handles a request for the manifest of the play that a token identifies.
-func (f *Front) servePlay(w http.ResponseWriter, r *http.Request) {
+func (f *Handler) servePlay(w http.ResponseWriter, r *http.Request) {
 	claims, ok := f.checkToken(w, r.PathValue("token"))
 	if !ok {
 		return
 	}
-	req, err := ParseReturn(f.service.Config, claims, r.URL.Query())
+	req, err := ParseTokenRequest(f.service.Config, claims, r.URL.Query())
 	if err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
@@ -127,7 +127,7 @@
 }
 
 // endPlay handles a viewer's request to end its play.
-func (f *Front) endPlay(w http.ResponseWriter, r *http.Request) {
+func (f *Handler) endPlay(w http.ResponseWriter, r *http.Request) {
 	if claims, ok := f.checkToken(w, r.PathValue("token")); ok {
 		f.service.EndPlay(claims.Play)
 		w.WriteHeader(http.StatusNoContent)
@@ -135,7 +135,7 @@
 }
 
 // checkToken verifies a token. If it is invalid, it writes the error response and returns false.
-func (f *Front) checkToken(w http.ResponseWriter, raw string) (token.Claims, bool) {
+func (f *Handler) checkToken(w http.ResponseWriter, raw string) (token.Claims, bool) {
 	claims, err := f.service.Tokens.Check(raw, time.Now())
 	switch {
 	case err == nil:
@@ -155,7 +155,7 @@
 }
 
 // requestPlay requests a play and writes the answer. The request is withdrawn if the client disconnects.
-func (f *Front) requestPlay(w http.ResponseWriter, r *http.Request, req playapi.Request) {
+func (f *Handler) requestPlay(w http.ResponseWriter, r *http.Request, req playapi.Request) {
 	start := time.Now()
 	answered := make(chan session.Answer, 1)
 	pending := f.service.RequestPlay(req, nil, func(answer session.Answer) { answered <- answer })
@@ -170,7 +170,7 @@
 	f.service.Log(req, answer, "dash", time.Since(start))
 }
 
-func (f *Front) writeAnswer(w http.ResponseWriter, answer session.Answer) {
+func (f *Handler) writeAnswer(w http.ResponseWriter, answer session.Answer) {
 	h := w.Header()
 	h.Set("Cache-Control", "no-store")
 	if answer.Play != "" {
@@ -209,14 +209,14 @@
 
 // manifest returns the MPD of a granted play. Its Location is a path, which the player resolves against the URL that it
 // requested, so that it is valid behind a proxy too.
-func (f *Front) manifest(answer session.Answer) ([]byte, error) {
+func (f *Handler) manifest(answer session.Answer) ([]byte, error) {
 	grant, err := f.service.Grant(answer)
 	if err != nil {
 		return nil, err
 	}
-	m := Manifest{Location: "/v1/plays/" + grant.Token + "/manifest.mpd", Base: grant.Base, Seconds: grant.Seconds, Segment: grant.Segment, Refresh: grant.Segment}
+	m := Manifest{Location: "/v1/plays/" + grant.Token + "/manifest.mpd", Base: grant.Base, Seconds: grant.Seconds, SegmentMs: grant.Segment, RefreshMs: grant.Segment}
 	for _, r := range grant.Rungs {
-		m.Rungs, m.Bits = append(m.Rungs, r.Number), append(m.Bits, r.Bits)
+		m.Rungs, m.BitRates = append(m.Rungs, r.Number), append(m.BitRates, r.Bits)
 	}
 	return m.Encode()
 }
--- a/dash/dash_test.go
+++ b/dash/dash_test.go
@@ -28,7 +28,7 @@
 
 func TestManifestRoundTrip(t *testing.T) {
 	m := Manifest{Location: "/v1/plays/a.b.c/manifest.mpd", Base: "http://n:1/v1/media/a.b.c/t%20x/", Rungs: []int{1, 2},
-		Bits: []float64{800000, 1600000}, Seconds: 60.5, Segment: 2000, Refresh: 2000}
+		BitRates: []float64{800000, 1600000}, Seconds: 60.5, SegmentMs: 2000, RefreshMs: 2000}
 	text, err := m.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 func TestTimeLimitCanOnlyBeShortened(t *testing.T) {
 	for q, want := range map[string]time.Duration{"": 4 * time.Second, "limit_ms=9999": 4 * time.Second, "limit_ms=300": 300 * time.Millisecond} {
 		values, _ := url.ParseQuery("product=p&viewer=v&" + q)
-		if r, err := ParseFirst(testService(), "t", values); err != nil || r.Timeout != want || r.MaxRung != 1 {
+		if r, err := ParseTitleRequest(testService(), "t", values); err != nil || r.Timeout != want || r.MaxRung != 1 {
 			t.Errorf("%q: %+v %v", q, r, err)
 		}
 	}
@@ -63,7 +63,7 @@
 		if err != nil {
 			return
 		}
-		r, err := ParseFirst(service, title, q)
+		r, err := ParseTitleRequest(service, title, q)
 		if err == nil && (r.Title != "t" || r.Product != 0 || r.MaxRung != 1 || r.Timeout <= 0 || r.Timeout > 4*time.Second || r.Viewer == "" || r.Length < 0) {
 			t.Fatalf("accepted: %+v", r)
 		}
@@ -74,10 +74,10 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	text, _ := Manifest{Location: "/l", Base: "http://n/", Rungs: []int{0}, Bits: []float64{1}, Segment: 1, Refresh: 1}.Encode()
+	text, _ := Manifest{Location: "/l", Base: "http://n/", Rungs: []int{0}, BitRates: []float64{1}, SegmentMs: 1, RefreshMs: 1}.Encode()
 	f.Add(string(text))
 	f.Fuzz(func(t *testing.T, s string) {
-		if m, err := Decode([]byte(s)); err == nil && (len(m.Rungs) == 0 || m.Base == "" || len(m.Rungs) != len(m.Bits)) {
+		if m, err := Decode([]byte(s)); err == nil && (len(m.Rungs) == 0 || m.Base == "" || len(m.Rungs) != len(m.BitRates)) {
 			t.Fatalf("accepted: %+v", m)
 		}
 	})
--- a/dash/mpd.go
+++ b/dash/mpd.go
@@ -13,13 +13,13 @@
 
 // Manifest is the variable content of an MPD.
 type Manifest struct {
-	Location string    // URL for updates of the MPD
-	Base     string    // base URL of the segments, with a trailing slash
-	Rungs    []int     // rungs that the player may fetch, a Representation each
-	Bits     []float64 // bit rate of each rung, bit/s
-	Seconds  float64   // length of the title; 0 if unknown
-	Segment  float64   // length of a segment, milliseconds
-	Refresh  float64   // minimum time between updates of the MPD, milliseconds
+	Location  string    // URL for updates of the MPD
+	Base      string    // base URL of the segments, with a trailing slash
+	Rungs     []int     // rungs that the player may fetch, a Representation each
+	BitRates  []float64 // bit rate of each rung, bit/s
+	Seconds   float64   // length of the title; 0 if unknown
+	SegmentMs float64   // length of a segment, milliseconds
+	RefreshMs float64   // minimum time between updates of the MPD, milliseconds
 }
 
 // mpd has the elements of ISO/IEC 23009-1 that are used. The presentation is 'dynamic' although the title is recorded,
@@ -87,16 +87,16 @@
 // Encode returns the MPD as XML.
 func (m Manifest) Encode() ([]byte, error) {
 	doc := mpd{Profiles: "urn:mpeg:dash:profile:isoff-live:2011", Type: "dynamic", Available: "1970-01-01T00:00:00Z",
-		Refresh: duration(m.Refresh), Buffer: duration(m.Segment), Location: m.Location, BaseURL: m.Base,
+		Refresh: duration(m.RefreshMs), Buffer: duration(m.SegmentMs), Location: m.Location, BaseURL: m.Base,
 		Period: period{ID: "1", Start: "PT0S", Set: adaptationSet{ContentType: "video", MimeType: "video/mp4",
-			Aligned: true, SAP: 1, Template: template{Timescale: 1000, Duration: int(m.Segment), Start: 1,
+			Aligned: true, SAP: 1, Template: template{Timescale: 1000, Duration: int(m.SegmentMs), Start: 1,
 				Media: "$RepresentationID$/$Number$.m4s", Init: "$RepresentationID$/init.mp4"}}}}
 	if m.Seconds > 0 {
 		doc.Length = duration(m.Seconds * 1000)
 	}
 	for i, rung := range m.Rungs {
 		doc.Period.Set.Representations = append(doc.Period.Set.Representations,
-			representation{RepresentationID(rung), int64(m.Bits[i]), "avc1.64001f"})
+			representation{RepresentationID(rung), int64(m.BitRates[i]), "avc1.64001f"})
 	}
 	out, err := xml.Marshal(doc)
 	if err != nil {
@@ -111,12 +111,12 @@
 	if err := xml.Unmarshal(text, &doc); err != nil {
 		return Manifest{}, fmt.Errorf("MPD: %w", err)
 	}
-	m := Manifest{Location: doc.Location, Base: doc.BaseURL, Segment: float64(doc.Period.Set.Template.Duration)}
+	m := Manifest{Location: doc.Location, Base: doc.BaseURL, SegmentMs: float64(doc.Period.Set.Template.Duration)}
 	for _, field := range []struct {
 		name, text string
 		into       *float64
 		scale      float64
-	}{{"minimumUpdatePeriod", doc.Refresh, &m.Refresh, 1000}, {"mediaPresentationDuration", doc.Length, &m.Seconds, 1}} {
+	}{{"minimumUpdatePeriod", doc.Refresh, &m.RefreshMs, 1000}, {"mediaPresentationDuration", doc.Length, &m.Seconds, 1}} {
 		if field.text == "" {
 			continue
 		}
@@ -135,7 +135,7 @@
 		if err != nil {
 			return Manifest{}, fmt.Errorf("MPD: %w", err)
 		}
-		m.Rungs, m.Bits = append(m.Rungs, rung), append(m.Bits, float64(r.Bandwidth))
+		m.Rungs, m.BitRates = append(m.Rungs, rung), append(m.BitRates, float64(r.Bandwidth))
 	}
 	if len(m.Rungs) == 0 {
 		return Manifest{}, fmt.Errorf("MPD: no Representation")
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -20,8 +20,8 @@
 	"gullrail/store"
 )
 
-// FleetFolder is the name of the folder, in a front's state folder, with the store of the last known list of nodes.
-const FleetFolder = "fleet"
+// NodeListFolder is the name of the folder, in a front's state folder, with the store of the last known list of nodes.
+const NodeListFolder = "fleet"
 
 const saveInterval = 2 * time.Second // a crash loses only changes to the list that are more recent
 
@@ -52,18 +52,18 @@
 	if folder == "" {
 		return nl, nil
 	}
-	dir := filepath.Join(folder, FleetFolder)
+	dir := filepath.Join(folder, NodeListFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	log, c, err := store.Open(store.Folder(dir))
-	if errors.Is(err, store.ErrDamage) || errors.Is(err, store.ErrFormat) {
+	log, c, err := store.Open(store.Dir(dir))
+	if errors.Is(err, store.ErrDamaged) || errors.Is(err, store.ErrFormat) {
 		logger.Error().Err(err).Str("folder", dir).Msg("discarding the store of the saved node list, which can't be read")
 		if err = os.RemoveAll(dir); err == nil {
 			err = os.MkdirAll(dir, 0o700)
 		}
 		if err == nil {
-			log, c, err = store.Open(store.Folder(dir))
+			log, c, err = store.Open(store.Dir(dir))
 		}
 	}
 	if err != nil {
@@ -172,18 +172,18 @@
 
 // FleetNode is a front's view of one node, as reported at FleetPath.
 type FleetNode struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Phase   string  `json:"phase"` // ready, draining (no new plays) or gone
-	Usable  bool    `json:"use"`   // new plays may be sent to it
-	Reason  string  `json:"why,omitempty"`
-	Source  string  `json:"by"`     // where the phase was learned from
-	AgeMs   int64   `json:"age_ms"` // age of the last information about the node
-	Alive   bool    `json:"alive"`  // its stream is open
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	Weight  float64 `json:"weight"`
+	Name      string  `json:"name"`
+	Address   string  `json:"address"`
+	Phase     string  `json:"phase"` // ready, draining (no new plays) or gone
+	Usable    bool    `json:"use"`   // new plays may be sent to it
+	Reason    string  `json:"why,omitempty"`
+	Source    string  `json:"by"`     // where the phase was learned from
+	AgeMs     int64   `json:"age_ms"` // age of the last information about the node
+	Connected bool    `json:"alive"`  // its stream is open
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Cell      int     `json:"cell"`
+	Weight    float64 `json:"weight"`
 }
 
 // serveFleet handles requests for FleetPath.
@@ -196,7 +196,7 @@
 		for _, b := range all {
 			l := nodes.FormatNode(b.Entry, &f.settings.Service)
 			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Usable: b.Usable, Reason: b.Reason, Source: b.Source.String(),
-				AgeMs: b.Age / decision.Millisecond, Alive: b.Connected, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
+				AgeMs: b.Age / decision.Millisecond, Connected: b.Connected, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -39,7 +39,7 @@
 	client   *nodes.Client
 	journal  *journal // nil without a state folder
 	server   *http.Server
-	sockets  *wsapi.Front
+	sockets  *wsapi.Server
 	nodeList *nodeListStore
 	peers    *peers.Conn // nil if fronts exchange no messages
 }
@@ -107,8 +107,8 @@
 	mux := http.NewServeMux()
 	tokenLifetime := time.Duration(settings.TokenMs * float64(time.Millisecond))
 	plays := playapi.New(settings.Name, mediaScheme, service, minter, tokenLifetime, f.runner, logger)
-	mux.Handle("/v1/", dash.NewFront(plays, logger))
-	f.sockets = wsapi.New(plays, clock, settings.MaxSockets, seed+1, logger)
+	mux.Handle("/v1/", dash.NewHandler(plays, logger))
+	f.sockets = wsapi.NewServer(plays, clock, settings.MaxSockets, seed+1, logger)
 	mux.Handle("GET "+wsapi.Path, f.sockets)
 	if f.nodeList, err = openNodeListStore(settings.StateFolder, settings.ListURL, service, f.runner, logger); err != nil {
 		listener.Close()
@@ -122,7 +122,7 @@
 	mux.Handle("GET /metrics", f.metrics())
 	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(admission.HeaderTimeout),
 		IdleTimeout: session.Duration(admission.IdleTimeout), MaxHeaderBytes: 16 << 10,
-		WriteTimeout: time.Duration(service.LongestLimitMs()*float64(time.Millisecond)) + session.Duration(admission.WriteTimeout)}
+		WriteTimeout: time.Duration(service.MaxDeadlineMs()*float64(time.Millisecond)) + session.Duration(admission.WriteTimeout)}
 	return f, nil
 }
 
@@ -131,7 +131,7 @@
 	var signing token.Key
 	verifying := map[string]ed25519.PublicKey{}
 	for _, k := range keys {
-		if k.Signs {
+		if k.Signing {
 			signing = token.Key{ID: k.ID, Private: ed25519.NewKeyFromSeed(k.Seed)}
 		} else {
 			verifying[k.ID] = k.Public
@@ -180,7 +180,7 @@
 	defer cancel()
 	f.runner.RejectAll()
 	f.runner.Post(func(now int64, c *session.Core) { c.BeginShutdown(now, end) })
-	f.sockets.Shut()
+	f.sockets.StartShutdown()
 	expire := time.AfterFunc(session.Duration(shutdown.Deadline(end)-f.runner.Clock().Now()), func() {
 		f.runner.Post(func(now int64, c *session.Core) { c.Close(now) })
 	})
@@ -191,7 +191,7 @@
 	if err := f.server.Shutdown(shutdownCtx); err != nil {
 		f.server.Close()
 	}
-	f.sockets.Drain(shutdownCtx)
+	f.sockets.WaitClosed(shutdownCtx)
 	for f.settings.ReleasePlays && shutdownCtx.Err() == nil && f.Counts(shutdownCtx).Active > 0 {
 		select {
 		case <-time.After(20 * time.Millisecond):
--- a/frontend/history_test.go
+++ b/frontend/history_test.go
@@ -40,18 +40,18 @@
 }
 
 // slowDir is a directory with delayed writes and renames, so that a kill may also occur between a write and its sync.
-type slowDir struct{ store.Folder }
+type slowDir struct{ store.Dir }
 
 type slowFile struct{ store.File }
 
 func (s slowDir) Open(name string) (store.File, error) {
-	f, err := s.Folder.Open(name)
+	f, err := s.Dir.Open(name)
 	return slowFile{f}, err
 }
 
 func (s slowDir) Rename(from, to string) error {
 	time.Sleep(100 * time.Microsecond)
-	return s.Folder.Rename(from, to)
+	return s.Dir.Rename(from, to)
 }
 
 func (f slowFile) WriteAt(b []byte, offset int64) (int, error) {
@@ -63,11 +63,11 @@
 // before each call ("c" with its id, the play, and 1 for an allocation) and after its acknowledgement ("r" with the id),
 // until it is killed.
 func writeHistory(dir string) {
-	folder := filepath.Join(dir, PlaysFolder)
+	folder := filepath.Join(dir, PlayLogFolder)
 	err := os.MkdirAll(folder, 0o700)
 	var j *journal
 	if err == nil {
-		j, _, err = newJournal(slowDir{store.Folder(folder)}, &config.Service{}, 1, nil, nil, zerolog.Nop())
+		j, _, err = newJournal(slowDir{store.Dir(folder)}, &config.Service{}, 1, nil, nil, zerolog.Nop())
 	}
 	if err != nil {
 		fmt.Println("x", err)
@@ -195,7 +195,7 @@
 			history = append(history, o)
 			interrupted++
 		}
-		c, err := store.Inspect(store.Folder(filepath.Join(dir, PlaysFolder)))
+		c, err := store.Inspect(store.Dir(filepath.Join(dir, PlayLogFolder)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -239,7 +239,7 @@
 	if err := j.log.Close(); err != nil {
 		t.Fatal(err)
 	}
-	plays := filepath.Join(dir, PlaysFolder)
+	plays := filepath.Join(dir, PlayLogFolder)
 	file := filepath.Join(plays, "log-0000000000000001")
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -249,18 +249,18 @@
 	if err := os.WriteFile(file, data, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := CompactStore(plays); !errors.Is(err, store.ErrDamage) {
+	if _, err := CompactStore(plays); !errors.Is(err, store.ErrDamaged) {
 		t.Fatalf("compacting a damaged store: got %v, want ErrDamage", err)
 	}
 	other := t.TempDir()
-	s, err := SalvageStore(plays, filepath.Join(other, PlaysFolder))
+	s, err := SalvageStore(plays, filepath.Join(other, PlayLogFolder))
 	if err != nil || s.Open != 19 || s.Lost != 1 || len(s.Gaps) != 1 {
 		t.Fatalf("salvage: got %+v, %v, want 19 open plays and 1 record lost in 1 gap", s, err)
 	}
 	if after, _ := os.ReadFile(file); string(after) != string(data) {
 		t.Fatal("salvage changed the damaged store")
 	}
-	if _, err := SalvageStore(plays, filepath.Join(other, PlaysFolder)); !errors.Is(err, os.ErrExist) {
+	if _, err := SalvageStore(plays, filepath.Join(other, PlayLogFolder)); !errors.Is(err, os.ErrExist) {
 		t.Fatalf("salvaging into an existing store: got %v, want os.ErrExist", err)
 	}
 	j, previous, err := openJournal(other, &config.Service{}, 2, nil, nil, zerolog.Nop())
@@ -274,7 +274,7 @@
 		t.Fatalf("after recovery: %+v, %v, want no records lost", previous, err)
 	}
 	j.log.Close()
-	c, err := CompactStore(filepath.Join(other, PlaysFolder))
+	c, err := CompactStore(filepath.Join(other, PlayLogFolder))
 	if err != nil || c.RecordsAfter != 19 {
 		t.Fatalf("compacting: got %+v, %v, want 19 records", c, err)
 	}
@@ -286,14 +286,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); !errors.Is(err, ErrLocked) {
+	if _, err := CompactStore(filepath.Join(dir, PlayLogFolder)); !errors.Is(err, ErrLocked) {
 		t.Fatalf("compacting while a front runs: got %v, want ErrLocked", err)
 	}
-	if _, err := SalvageStore(filepath.Join(dir, PlaysFolder), filepath.Join(t.TempDir(), "x")); !errors.Is(err, ErrLocked) {
+	if _, err := SalvageStore(filepath.Join(dir, PlayLogFolder), filepath.Join(t.TempDir(), "x")); !errors.Is(err, ErrLocked) {
 		t.Fatalf("salvaging while a front runs: got %v, want ErrLocked", err)
 	}
 	lock.Release()
-	if _, err := CompactStore(filepath.Join(dir, PlaysFolder)); err == nil {
+	if _, err := CompactStore(filepath.Join(dir, PlayLogFolder)); err == nil {
 		t.Fatal("compacting a missing folder succeeded")
 	}
 }
@@ -302,7 +302,7 @@
 	if os.Geteuid() == 0 {
 		// Permissions don't apply to root. A file in place of the folder makes the same calls fail.
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, PlaysFolder), nil, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, PlayLogFolder), nil, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, err := openJournal(dir, &config.Service{}, 1, nil, nil, zerolog.Nop()); err == nil {
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -18,8 +18,8 @@
 	"gullrail/store"
 )
 
-// PlaysFolder is the name of the folder, in a front's state folder, with the store of the play log.
-const PlaysFolder = "plays"
+// PlayLogFolder is the name of the folder, in a front's state folder, with the store of the play log.
+const PlayLogFolder = "plays"
 
 // journal is a session.Transport that records plays. The allocations for which playlog.RequiresDurableRecord holds are durable before
 // they are sent. If the store is broken, they are not sent and their plays are declined.
@@ -47,11 +47,11 @@
 
 // openJournal opens the store in a state folder and returns the state recorded by earlier runs.
 func openJournal(folder string, service *config.Service, epoch int64, client *nodes.Client, r *session.Runner, logger zerolog.Logger) (*journal, previousRuns, error) {
-	dir := filepath.Join(folder, PlaysFolder)
+	dir := filepath.Join(folder, PlayLogFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, previousRuns{}, fmt.Errorf("state folder: %w", err)
 	}
-	j, previous, err := newJournal(store.Folder(dir), service, epoch, client, r, logger)
+	j, previous, err := newJournal(store.Dir(dir), service, epoch, client, r, logger)
 	if err != nil {
 		return nil, previousRuns{}, fmt.Errorf("%s: %w", dir, err)
 	}
@@ -178,7 +178,7 @@
 func (j *journal) write(r playlog.Record) <-chan error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	done, err := j.log.TryBegin(r.Encode())
+	done, err := j.log.TryAppendAsync(r.Encode())
 	if err != nil {
 		failed := make(chan error, 1)
 		failed <- err
--- a/frontend/journal_test.go
+++ b/frontend/journal_test.go
@@ -29,7 +29,7 @@
 
 func TestRecoverOpenPlays(t *testing.T) {
 	n := *recoverRecords
-	folder := store.Folder(t.TempDir())
+	folder := store.Dir(t.TempDir())
 	log, _, err := store.Open(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 		} else if i/2%5 == 0 { // one play in five stays open
 			r = playlog.Record{Kind: playlog.Ended, Play: "another"}
 		}
-		last = log.Begin(r.Encode())
+		last = log.AppendAsync(r.Encode())
 	}
 	if err := <-last; err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	var last <-chan error
 	written, maxSize := int64(0), int64(0)
 	add := func(r playlog.Record) {
-		last = j.log.Begin(r.Encode())
+		last = j.log.AppendAsync(r.Encode())
 		written += int64(len(r.Encode()))
 		if err := j.state.Apply(r); err != nil {
 			t.Fatal(err)
@@ -129,7 +129,7 @@
 
 func storeSize(t *testing.T, dir string) (n int64) {
 	t.Helper()
-	entries, err := os.ReadDir(filepath.Join(dir, PlaysFolder))
+	entries, err := os.ReadDir(filepath.Join(dir, PlayLogFolder))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,7 +143,7 @@
 
 // heldDir is a directory in which, once armed, the next sync of a file waits for release.
 type heldDir struct {
-	store.Folder
+	store.Dir
 	armed   atomic.Bool
 	syncing chan struct{} // closed when the sync starts to wait
 	release chan struct{}
@@ -155,7 +155,7 @@
 }
 
 func (d *heldDir) Open(name string) (store.File, error) {
-	f, err := d.Folder.Open(name)
+	f, err := d.Dir.Open(name)
 	return heldFile{f, d}, err
 }
 
@@ -197,7 +197,7 @@
 	runner := session.NewRunner(clock, admission.New(1, 1))
 	service := &config.Service{Products: []config.Product{{Name: "paid", Importance: 1, Paid: true}}}
 	client := nodes.NewClient("f", 1, false, time.Minute, service, runner, nil, zerolog.Nop())
-	dir := &heldDir{Folder: store.Folder(t.TempDir()), syncing: make(chan struct{}), release: make(chan struct{})}
+	dir := &heldDir{Dir: store.Dir(t.TempDir()), syncing: make(chan struct{}), release: make(chan struct{})}
 	j, _, err := newJournal(dir, service, 1, client, runner, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/frontend/metrics.go
+++ b/frontend/metrics.go
@@ -90,7 +90,7 @@
 		out <- prometheus.MustNewConstMetric(c.gauges[name], prometheus.GaugeValue, v)
 	}
 	for name, v := range map[string]float64{"sockets_refused_total": float64(sockets.Refused.Load()), "sockets_shed_total": float64(sockets.Shed.Load()),
-		"sockets_cut_total": float64(sockets.Cut.Load()), "sockets_resumed_total": float64(sockets.Resumed.Load()), "taken_total": float64(n.Accepted), "plays_total": float64(n.Started),
+		"sockets_cut_total": float64(sockets.Disconnected.Load()), "sockets_resumed_total": float64(sockets.Resumed.Load()), "taken_total": float64(n.Accepted), "plays_total": float64(n.Started),
 		"declined_total": float64(n.Declined), "failed_total": float64(n.Failed), "denied_total": float64(n.Denied),
 		"moved_total": float64(n.Moved), "lost_total": float64(n.Broken), "adopted_total": float64(n.Adopted),
 		"orphans_total": float64(n.Orphans), "messages_sent_total": float64(sent), "messages_heard_total": float64(received),
--- a/frontend/offline.go
+++ b/frontend/offline.go
@@ -25,41 +25,41 @@
 	return func() { lock.Close() }, nil
 }
 
-// Compacted is the result of an offline compaction.
-type Compacted struct{ RecordsBefore, RecordsAfter, BytesBefore, BytesAfter int64 }
+// CompactResult is the result of an offline compaction.
+type CompactResult struct{ RecordsBefore, RecordsAfter, BytesBefore, BytesAfter int64 }
 
 // CompactStore compacts the store of a front that is not running to the records needed, as a running front does by itself.
 // It fails with ErrLocked while the front runs, and changes nothing in a damaged store.
-func CompactStore(dir string) (Compacted, error) {
+func CompactStore(dir string) (CompactResult, error) {
 	release, err := lockStore(dir)
 	if err != nil {
-		return Compacted{}, err
+		return CompactResult{}, err
 	}
 	defer release()
-	log, c, err := store.Open(store.Folder(dir))
+	log, c, err := store.Open(store.Dir(dir))
 	if err != nil {
-		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
+		return CompactResult{}, fmt.Errorf("%s: %w", dir, err)
 	}
 	state, err := playlog.Read(c.Records)
 	if err != nil {
 		log.Close()
-		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
+		return CompactResult{}, fmt.Errorf("%s: %w", dir, err)
 	}
 	state.Expire(time.Now().UnixMilli())
 	records := encodeRecords(state)
 	err = errors.Join(<-log.Compact(records), log.Close())
 	if err != nil {
-		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
+		return CompactResult{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	after, err := store.Inspect(store.Folder(dir))
+	after, err := store.Inspect(store.Dir(dir))
 	if err != nil {
-		return Compacted{}, fmt.Errorf("%s: %w", dir, err)
+		return CompactResult{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	return Compacted{int64(len(c.Records)), int64(len(after.Records)), c.Bytes, after.Bytes}, nil
+	return CompactResult{int64(len(c.Records)), int64(len(after.Records)), c.Bytes, after.Bytes}, nil
 }
 
-// Salvaged is the result of salvaging a store.
-type Salvaged struct {
+// SalvageResult is the result of salvaging a store.
+type SalvageResult struct {
 	Records, Open int    // records recovered, and open plays in the new store
 	Lost          uint64 // lower bound of the records lost
 	Gaps          []store.MissingRange
@@ -69,17 +69,17 @@
 // The damaged store is not changed. If records are missing, the new store holds their number, and a front that starts
 // with it accepts plays only when each node has reported its plays or its lease has expired: by then the plays of the
 // missing records have ended or have been reported by their nodes.
-func SalvageStore(dir, into string) (Salvaged, error) {
+func SalvageStore(dir, into string) (SalvageResult, error) {
 	release, err := lockStore(dir)
 	if err != nil {
-		return Salvaged{}, err
+		return SalvageResult{}, err
 	}
 	defer release()
-	found, err := store.Salvage(store.Folder(dir))
+	found, err := store.Salvage(store.Dir(dir))
 	if err != nil {
-		return Salvaged{}, fmt.Errorf("%s: %w", dir, err)
+		return SalvageResult{}, fmt.Errorf("%s: %w", dir, err)
 	}
-	out := Salvaged{Lost: found.Lost, Gaps: found.Gaps}
+	out := SalvageResult{Lost: found.Lost, Gaps: found.Gaps}
 	state := playlog.NewState()
 	for _, raw := range found.Records {
 		r, err := playlog.Decode(raw)
@@ -100,7 +100,7 @@
 	if err := os.Mkdir(into, 0o700); err != nil {
 		return out, fmt.Errorf("salvage: %w", err)
 	}
-	log, _, err := store.Open(store.Folder(into))
+	log, _, err := store.Open(store.Dir(into))
 	if err != nil {
 		return out, fmt.Errorf("%s: %w", into, err)
 	}
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -105,7 +105,7 @@
 
 // Counts are counters of the updates received and the problems found.
 type Counts struct {
-	Updates, Stale, Regressions, Doubted, NameMismatches uint64
+	Updates, Stale, Regressions, DeferredRemovals, NameMismatches uint64
 }
 
 // New returns an empty Fleet.
@@ -233,7 +233,7 @@
 		if !doubted {
 			f.markGone(now, n, u.Source)
 		} else {
-			f.counts.Doubted++
+			f.counts.DeferredRemovals++
 		}
 	}
 }
--- a/rundir/rundir.go
+++ b/rundir/rundir.go
@@ -30,22 +30,22 @@
 const NonceVariable = "GULLRAIL_RUN"
 
 var (
-	ErrNoRun   = errors.New("no run in this folder")
-	ErrRuns    = errors.New("a run is in progress in this folder: stop it with 'kit down' or 'kit clean'")
-	ErrEnded   = errors.New("the run has ended")
-	ErrForeign = errors.New("the run folder is from another machine, another boot or another path")
+	ErrNoRun     = errors.New("no run in this folder")
+	ErrRunActive = errors.New("a run is in progress in this folder: stop it with 'kit down' or 'kit clean'")
+	ErrEnded     = errors.New("the run has ended")
+	ErrForeign   = errors.New("the run folder is from another machine, another boot or another path")
 )
 
 // Run is the content of the run file.
 type Run struct {
-	Nonce  string    `json:"nonce"`
-	Boot   string    `json:"boot"` // boot ID of the machine
-	Folder string    `json:"folder"`
-	Began  time.Time `json:"began"`
-	Ended  bool      `json:"ended"`
-	Day    string    `json:"day"` // path of the scenario file
-	Seed   uint64    `json:"seed"`
-	BaseNs int64     `json:"base_ns"` // zero of the traces' timestamps, as a reading of the machine's monotonic clock
+	Nonce        string    `json:"nonce"`
+	Boot         string    `json:"boot"` // boot ID of the machine
+	Folder       string    `json:"folder"`
+	StartedAt    time.Time `json:"began"`
+	Ended        bool      `json:"ended"`
+	ScenarioFile string    `json:"day"` // path of the scenario file
+	Seed         uint64    `json:"seed"`
+	ClockBaseNs  int64     `json:"base_ns"` // zero of the traces' timestamps, as a reading of the machine's monotonic clock
 }
 
 // Member is a registered process.
@@ -60,9 +60,9 @@
 type State string
 
 const (
-	Alive   State = "alive"
-	Gone    State = "gone"
-	Another State = "another process has its id"
+	Alive     State = "alive"
+	Exited    State = "gone"
+	PIDReused State = "another process has its id"
 )
 
 func bootID() (string, error) {
@@ -157,10 +157,10 @@
 	case err != nil:
 		return nil, err
 	case !previous.Ended:
-		return nil, fmt.Errorf("%s: %w", abs, ErrRuns)
+		return nil, fmt.Errorf("%s: %w", abs, ErrRunActive)
 	default:
 		if members, err := previous.Members(); err != nil || len(members) > 0 {
-			return nil, errors.Join(err, fmt.Errorf("%s: %w", abs, ErrRuns))
+			return nil, errors.Join(err, fmt.Errorf("%s: %w", abs, ErrRunActive))
 		}
 	}
 	boot, err := bootID()
@@ -171,7 +171,7 @@
 	if _, err := rand.Read(nonce); err != nil {
 		return nil, fmt.Errorf("rundir: %w", err)
 	}
-	run := &Run{Nonce: hex.EncodeToString(nonce), Boot: boot, Folder: abs, Began: time.Now().UTC(), Day: scenarioFile, Seed: seed, BaseNs: int64(clockBase)}
+	run := &Run{Nonce: hex.EncodeToString(nonce), Boot: boot, Folder: abs, StartedAt: time.Now().UTC(), ScenarioFile: scenarioFile, Seed: seed, ClockBaseNs: int64(clockBase)}
 	return run, writeFile(filepath.Join(abs, "run.json"), run)
 }
 
@@ -200,9 +200,9 @@
 
 func (r *Run) memberFile(name string) string { return filepath.Join(r.Folder, "members", name+".json") }
 
-// Join registers this process in the run, which must be that of its environment. It returns ErrEnded if the run has ended; the
-// process must then exit. The info is for other processes of the run; Join may be called again to change it.
-func (r *Run) Join(name string, info any) error {
+// Register registers this process in the run, which must be that of its environment. It returns ErrEnded if the run has ended; the
+// process must then exit. The info is for other processes of the run; Register may be called again to change it.
+func (r *Run) Register(name string, info any) error {
 	if os.Getenv(NonceVariable) != r.Nonce {
 		return fmt.Errorf("rundir: this process does not belong to the run in %s", r.Folder)
 	}
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// Leave removes a registration. A process removes its own as its last action before it exits.
-func (r *Run) Leave(name string) { os.Remove(r.memberFile(name)) }
+// Unregister removes a registration. A process removes its own as its last action before it exits.
+func (r *Run) Unregister(name string) { os.Remove(r.memberFile(name)) }
 
 // Members returns the registrations, sorted by name.
 func (r *Run) Members() ([]Member, error) {
@@ -260,15 +260,15 @@
 	start, err := startTime(m.PID)
 	switch {
 	case err != nil:
-		return Gone
+		return Exited
 	case start != m.Start || !hasNonce(m.PID, r.Nonce):
-		return Another
+		return PIDReused
 	}
 	return Alive
 }
 
-// Find decodes a member's info and returns true if it is registered.
-func (r *Run) Find(name string, info any) (ok bool, err error) {
+// MemberInfo decodes a member's info and returns true if it is registered.
+func (r *Run) MemberInfo(name string, info any) (ok bool, err error) {
 	var m Member
 	if err := readFile(r.memberFile(name), &m); errors.Is(err, os.ErrNotExist) {
 		return false, nil
@@ -278,16 +278,16 @@
 	return true, json.Unmarshal(m.Info, info)
 }
 
-// End marks the run as ended, so that no more processes join it.
-func (r *Run) End() error {
+// MarkEnded marks the run as ended, so that no more processes join it.
+func (r *Run) MarkEnded() error {
 	r.Ended = true
 	return writeFile(filepath.Join(r.Folder, "run.json"), r)
 }
 
-// Clean marks the run as ended and stops its processes: with SIGTERM and, for those still running after the grace period, SIGKILL. It
+// Stop marks the run as ended and stops its processes: with SIGTERM and, for those still running after the grace period, SIGKILL. It
 // returns the members that it signalled. If a registration does not match a process of the run, only the registration is removed.
-func (r *Run) Clean(grace time.Duration) (ended []Member, err error) {
-	if err := r.End(); err != nil {
+func (r *Run) Stop(grace time.Duration) (ended []Member, err error) {
+	if err := r.MarkEnded(); err != nil {
 		return nil, err
 	}
 	signalled := map[int]bool{}
@@ -299,7 +299,7 @@
 		alive := 0
 		for _, m := range members {
 			if r.StateOf(m) != Alive {
-				r.Leave(m.Name)
+				r.Unregister(m.Name)
 				continue
 			}
 			alive++
@@ -318,17 +318,17 @@
 	}
 }
 
-// RemoveUnstarted removes the files of a run whose creation was interrupted before the run file was written.
-func RemoveUnstarted(folder string) error {
+// RemoveIncomplete removes the files of a run whose creation was interrupted before the run file was written.
+func RemoveIncomplete(folder string) error {
 	abs, err := filepath.Abs(folder)
 	if err != nil {
 		return fmt.Errorf("rundir: %w", err)
 	}
-	return (&Run{Folder: abs}).Remove()
+	return (&Run{Folder: abs}).RemoveFiles()
 }
 
-// Remove removes the files of an ended run that this package wrote, and keeps all others.
-func (r *Run) Remove() error {
+// RemoveFiles removes the files of an ended run that this package wrote, and keeps all others.
+func (r *Run) RemoveFiles() error {
 	for _, name := range []string{"run.json", "begins"} {
 		if err := os.Remove(filepath.Join(r.Folder, name)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("rundir: %w", err)
--- a/rundir/rundir_test.go
+++ b/rundir/rundir_test.go
@@ -16,7 +16,7 @@
 	if folder := os.Getenv("RUNDIR_TEST_FOLDER"); folder != "" {
 		run, err := Open(folder)
 		if err == nil {
-			err = run.Join(os.Getenv("RUNDIR_TEST_NAME"), map[string]int{"pid": os.Getpid()})
+			err = run.Register(os.Getenv("RUNDIR_TEST_NAME"), map[string]int{"pid": os.Getpid()})
 		}
 		if err != nil {
 			os.Exit(3)
@@ -48,7 +48,7 @@
 	t.Helper()
 	for range 1000 {
 		var info map[string]int
-		if ok, err := r.Find(name, &info); err != nil {
+		if ok, err := r.MemberInfo(name, &info); err != nil {
 			t.Fatal(err)
 		} else if ok {
 			all, err := r.Members()
@@ -84,19 +84,19 @@
 	responsiveMember, unresponsiveMember := awaitRegistration(t, a, "one"), awaitRegistration(t, a, "unresponsive")
 	awaitRegistration(t, b, "one")
 	suspend(unresponsive.Process.Pid) // stopped, and ignoring SIGTERM once continued: only SIGKILL ends it
-	ended, err := a.Clean(300 * time.Millisecond)
+	ended, err := a.Stop(300 * time.Millisecond)
 	if err != nil || len(ended) != 2 {
 		t.Fatalf("ended %v, %v", ended, err)
 	}
 	for _, m := range []Member{responsiveMember, unresponsiveMember} {
-		if s := a.StateOf(m); s != Gone {
+		if s := a.StateOf(m); s != Exited {
 			t.Errorf("%s: %s", m.Name, s)
 		}
 	}
 	if s := b.StateOf(Member{PID: other.Process.Pid, Start: awaitRegistration(t, b, "one").Start}); s != Alive {
 		t.Errorf("another run's process: %s", s)
 	}
-	if err := a.Remove(); err != nil {
+	if err := a.RemoveFiles(); err != nil {
 		t.Fatal(err)
 	}
 	if remaining, _ := filepath.Glob(filepath.Join(a.Folder, "*")); len(remaining) != 0 {
@@ -112,7 +112,7 @@
 		"other start time": {Name: "x", PID: process.Process.Pid, Start: m.Start + 1},
 		"no nonce":         {Name: "y", PID: os.Getpid(), Start: mustStartTime(t, os.Getpid())},
 	} {
-		if s := r.StateOf(candidate); s != Another {
+		if s := r.StateOf(candidate); s != PIDReused {
 			t.Errorf("%s: %s", name, s)
 		}
 		b, _ := json.Marshal(candidate)
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 	}
-	ended, err := r.Clean(time.Second)
+	ended, err := r.Stop(time.Second)
 	if err != nil || len(ended) != 1 || ended[0].Name != "one" {
 		t.Fatalf("ended %v, %v", ended, err)
 	}
@@ -138,14 +138,14 @@
 func TestJoinFailsAfterTheRunHasEnded(t *testing.T) {
 	r := createRun(t)
 	t.Setenv(NonceVariable, r.Nonce)
-	if err := r.Join("early", nil); err != nil {
+	if err := r.Register("early", nil); err != nil {
 		t.Fatal(err)
 	}
-	r.Leave("early")
-	if err := r.End(); err != nil {
+	r.Unregister("early")
+	if err := r.MarkEnded(); err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Join("late", nil); !errors.Is(err, ErrEnded) {
+	if err := r.Register("late", nil); !errors.Is(err, ErrEnded) {
 		t.Fatalf("joining an ended run: %v", err)
 	}
 	if members, err := r.Members(); err != nil || len(members) != 0 {
@@ -155,17 +155,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := r.Join("of-previous-run", nil); !errors.Is(err, ErrEnded) {
+	if err := r.Register("of-previous-run", nil); !errors.Is(err, ErrEnded) {
 		t.Fatalf("joining a run whose folder has a new run: %v", err)
 	}
-	if err := next.Join("without-nonce", nil); err == nil {
+	if err := next.Register("without-nonce", nil); err == nil {
 		t.Fatal("joined the run without its nonce")
 	}
 }
 
 func TestCreateAndOpenRejectFoldersThatTheyCannotUse(t *testing.T) {
 	r := createRun(t)
-	if _, err := Create(r.Folder, "day", 1, 0); !errors.Is(err, ErrRuns) {
+	if _, err := Create(r.Folder, "day", 1, 0); !errors.Is(err, ErrRunActive) {
 		t.Errorf("folder with an active run: %v", err)
 	}
 	copied := filepath.Join(t.TempDir(), "copy")
--- a/store/disk_test.go
+++ b/store/disk_test.go
@@ -28,7 +28,7 @@
 	opCreate
 	opRename
 	opRemove
-	opSyncNames
+	opSyncDir
 	opAck // not a file operation: notes that a call of Append or Compact was acknowledged
 )
 
@@ -59,7 +59,7 @@
 	return nil, fmt.Errorf("%s: %w", name, os.ErrNotExist)
 }
 
-func (d *memDir) Names() (names []string, _ error) {
+func (d *memDir) List() (names []string, _ error) {
 	for n := range d.files {
 		names = append(names, n)
 	}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-func (d *memDir) SyncNames() error { return d.apply(op{kind: opSyncNames}) }
+func (d *memDir) SyncDir() error { return d.apply(op{kind: opSyncDir}) }
 
 type memHandle struct {
 	dir  *memDir
@@ -187,7 +187,7 @@
 			delete(current, o.name)
 		case opRemove:
 			delete(current, o.name)
-		case opSyncNames:
+		case opSyncDir:
 			durable = map[string]*file{}
 			for name, f := range current {
 				durable[name] = f
--- a/store/fs.go
+++ b/store/fs.go
@@ -6,16 +6,16 @@
 	"sort"
 )
 
-// Files is the directory of a store. Folder implements it for the operating system; tests use one that simulates
+// Files is the directory of a store. Dir implements it for the operating system; tests use one that simulates
 // crashes. Writes to a file are durable once its Sync has returned, and creating, renaming or removing a file once
-// SyncNames has.
+// SyncDir has.
 type Files interface {
 	Read(name string) ([]byte, error) // os.ErrNotExist if there is no such file
-	Names() ([]string, error)         // file names, sorted
+	List() ([]string, error)          // file names, sorted
 	Open(name string) (File, error)   // opens for writing, creating the file if needed
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncNames() error
+	SyncDir() error
 }
 
 // File is a file open for writing.
@@ -26,16 +26,16 @@
 	Close() error
 }
 
-// Folder is the path of a directory of the operating system.
-type Folder string
+// Dir is the path of a directory of the operating system.
+type Dir string
 
-func (f Folder) path(name string) string { return filepath.Join(string(f), name) }
+func (f Dir) path(name string) string { return filepath.Join(string(f), name) }
 
 // Read returns the contents of a file.
-func (f Folder) Read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
+func (f Dir) Read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
 
-// Names returns the names of the files in the directory, without those of subdirectories.
-func (f Folder) Names() ([]string, error) {
+// List returns the names of the files in the directory, without those of subdirectories.
+func (f Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	if err != nil {
 		return nil, err
@@ -51,18 +51,18 @@
 }
 
 // Open opens a file for writing and creates it if needed.
-func (f Folder) Open(name string) (File, error) {
+func (f Dir) Open(name string) (File, error) {
 	return os.OpenFile(f.path(name), os.O_CREATE|os.O_WRONLY, 0o600)
 }
 
 // Rename renames a file.
-func (f Folder) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
+func (f Dir) Rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
 
 // Remove removes a file.
-func (f Folder) Remove(name string) error { return os.Remove(f.path(name)) }
+func (f Dir) Remove(name string) error { return os.Remove(f.path(name)) }
 
-// SyncNames syncs the directory.
-func (f Folder) SyncNames() error {
+// SyncDir syncs the directory.
+func (f Dir) SyncDir() error {
 	d, err := os.Open(string(f))
 	if err != nil {
 		return err
--- a/store/log.go
+++ b/store/log.go
@@ -4,7 +4,7 @@
 //
 // Guarantees: a record whose Append returned nil survives any crash that loses unsynced writes, including torn or
 // zero-filled tails. Records are returned in order and without gaps. If files were truncated or altered otherwise, so
-// that an acknowledged record can't be read, Open returns a *Damage with the position and never returns the remaining
+// that an acknowledged record can't be read, Open returns a *DamageError with the position and never returns the remaining
 // records as if they were complete. After a failed write or sync nothing more is acknowledged, as it is unknown which
 // pages the kernel dropped.
 //
@@ -41,27 +41,27 @@
 
 // Errors to test for with errors.Is.
 var (
-	ErrBroken = errors.New("store: a write or sync failed; nothing more is acknowledged")
-	ErrClosed = errors.New("store: closed")
-	ErrDamage = errors.New("store: damaged")
-	ErrFormat = errors.New("store: unsupported format version")
-	ErrTooBig = errors.New("store: record too large")
-	ErrBehind = errors.New("store: write queue is full; the disk can't keep up")
+	ErrBroken    = errors.New("store: a write or sync failed; nothing more is acknowledged")
+	ErrClosed    = errors.New("store: closed")
+	ErrDamaged   = errors.New("store: damaged")
+	ErrFormat    = errors.New("store: unsupported format version")
+	ErrTooBig    = errors.New("store: record too large")
+	ErrQueueFull = errors.New("store: write queue is full; the disk can't keep up")
 )
 
-// Damage is an error that gives the position from which acknowledged records can't be read.
-type Damage struct {
+// DamageError is an error that gives the position from which acknowledged records can't be read.
+type DamageError struct {
 	File   string
 	Offset int64
-	What   string
+	Reason string
 }
 
-func (d *Damage) Error() string {
-	return fmt.Sprintf("store: damaged: %s at byte %d: %s", d.File, d.Offset, d.What)
+func (d *DamageError) Error() string {
+	return fmt.Sprintf("store: damaged: %s at byte %d: %s", d.File, d.Offset, d.Reason)
 }
 
-// Unwrap makes errors.Is(d, ErrDamage) true.
-func (d *Damage) Unwrap() error { return ErrDamage }
+// Unwrap makes errors.Is(d, ErrDamaged) true.
+func (d *DamageError) Unwrap() error { return ErrDamaged }
 
 func segmentName(n uint64) string { return fmt.Sprintf("log-%016d", n) }
 
@@ -79,14 +79,14 @@
 func (c *Contents) Last() uint64 { return c.First + uint64(len(c.Records)) - 1 }
 
 // Inspect reads a store without changing it. If acknowledged records can't be read from the segment, it returns the
-// records before that position along with the *Damage.
+// records before that position along with the *DamageError.
 func Inspect(files Files) (*Contents, error) {
 	checkpoint, err := files.Read(checkpointName)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	c, err := decodeCheckpoint(checkpoint)
-	if errors.Is(err, ErrDamage) {
+	if errors.Is(err, ErrDamaged) {
 		if uninitialized, e := isUninitialized(files); e != nil {
 			return nil, e
 		} else if uninitialized {
@@ -99,7 +99,7 @@
 	name := segmentName(c.Segment)
 	data, err := files.Read(name)
 	if errors.Is(err, os.ErrNotExist) {
-		return nil, &Damage{name, 0, "the segment named by the checkpoint is missing"}
+		return nil, &DamageError{name, 0, "the segment named by the checkpoint is missing"}
 	} else if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
@@ -112,7 +112,7 @@
 		}
 		if problem != "" {
 			if c.Last() < c.Acked {
-				return c, &Damage{name, offset, fmt.Sprintf("%s, and record %d was acknowledged", problem, c.Acked)}
+				return c, &DamageError{name, offset, fmt.Sprintf("%s, and record %d was acknowledged", problem, c.Acked)}
 			}
 			return c, nil // the remaining bytes were never acknowledged
 		}
@@ -125,7 +125,7 @@
 // isUninitialized reports whether the store was never written to, so that no record can have been acknowledged. The
 // first checkpoint is durable before the first record is written: a store without one has an empty segment or none.
 func isUninitialized(files Files) (bool, error) {
-	names, err := files.Names()
+	names, err := files.List()
 	if err != nil {
 		return false, fmt.Errorf("store: %w", err)
 	}
@@ -164,7 +164,7 @@
 		}
 	}
 	if newest == nil || newest.Segment == 0 || newest.First == 0 || newest.Acked+1 < newest.First {
-		return nil, &Damage{checkpointName, 0, "neither slot holds a valid checkpoint"}
+		return nil, &DamageError{checkpointName, 0, "neither slot holds a valid checkpoint"}
 	}
 	return newest, nil
 }
@@ -244,7 +244,7 @@
 	done    chan error
 }
 
-// Open opens a store and returns its contents. A damaged store is not opened; the error is then a *Damage. The caller
+// Open opens a store and returns its contents. A damaged store is not opened; the error is then a *DamageError. The caller
 // closes the log.
 func Open(files Files) (*Log, *Contents, error) {
 	c, err := Inspect(files)
@@ -266,7 +266,7 @@
 		err = l.writeCheckpoint()
 	}
 	if err == nil {
-		err = files.SyncNames()
+		err = files.SyncDir()
 	}
 	if err == nil {
 		err = l.removeStaleSegments()
@@ -296,7 +296,7 @@
 
 // removeStaleSegments removes all segments but the current one.
 func (l *Log) removeStaleSegments() error {
-	names, err := l.files.Names()
+	names, err := l.files.List()
 	if err != nil {
 		return err
 	}
@@ -313,29 +313,29 @@
 }
 
 // Append writes a record and returns once it is durable. Concurrent appends share a sync.
-func (l *Log) Append(record []byte) error { return <-l.Begin(record) }
+func (l *Log) Append(record []byte) error { return <-l.AppendAsync(record) }
 
-// Begin queues a record and returns a channel that delivers the result once: nil when the record is durable. It blocks
+// AppendAsync queues a record and returns a channel that delivers the result once: nil when the record is durable. It blocks
 // only while the queue is full. Records are written in the order of the calls, so a caller that has to keep its own
-// order in step with the log's calls Begin with its lock held.
-func (l *Log) Begin(record []byte) <-chan error {
+// order in step with the log's calls AppendAsync with its lock held.
+func (l *Log) AppendAsync(record []byte) <-chan error {
 	return l.enqueue(true, &entry{record: record}, record)
 }
 
-// TryBegin is like Begin but never blocks: if the queue is full it returns ErrBehind and the record is not written. The
+// TryAppendAsync is like AppendAsync but never blocks: if the queue is full it returns ErrQueueFull and the record is not written. The
 // channel is nil if and only if there is an error.
-func (l *Log) TryBegin(record []byte) (<-chan error, error) {
-	return orErrBehind(l.enqueue(false, &entry{record: record}, record))
+func (l *Log) TryAppendAsync(record []byte) (<-chan error, error) {
+	return orErrQueueFull(l.enqueue(false, &entry{record: record}, record))
 }
 
-// TryCompact is like Compact but never blocks: if the queue is full it returns ErrBehind and changes nothing.
+// TryCompact is like Compact but never blocks: if the queue is full it returns ErrQueueFull and changes nothing.
 func (l *Log) TryCompact(records [][]byte) (<-chan error, error) {
-	return orErrBehind(l.enqueue(false, &entry{compact: append([][]byte{}, records...)}, records...))
+	return orErrQueueFull(l.enqueue(false, &entry{compact: append([][]byte{}, records...)}, records...))
 }
 
-func orErrBehind(done <-chan error) (<-chan error, error) {
+func orErrQueueFull(done <-chan error) (<-chan error, error) {
 	if done == nil {
-		return nil, ErrBehind
+		return nil, ErrQueueFull
 	}
 	return done, nil
 }
@@ -477,7 +477,7 @@
 		err = l.files.Rename(name+".new", name)
 	}
 	if err == nil {
-		err = l.files.SyncNames()
+		err = l.files.SyncDir()
 	}
 	if err != nil {
 		f.Close()
@@ -493,7 +493,7 @@
 	if err := l.files.Remove(segmentName(oldSegment)); err != nil {
 		return err
 	}
-	return l.files.SyncNames()
+	return l.files.SyncDir()
 }
 
 // Clone returns copies of the records, which otherwise share memory with the segment data.
--- a/store/log_test.go
+++ b/store/log_test.go
@@ -137,11 +137,11 @@
 
 // asDurableOps returns operations that create the files of dir and sync them.
 func asDurableOps(dir *memDir) (ops []op) {
-	names, _ := dir.Names()
+	names, _ := dir.List()
 	for _, n := range names {
 		ops = append(ops, op{kind: opCreate, name: n}, op{kind: opWrite, name: n, data: dir.files[n].data}, op{kind: opSync, name: n})
 	}
-	return append(ops, op{kind: opSyncNames})
+	return append(ops, op{kind: opSyncDir})
 }
 
 func TestDamageIsDetectedAtEveryOffset(t *testing.T) {
@@ -156,14 +156,14 @@
 			intact++ // the damage hit only the older checkpoint slot or the padding between the slots
 		case err == nil:
 			t.Errorf("%s: damage not detected; got records %q", what, recordStrings(c))
-		case !errors.Is(err, ErrDamage) && !errors.Is(err, ErrFormat):
+		case !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrFormat):
 			t.Errorf("%s: %v", what, err)
 		default:
 			damaged++
 		}
 	}
 	copyOf := func() *memDir { return stateAfterCrash(d.ops, len(d.ops), 0, everythingWritten) }
-	names, _ := d.Names()
+	names, _ := d.List()
 	for _, name := range names {
 		for offset := range d.files[name].data {
 			b := copyOf()
@@ -187,7 +187,7 @@
 	for name, skip := range map[string]func(o op) bool{
 		"sync of a segment":      func(o op) bool { return o.kind == opSync && o.name != checkpointName },
 		"sync of the checkpoint": func(o op) bool { return o.kind == opSync && o.name == checkpointName },
-		"sync of the directory":  func(o op) bool { return o.kind == opSyncNames },
+		"sync of the directory":  func(o op) bool { return o.kind == opSyncDir },
 		"sync before a rename":   func(o op) bool { return o.kind == opSync && len(o.name) > 4 && o.name[len(o.name)-4:] == ".new" },
 	} {
 		d := newMemDir()
@@ -238,7 +238,7 @@
 }
 
 func TestConcurrentAppendsShareSyncs(t *testing.T) {
-	dir := Folder(t.TempDir())
+	dir := Dir(t.TempDir())
 	l, _ := openLog(t, dir)
 	var wg sync.WaitGroup
 	for g := range 50 {
@@ -284,7 +284,7 @@
 
 func TestOpenRejectsUnknownFormatAndMissingFolder(t *testing.T) {
 	dir := t.TempDir()
-	l, _ := openLog(t, Folder(dir))
+	l, _ := openLog(t, Dir(dir))
 	l.Append([]byte("a"))
 	l.Close()
 	file := filepath.Join(dir, checkpointName)
@@ -297,10 +297,10 @@
 		}
 	}
 	os.WriteFile(file, data, 0o600)
-	if _, _, err := Open(Folder(dir)); !errors.Is(err, ErrFormat) {
+	if _, _, err := Open(Dir(dir)); !errors.Is(err, ErrFormat) {
 		t.Fatalf("format version 9: got %v, want ErrFormat", err)
 	}
-	if _, _, err := Open(Folder(filepath.Join(dir, "none"))); err == nil {
+	if _, _, err := Open(Dir(filepath.Join(dir, "none"))); err == nil {
 		t.Fatal("opened a store in a missing folder")
 	}
 }
@@ -308,7 +308,7 @@
 func FuzzInspect(f *testing.F) {
 	d := newMemDir()
 	workload(f, d)
-	names, _ := d.Names()
+	names, _ := d.List()
 	f.Add(d.files[names[0]].data, d.files[checkpointName].data, names[0])
 	f.Fuzz(func(t *testing.T, segment, checkpoint []byte, name string) {
 		bad := newMemDir()
@@ -324,7 +324,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	l, _ := openLog(b, Folder(b.TempDir()))
+	l, _ := openLog(b, Dir(b.TempDir()))
 	defer l.Close()
 	r := make([]byte, 150)
 	b.SetParallelism(16)
@@ -346,7 +346,7 @@
 			b.Run(fmt.Sprintf("%d-a-second/copies-%d", rate, copies), func(b *testing.B) {
 				var logs []*Log
 				for range copies {
-					l, _ := openLog(b, Folder(b.TempDir()))
+					l, _ := openLog(b, Dir(b.TempDir()))
 					defer l.Close()
 					logs = append(logs, l)
 				}
@@ -363,7 +363,7 @@
 						began := time.Now()
 						var done []<-chan error
 						for _, l := range logs {
-							done = append(done, l.Begin(r))
+							done = append(done, l.AppendAsync(r))
 						}
 						for _, d := range done {
 							if err := <-d; err != nil {
--- a/store/salvage.go
+++ b/store/salvage.go
@@ -14,7 +14,7 @@
 	File     string
 	From, To int64  // byte range that holds no valid record in sequence
 	Records  uint64 // number of records missing
-	What     string
+	Reason   string
 }
 
 // Salvaged is the data recovered from a store, damaged or not.
@@ -34,7 +34,7 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	c, err := decodeCheckpoint(checkpoint)
-	if err != nil && !errors.Is(err, ErrDamage) {
+	if err != nil && !errors.Is(err, ErrDamaged) {
 		return nil, err
 	}
 	if err != nil {
@@ -43,7 +43,7 @@
 		} else if uninitialized {
 			return s, nil
 		}
-		s.addGap(MissingRange{File: checkpointName, To: int64(len(checkpoint)), Records: 1, What: "no slot of it holds: how far the log was acknowledged is not known"})
+		s.addGap(MissingRange{File: checkpointName, To: int64(len(checkpoint)), Records: 1, Reason: "no slot of it holds: how far the log was acknowledged is not known"})
 		segment, err := highestSegment(files)
 		if err != nil {
 			return nil, err
@@ -54,7 +54,7 @@
 	data, err := files.Read(name)
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		s.addGap(MissingRange{File: name, Records: c.Acked + 1 - min(c.First, c.Acked), What: "the segment is missing"})
+		s.addGap(MissingRange{File: name, Records: c.Acked + 1 - min(c.First, c.Acked), Reason: "the segment is missing"})
 		return s, nil
 	case err != nil:
 		return nil, fmt.Errorf("store: %w", err)
@@ -105,7 +105,7 @@
 // highestSegment returns the highest segment number, 0 if there is no segment. A segment is written completely before
 // it is renamed to its final name.
 func highestSegment(files Files) (uint64, error) {
-	names, err := files.Names()
+	names, err := files.List()
 	if err != nil {
 		return 0, fmt.Errorf("store: %w", err)
 	}
--- a/store/salvage_test.go
+++ b/store/salvage_test.go
@@ -38,7 +38,7 @@
 			partial++
 		}
 	}
-	names, _ := d.Names()
+	names, _ := d.List()
 	for _, name := range names {
 		for offset := range d.files[name].data {
 			for flip := range 2 {
@@ -88,7 +88,7 @@
 func FuzzSalvage(f *testing.F) {
 	d := newMemDir()
 	workload(f, d)
-	names, _ := d.Names()
+	names, _ := d.List()
 	f.Add(d.files[names[0]].data, d.files[checkpointName].data, names[0])
 	f.Fuzz(func(t *testing.T, segment, checkpoint []byte, name string) {
 		bad := newMemDir()
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -36,7 +36,7 @@
 func TestFrontsWithOldAndNewSettingsShareNodes(t *testing.T) {
 	const fronts, rounds = 4, 30
 	r := newRigWith(t, 4, func(r *rig) {
-		r.service.Fronts, r.service.DrainGraceMs, r.service.WeightKB = fronts, 250, 4000
+		r.service.Fronts, r.service.DrainGraceMs, r.service.LinkKBPerWeight = fronts, 250, 4000
 		r.settings.Service, r.settings.Name = *r.service, "old0"
 	})
 	r.fleet.mu.Lock()
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -96,7 +96,7 @@
 
 // initialURL returns the manifest URL for a new play.
 func (p *ViewerClients) initialURL(v *Viewer, front int, length time.Duration) string {
-	return client.FirstManifestURL("http", v.Fronts[front], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: length})
+	return client.ManifestURL("http", v.Fronts[front], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: length})
 }
 
 // Watch runs a viewer: it requests a play, fetches segments, resumes after interruptions and moves, and retries
@@ -162,7 +162,7 @@
 // play fetches segments until the watch time is over or the play is interrupted. It requests the manifest again
 // when the node suggests another rate, and updates res.
 func (p *ViewerClients) play(ctx context.Context, v *Viewer, front int, res *manifestResult, startedAt time.Time) playEnd {
-	interval := time.Duration(res.manifest.Segment) * time.Millisecond
+	interval := time.Duration(res.manifest.SegmentMs) * time.Millisecond
 	suggestedRate, failures := "", 0
 	for n := 1; time.Since(startedAt) < v.WatchTime; n++ {
 		m := &res.manifest
--- a/testbed/rehearse.go
+++ b/testbed/rehearse.go
@@ -122,7 +122,7 @@
 
 // tailSeconds returns how long the run continues after the last arrival, in seconds, so that the last requests
 // get their answers.
-func (sc *Scenario) tailSeconds() float64 { return sc.Service.LongestLimitMs()/1000 + 1 }
+func (sc *Scenario) tailSeconds() float64 { return sc.Service.MaxDeadlineMs()/1000 + 1 }
 
 // Start starts the nodes, the list service and the fronts, and waits until the fronts are ready. The caller
 // must call Stop, also after an error.
@@ -159,7 +159,7 @@
 	if r.Logf == nil {
 		r.Logf = func(string, ...any) {}
 	}
-	key := config.Key{ID: "rehearsal", Seed: make([]byte, 32), Signs: true}
+	key := config.Key{ID: "rehearsal", Seed: make([]byte, 32), Signing: true}
 	for i := range key.Seed {
 		key.Seed[i] = byte(r.random.UintN(256))
 	}
@@ -183,7 +183,7 @@
 // that all processes agree on them.
 func (r *Rehearsal) startNodes(selected func(number int) bool) (lines []nodes.ListNode, err error) {
 	for i := range r.Scenario.Nodes {
-		linkKB := r.Scenario.Service.WeightKB * r.spreadFactor()
+		linkKB := r.Scenario.Service.LinkKBPerWeight * r.spreadFactor()
 		if !selected(i) {
 			continue
 		}
--- a/testbed/rig_test.go
+++ b/testbed/rig_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(doc.Err())
 	}
 	r.service = &service
-	keys := []config.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signs: true}}
+	keys := []config.Key{{ID: "k", Seed: bytes.Repeat([]byte{7}, 32), Signing: true}}
 	if r.minter, err = frontend.NewMinter(keys); err != nil {
 		t.Fatal(err)
 	}
--- a/testbed/sim.go
+++ b/testbed/sim.go
@@ -991,7 +991,7 @@
 	}
 	var lines []nodes.ListNode
 	for i := range sc.Nodes {
-		n := s.newNode(fmt.Sprintf("n%d", i), i%sc.Service.Cells, i, sc.Service.WeightKB*spreadFactor())
+		n := s.newNode(fmt.Sprintf("n%d", i), i%sc.Service.Cells, i, sc.Service.LinkKBPerWeight*spreadFactor())
 		s.nodesByNumber = append(s.nodesByNumber, n)
 		n.start(false)
 		lines = append(lines, n.line)
--- a/testbed/socketplayer.go
+++ b/testbed/socketplayer.go
@@ -70,7 +70,7 @@
 		} else if exchange.Err != nil {
 			event.Note = exchange.Err.Error()
 		} else {
-			event.Status, event.Note = httpStatus(exchange.Answer.Verdict, exchange.Answer.Why), exchange.Answer.Why
+			event.Status, event.Note = httpStatus(exchange.Answer.Verdict, exchange.Answer.Reason), exchange.Answer.Reason
 			if exchange.Answer.Grant != nil {
 				event.Play = exchange.Answer.Grant.Play
 			}
--- a/wsapi/many_test.go
+++ b/wsapi/many_test.go
@@ -92,7 +92,7 @@
 						conn.CloseNow()
 						break
 					}
-					m, err := DecodeFront(text)
+					m, err := DecodeFromFront(text)
 					if err != nil {
 						fmt.Println("invalid message:", err)
 						return
--- a/wsapi/ticket.go
+++ b/wsapi/ticket.go
@@ -13,7 +13,7 @@
 // ticket is one request and the play that results from it. The player chooses the id and can resume the ticket by it on
 // another socket for a while after a disconnect.
 type ticket struct {
-	front     *Front
+	front     *Server
 	id        string
 	request   playapi.Request
 	deadline  int64 // time limit of the request
@@ -77,7 +77,7 @@
 	}
 	t.sentCursor = m.Cursor
 	t.mu.Unlock()
-	out := Message{Ticket: t.id, Cursor: m.Cursor, Skipped: m.Omitted}
+	out := Message{Ticket: t.id, Cursor: m.Cursor, Omitted: m.Omitted}
 	switch value := m.Value.(type) {
 	case session.Event:
 		out.Type, out.Play = "ended", value.Answer.Play
@@ -85,13 +85,13 @@
 		case playlog.Moved, playlog.Broken:
 			out.Type = "moved"
 		case playlog.Resumed:
-			out.Why = "it was taken up elsewhere"
+			out.Reason = "it was taken up elsewhere"
 		}
 		return out, true
 	case session.Answer:
 		out.Type = "rung"
 		if m.Kind == sockets.Answer {
-			out.Type, out.Verdict, out.Why, out.ComeBack = "answer", value.Verdict.String(), value.Reason, session.Duration(value.RetryAfter).Milliseconds()
+			out.Type, out.Verdict, out.Reason, out.RetryAfterMs = "answer", value.Verdict.String(), value.Reason, session.Duration(value.RetryAfter).Milliseconds()
 			t.front.service.Log(t.request, value, "socket", time.Since(t.startedAt))
 		}
 		if value.Verdict == session.Started {
@@ -99,7 +99,7 @@
 			if err != nil { // ended, as the viewer can't use the play without the grant
 				t.front.log.Error().Err(err).Msg("granting a play failed; ending the play")
 				t.front.service.EndPlay(value.Play)
-				return Message{Type: "error", Ticket: t.id, Why: "the answer could not be given"}, true
+				return Message{Type: "error", Ticket: t.id, Reason: "the answer could not be given"}, true
 			}
 			out.Grant = &grant
 		}
--- a/wsapi/wire.go
+++ b/wsapi/wire.go
@@ -45,32 +45,32 @@
 
 // Message is a message in either direction. The schema defines which fields each type has.
 type Message struct {
-	Type     string         `json:"type"`
-	Ticket   string         `json:"ticket,omitempty"`
-	Cursor   uint64         `json:"cursor,omitempty"`
-	Title    string         `json:"title,omitempty"`
-	Product  string         `json:"product,omitempty"`
-	Viewer   string         `json:"viewer,omitempty"`
-	Top      *int           `json:"top,omitempty"`
-	LimitMs  int            `json:"limit_ms,omitempty"`
-	LengthMs int            `json:"length_ms,omitempty"`
-	Token    string         `json:"token,omitempty"`
-	Broken   bool           `json:"broken,omitempty"`
-	Share    *float64       `json:"share,omitempty"`
-	BufferMs int64          `json:"buffer_ms,omitempty"`
-	Verdict  string         `json:"verdict,omitempty"`
-	Why      string         `json:"why,omitempty"`
-	ComeBack int64          `json:"come_back_ms,omitempty"`
-	Play     string         `json:"play,omitempty"`
-	Skipped  int            `json:"skipped,omitempty"`
-	Grant    *playapi.Grant `json:"grant,omitempty"`
+	Type         string         `json:"type"`
+	Ticket       string         `json:"ticket,omitempty"`
+	Cursor       uint64         `json:"cursor,omitempty"`
+	Title        string         `json:"title,omitempty"`
+	Product      string         `json:"product,omitempty"`
+	Viewer       string         `json:"viewer,omitempty"`
+	MaxRung      *int           `json:"top,omitempty"`
+	TimeoutMs    int            `json:"limit_ms,omitempty"`
+	LengthMs     int            `json:"length_ms,omitempty"`
+	Token        string         `json:"token,omitempty"`
+	NotDelivered bool           `json:"broken,omitempty"`
+	Share        *float64       `json:"share,omitempty"`
+	BufferMs     int64          `json:"buffer_ms,omitempty"`
+	Verdict      string         `json:"verdict,omitempty"`
+	Reason       string         `json:"why,omitempty"`
+	RetryAfterMs int64          `json:"come_back_ms,omitempty"`
+	Play         string         `json:"play,omitempty"`
+	Omitted      int            `json:"skipped,omitempty"`
+	Grant        *playapi.Grant `json:"grant,omitempty"`
 }
 
 // Decode parses a player's message and validates it against the schema.
 func Decode(text []byte) (Message, error) { return decode("fromPlayer", text) }
 
-// DecodeFront parses a front's message and validates it against the schema.
-func DecodeFront(text []byte) (Message, error) { return decode("fromFront", text) }
+// DecodeFromFront parses a front's message and validates it against the schema.
+func DecodeFromFront(text []byte) (Message, error) { return decode("fromFront", text) }
 
 func decode(direction string, text []byte) (Message, error) {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(text))
--- a/wsapi/wsapi.go
+++ b/wsapi/wsapi.go
@@ -19,8 +19,8 @@
 	"gullrail/sockets"
 )
 
-// Front serves the WebSocket connections of one front end.
-type Front struct {
+// Server serves the WebSocket connections of one front end.
+type Server struct {
 	service *playapi.Service
 	clock   *session.Clock
 	log     zerolog.Logger
@@ -41,27 +41,27 @@
 
 // Counts are totals since the start of the front.
 type Counts struct {
-	Opened, Refused, Shed, Cut, Resumed, Unknown atomic.Int64
+	Opened, Refused, Shed, Disconnected, Resumed, Unknown atomic.Int64
 }
 
-// New returns a handler for a front end with the given limit of connections. Call Close to stop it.
-func New(service *playapi.Service, clock *session.Clock, connections int, seed uint64, log zerolog.Logger) *Front {
+// NewServer returns a handler for a front end with the given limit of connections. Call Close to stop it.
+func NewServer(service *playapi.Service, clock *session.Clock, connections int, seed uint64, log zerolog.Logger) *Server {
 	ctx, stop := context.WithCancel(context.Background())
-	return &Front{service: service, clock: clock, log: log, ctx: ctx, stop: stop, admission: sockets.NewAdmission(clock.Now(), sockets.MaxSockets(connections), seed),
+	return &Server{service: service, clock: clock, log: log, ctx: ctx, stop: stop, admission: sockets.NewAdmission(clock.Now(), sockets.MaxSockets(connections), seed),
 		open: map[*socket]bool{}, tickets: map[string]*ticket{}}
 }
 
-func (f *Front) now() int64 { return f.clock.Now() }
+func (f *Server) now() int64 { return f.clock.Now() }
 
 // Counts returns the totals, the number of open sockets and the number of stored tickets.
-func (f *Front) Counts() (c *Counts, open, tickets int) {
+func (f *Server) Counts() (c *Counts, open, tickets int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return &f.counts, len(f.open), len(f.tickets)
 }
 
 // ServeHTTP accepts a WebSocket connection and serves it until it is closed.
-func (f *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	clientID := r.URL.Query().Get("viewer") // unauthenticated: used only to recognize banned clients
 	f.mu.Lock()
 	result, retryAfter := f.admission.Admit(f.now(), clientID, len(f.open)+f.handshakes)
@@ -147,7 +147,7 @@
 
 // selectForShedding returns sockets to close to make room for others. The caller holds f.mu, and closes them after
 // releasing it.
-func (f *Front) selectForShedding() (selected []*socket) {
+func (f *Server) selectForShedding() (selected []*socket) {
 	now := f.now()
 	var candidates []*socket
 	var states []sockets.SocketState
@@ -163,7 +163,7 @@
 	return selected
 }
 
-func (f *Front) removeTicket(t *ticket) {
+func (f *Server) removeTicket(t *ticket) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.tickets[t.id] == t {
@@ -171,9 +171,9 @@
 	}
 }
 
-// Shut refuses new sockets and closes the open ones with reconnection times that are spread out. A socket stays open until its
+// StartShutdown refuses new sockets and closes the open ones with reconnection times that are spread out. A socket stays open until its
 // requests are answered; Close closes those that remain.
-func (f *Front) Shut() {
+func (f *Server) StartShutdown() {
 	f.mu.Lock()
 	f.closing = true
 	var openSockets []*socket
@@ -189,8 +189,8 @@
 	}
 }
 
-// Drain waits until all sockets are closed or ctx is done.
-func (f *Front) Drain(ctx context.Context) {
+// WaitClosed waits until all sockets are closed or ctx is done.
+func (f *Server) WaitClosed(ctx context.Context) {
 	for {
 		if _, open, _ := f.Counts(); open == 0 {
 			return
@@ -204,7 +204,7 @@
 }
 
 // Close closes all sockets and returns when their goroutines have ended. Pending requests are withdrawn; plays continue.
-func (f *Front) Close() {
+func (f *Server) Close() {
 	f.mu.Lock()
 	f.closing = true
 	var tickets []*ticket
@@ -230,14 +230,14 @@
 
 // socket is one open WebSocket connection.
 type socket struct {
-	front      *Front
+	front      *Server
 	conn       *websocket.Conn
 	clientID   string
 	ctx        context.Context
 	cancel     context.CancelFunc
 	wake       chan struct{}
 	limiter    sockets.MessageLimiter // used only by readLoop
-	retryAfter int64                  // reconnection delay sent by Shut, 0 before; guarded by front.mu
+	retryAfter int64                  // reconnection delay sent by StartShutdown, 0 before; guarded by front.mu
 
 	mu          sync.Mutex
 	tickets     []*ticket
@@ -383,7 +383,7 @@
 				retryAfter = s.front.admission.ReconnectDelay(1)
 			}
 			s.front.mu.Unlock()
-			s.send(Message{Type: "bye", Why: closeReason, ComeBack: session.Duration(retryAfter).Milliseconds()})
+			s.send(Message{Type: "bye", Reason: closeReason, RetryAfterMs: session.Duration(retryAfter).Milliseconds()})
 			s.conn.Close(closeCode, closeReason)
 			return false
 		}
@@ -442,7 +442,7 @@
 			s.disconnectAndBan("too many messages")
 			continue
 		case sockets.Ignore:
-			s.queueControl(Message{Type: "error", Why: "too many messages: this one was not read"})
+			s.queueControl(Message{Type: "error", Reason: "too many messages: this one was not read"})
 			continue
 		}
 		m, err := Decode(text)
@@ -454,11 +454,11 @@
 				s.disconnectAndBan("messages that do not hold")
 				continue
 			}
-			s.queueControl(Message{Type: "error", Why: err.Error()})
+			s.queueControl(Message{Type: "error", Reason: err.Error()})
 			continue
 		}
 		if problem := s.handle(m); problem != "" {
-			s.queueControl(Message{Type: "error", Ticket: m.Ticket, Why: problem})
+			s.queueControl(Message{Type: "error", Ticket: m.Ticket, Reason: problem})
 		}
 	}
 }
@@ -471,7 +471,7 @@
 	if closing {
 		return
 	}
-	s.front.counts.Cut.Add(1)
+	s.front.counts.Disconnected.Add(1)
 	s.front.mu.Lock()
 	if s.clientID != "" {
 		s.front.admission.Ban(s.front.now(), s.clientID)
@@ -507,7 +507,7 @@
 		if !playing {
 			return "it does not play"
 		}
-		if m.Broken {
+		if m.NotDelivered {
 			if s.limiter.NotDelivered(s.front.now()) != sockets.Accept {
 				return "too many broken nodes in a short time: look at the player's own line"
 			}
@@ -546,9 +546,9 @@
 
 func (s *socket) handleAsk(m Message) string {
 	f := s.front
-	params := playapi.Params{Title: m.Title, Product: m.Product, Viewer: m.Viewer, MaxRung: -1, TimeoutMs: m.LimitMs, LengthMs: m.LengthMs, NotDelivered: m.Broken}
-	if m.Top != nil {
-		params.MaxRung = *m.Top
+	params := playapi.Params{Title: m.Title, Product: m.Product, Viewer: m.Viewer, MaxRung: -1, TimeoutMs: m.TimeoutMs, LengthMs: m.LengthMs, NotDelivered: m.NotDelivered}
+	if m.MaxRung != nil {
+		params.MaxRung = *m.MaxRung
 	}
 	request, err := playapi.NewRequest(f.service.Config, params)
 	if err != nil {
@@ -562,8 +562,8 @@
 		if !playapi.TokenMatches(f.service.Config, claims, request) {
 			return "token: made for another title, viewer or product"
 		}
-		request.Previous = &session.Previous{Play: claims.Play, NotDelivered: m.Broken}
-		if m.Broken && s.limiter.NotDelivered(f.now()) != sockets.Accept {
+		request.Previous = &session.Previous{Play: claims.Play, NotDelivered: m.NotDelivered}
+		if m.NotDelivered && s.limiter.NotDelivered(f.now()) != sockets.Accept {
 			return "too many broken nodes in a short time: look at the player's own line"
 		}
 	}
@@ -667,5 +667,5 @@
 // sendUnknown tells the player that this front knows neither the ticket nor the play of its token.
 func (s *socket) sendUnknown(ticketID, reason string) {
 	s.front.counts.Unknown.Add(1)
-	s.queueControl(Message{Type: "unknown", Ticket: ticketID, Why: reason})
+	s.queueControl(Message{Type: "unknown", Ticket: ticketID, Reason: reason})
 }
--- a/wsapi/wsapi_test.go
+++ b/wsapi/wsapi_test.go
@@ -80,7 +80,7 @@
 
 type fixture struct {
 	*fakeCore
-	front  *Front
+	front  *Server
 	server *httptest.Server
 }
 
@@ -104,7 +104,7 @@
 	}
 	core := &fakeCore{clock: session.NewClock()}
 	f := &fixture{fakeCore: core}
-	f.front = New(playapi.New("f", "http", &service, minter, time.Minute, core, zerolog.Nop()), core.clock, connections, 1, zerolog.Nop())
+	f.front = NewServer(playapi.New("f", "http", &service, minter, time.Minute, core, zerolog.Nop()), core.clock, connections, 1, zerolog.Nop())
 	f.server = httptest.NewServer(f.front)
 	t.Cleanup(func() {
 		f.front.Close()
@@ -148,7 +148,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	m, err := DecodeFront(text)
+	m, err := DecodeFromFront(text)
 	if err != nil {
 		p.t.Fatalf("%v: %s", err, text)
 	}
@@ -204,11 +204,11 @@
 	p := f.dial(t)
 	p.send(askMessage)
 	f.waitForRequest(t, 0).Reply.Resolve(session.Answer{Verdict: session.Declined, Reason: "no node can take it", RetryAfter: 7000})
-	if m := p.receive(); m.Verdict != "declined" || m.ComeBack != 700 {
+	if m := p.receive(); m.Verdict != "declined" || m.RetryAfterMs != 700 {
 		t.Fatalf("%+v", m)
 	}
 	p.send(`{"type":"ask","ticket":%q,"title":"t","product":"p","viewer":"v","limit_ms":50}`, ticketB)
-	if m := p.receive(); m.Verdict != "failed" || m.Why != "time limit" || m.Ticket != ticketB {
+	if m := p.receive(); m.Verdict != "failed" || m.Reason != "time limit" || m.Ticket != ticketB {
 		t.Fatalf("%+v", m)
 	}
 	if f.waitForRequest(t, 1).Reply.Resolve(playsAnswer("late", 0)) {
@@ -314,7 +314,7 @@
 		t.Fatalf("%+v", m)
 	}
 	q.send(`{"type":"ask","ticket":%q,"title":"t","product":"p","viewer":"other"}`, ticketB)
-	if m := q.receive(); m.Type != "error" || m.Why != "the socket is another viewer's" {
+	if m := q.receive(); m.Type != "error" || m.Reason != "the socket is another viewer's" {
 		t.Fatalf("%+v", m)
 	}
 }
@@ -416,20 +416,20 @@
 	f := newFixture(t, 100)
 	p := f.dial(t)
 	p.send(`{"type":"ask","ticket":"short","title":"t","product":"p","viewer":"v"}`)
-	if m := p.receive(); m.Type != "error" || !strings.Contains(m.Why, "schema") {
+	if m := p.receive(); m.Type != "error" || !strings.Contains(m.Reason, "schema") {
 		t.Fatalf("%+v", m)
 	}
 	p.send("%s", strings.Replace(askMessage, `"t"`, `"none"`, 1))
-	if m := p.receive(); m.Type != "error" || m.Why != `title: "none" is not known` {
+	if m := p.receive(); m.Type != "error" || m.Reason != `title: "none" is not known` {
 		t.Fatalf("%+v", m)
 	}
 	p.send(`{"type":"ack","ticket":%q,"cursor":1}`, ticketA)
-	if m := p.receive(); m.Why != "this socket has no such ticket" {
+	if m := p.receive(); m.Reason != "this socket has no such ticket" {
 		t.Fatalf("%+v", m)
 	}
 	p.send(`{`)
 	p.send(`[]`)
-	if code, last := p.waitForClose(); code != websocket.StatusPolicyViolation || last.Type != "bye" || last.ComeBack == 0 {
+	if code, last := p.waitForClose(); code != websocket.StatusPolicyViolation || last.Type != "bye" || last.RetryAfterMs == 0 {
 		t.Fatalf("code %d, %+v", code, last)
 	}
 	p = f.dial(t)
@@ -513,7 +513,7 @@
 	q.send(`{"type":"resume","ticket":%q,"cursor":1}`, ticketA)
 	skipped := 0
 	for range kept {
-		skipped += q.receive().Skipped
+		skipped += q.receive().Omitted
 	}
 	if skipped < 80 {
 		t.Fatalf("only %d messages are reported as omitted", skipped)
@@ -551,7 +551,7 @@
 			p.receive()
 		}
 	}
-	f.front.Shut()
+	f.front.StartShutdown()
 	delays := map[int64]bool{}
 	for i, p := range append(players[1:], players[0]) {
 		if i == len(players)-1 { // its request is still pending
@@ -561,10 +561,10 @@
 			}
 		}
 		m := p.receive()
-		if m.Type != "bye" || m.ComeBack < 1000 {
+		if m.Type != "bye" || m.RetryAfterMs < 1000 {
 			t.Fatalf("%+v", m)
 		}
-		delays[m.ComeBack] = true
+		delays[m.RetryAfterMs] = true
 		p.conn.Close(websocket.StatusNormalClosure, "")
 	}
 	if len(delays) < 25 {
@@ -572,7 +572,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	f.front.Drain(ctx)
+	f.front.WaitClosed(ctx)
 	if _, open, _ := f.front.Counts(); open != 0 || ctx.Err() != nil {
 		t.Fatalf("%d sockets are open after Drain", open)
 	}
