--- a/cmd/gullrail/main.go
+++ b/cmd/gullrail/main.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return inputError{err}
 	}
-	level, err := zerolog.ParseLevel(settings.Log)
+	level, err := zerolog.ParseLevel(settings.LogLevel)
 	if err != nil {
 		return inputError{err}
 	}
@@ -96,7 +96,7 @@
 	}
 	log := zerolog.New(os.Stdout).Level(level).With().Timestamp().Str("front", opts.Name).Logger()
 	relay, err := platform.Listen(opts, c.File, log)
-	if errors.Is(err, platform.ErrEnded) {
+	if errors.Is(err, platform.ErrStoppedBeforeListening) {
 		return nil // a signal came before the socket was open, so there are no connections to close
 	}
 	if err != nil {
@@ -165,7 +165,7 @@
 				return err
 			}
 		}
-		return printReport(outcome.Report, outcome.Short, outcome.Took, c.JSON)
+		return printReport(outcome.Report, outcome.ShortSegmentShare, outcome.Took, c.JSON)
 	}
 	if c.Module != "choice" {
 		return inputError{errors.New("--module: baselines run only in simulated time, with --sim")}
@@ -201,12 +201,12 @@
 			return err
 		}
 	}
-	return printReport(outcome.Report, outcome.Short, outcome.Took, c.JSON)
+	return printReport(outcome.Report, outcome.ShortSegmentShare, outcome.Took, c.JSON)
 }
 
 // saveOutcome writes the trace and the HTML report of a run to a folder.
 func saveOutcome(folder, file string, scenario *testbed.Scenario, outcome *testbed.Outcome) error {
-	if err := writeTrace(filepath.Join(folder, "tape.jsonl"), outcome.Lines); err != nil {
+	if err := writeTrace(filepath.Join(folder, "tape.jsonl"), outcome.Events); err != nil {
 		return err
 	}
 	f, err := os.Create(filepath.Join(folder, "report.html"))
@@ -214,7 +214,7 @@
 		return err
 	}
 	defer f.Close()
-	if err := htmlreport.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), scenario.Seed), scenario, outcome.Lines, outcome.Report); err != nil {
+	if err := htmlreport.Write(f, fmt.Sprintf("%s, seed %d", filepath.Base(file), scenario.Seed), scenario, outcome.Events, outcome.Report); err != nil {
 		return err
 	}
 	return f.Close()
--- a/frontend/fleet.go
+++ b/frontend/fleet.go
@@ -20,18 +20,18 @@
 	"gullrail/store"
 )
 
-// FleetFolder is the name of the folder, in a front's state folder, with the store of the last known list of nodes.
-const FleetFolder = "fleet"
+// NodeListFolder is the name of the folder, in a front's state folder, with the store of the last known list of nodes.
+const NodeListFolder = "fleet"
 
 const saveInterval = 2 * time.Second // a crash loses only changes to the list that are more recent
 
 // savedNodeList is the list as it is saved: a single record of a store, which protects it by a checksum and replaces it
 // atomically.
 type savedNodeList struct {
-	ListURL string       `json:"list_url"` // of the list service it comes from; the list of another site is not used
-	Version int64        `json:"version"`
-	At      int64        `json:"at"` // Unix milliseconds
-	Nodes   []nodes.Line `json:"nodes"`
+	ListURL string           `json:"list_url"` // of the list service it comes from; the list of another site is not used
+	Version int64            `json:"version"`
+	At      int64            `json:"at"` // Unix milliseconds
+	Nodes   []nodes.ListNode `json:"nodes"`
 }
 
 // nodeListStore saves the list of nodes, for a start while the list service can't be reached.
@@ -52,18 +52,18 @@
 	if folder == "" {
 		return nl, nil
 	}
-	dir := filepath.Join(folder, FleetFolder)
+	dir := filepath.Join(folder, NodeListFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("state folder: %w", err)
 	}
-	log, c, err := store.Open(store.Folder(dir))
-	if errors.Is(err, store.ErrDamage) || errors.Is(err, store.ErrFormat) {
+	log, c, err := store.Open(store.Dir(dir))
+	if errors.Is(err, store.ErrDamaged) || errors.Is(err, store.ErrFormat) {
 		logger.Error().Err(err).Str("folder", dir).Msg("discarding the store of the saved node list, which can't be read")
 		if err = os.RemoveAll(dir); err == nil {
 			err = os.MkdirAll(dir, 0o700)
 		}
 		if err == nil {
-			log, c, err = store.Open(store.Folder(dir))
+			log, c, err = store.Open(store.Dir(dir))
 		}
 	}
 	if err != nil {
@@ -86,7 +86,7 @@
 	if s.ListURL != nl.listURL {
 		return nil, fmt.Errorf("saved list: it comes from another list service, %.80s", s.ListURL)
 	}
-	lines, err := nodes.ParseLines(s.Nodes, nl.service, nl.runner.Clock())
+	lines, err := nodes.ParseNodes(s.Nodes, nl.service, nl.runner.Clock())
 	if err != nil {
 		return nil, fmt.Errorf("saved %w", err)
 	}
@@ -154,7 +154,7 @@
 	}
 	s := savedNodeList{ListURL: nl.listURL, Version: list.version, At: time.Now().UnixMilli()}
 	for _, l := range list.entries {
-		s.Nodes = append(s.Nodes, nodes.FormatLine(l, nl.service))
+		s.Nodes = append(s.Nodes, nodes.FormatNode(l, nl.service))
 	}
 	data, err := json.Marshal(s)
 	if err != nil {
@@ -172,18 +172,18 @@
 
 // FleetNode is a front's view of one node, as reported at FleetPath.
 type FleetNode struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	Phase   string  `json:"phase"` // ready, draining (no new plays) or gone
-	Usable  bool    `json:"use"`   // new plays may be sent to it
-	Reason  string  `json:"why,omitempty"`
-	Source  string  `json:"by"`     // where the phase was learned from
-	AgeMs   int64   `json:"age_ms"` // age of the last information about the node
-	Alive   bool    `json:"alive"`  // its stream is open
-	Zone    string  `json:"zone"`
-	Kind    string  `json:"kind"`
-	Cell    int     `json:"cell"`
-	Weight  float64 `json:"weight"`
+	Name      string  `json:"name"`
+	Address   string  `json:"address"`
+	Phase     string  `json:"phase"` // ready, draining (no new plays) or gone
+	Usable    bool    `json:"use"`   // new plays may be sent to it
+	Reason    string  `json:"why,omitempty"`
+	Source    string  `json:"by"`     // where the phase was learned from
+	AgeMs     int64   `json:"age_ms"` // age of the last information about the node
+	Connected bool    `json:"alive"`  // its stream is open
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"kind"`
+	Cell      int     `json:"cell"`
+	Weight    float64 `json:"weight"`
 }
 
 // serveFleet handles requests for FleetPath.
@@ -194,9 +194,9 @@
 	case all := <-reply:
 		out := []FleetNode{}
 		for _, b := range all {
-			l := nodes.FormatLine(b.Entry, &f.settings.Service)
+			l := nodes.FormatNode(b.Entry, &f.settings.Service)
 			out = append(out, FleetNode{Name: l.Name, Address: l.Address, Phase: l.Phase, Usable: b.Usable, Reason: b.Reason, Source: b.Source.String(),
-				AgeMs: b.Age / decision.Millisecond, Alive: b.Alive, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
+				AgeMs: b.Age / decision.Millisecond, Connected: b.Connected, Zone: l.Zone, Kind: l.Kind, Cell: l.Cell, Weight: l.Weight})
 		}
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -39,7 +39,7 @@
 	client   *nodes.Client
 	journal  *journal // nil without a state folder
 	server   *http.Server
-	sockets  *wsapi.Front
+	sockets  *wsapi.Server
 	nodeList *nodeListStore
 	peers    *peers.Conn // nil if fronts exchange no messages
 }
@@ -52,15 +52,15 @@
 		return nil, err
 	}
 	var cert *certificate
-	if settings.Cert != "" {
-		if cert, err = newCertificate(settings.Cert, settings.CertKey, logger); err != nil {
+	if settings.CertFile != "" {
+		if cert, err = newCertificate(settings.CertFile, settings.CertKeyFile, logger); err != nil {
 			return nil, err
 		}
 	}
 	var nodesTLS func() (*tls.Config, error)
 	mediaScheme := "http"
-	if settings.NodesCA != "" {
-		ca, err := newNodeCAs(settings.NodesCA, logger)
+	if settings.NodesCAFile != "" {
+		ca, err := newNodeCAs(settings.NodesCAFile, logger)
 		if err != nil {
 			return nil, err
 		}
@@ -105,10 +105,10 @@
 		f.core.SetSender(f.peers.Send)
 	}
 	mux := http.NewServeMux()
-	tokenLifetime := time.Duration(settings.TokenMs * float64(time.Millisecond))
+	tokenLifetime := time.Duration(settings.TokenLifetimeMs * float64(time.Millisecond))
 	plays := playapi.New(settings.Name, mediaScheme, service, minter, tokenLifetime, f.runner, logger)
-	mux.Handle("/v1/", dash.NewFront(plays, logger))
-	f.sockets = wsapi.New(plays, clock, settings.MaxSockets, seed+1, logger)
+	mux.Handle("/v1/", dash.NewHandler(plays, logger))
+	f.sockets = wsapi.NewServer(plays, clock, settings.MaxSockets, seed+1, logger)
 	mux.Handle("GET "+wsapi.Path, f.sockets)
 	if f.nodeList, err = openNodeListStore(settings.StateFolder, settings.ListURL, service, f.runner, logger); err != nil {
 		listener.Close()
@@ -122,7 +122,7 @@
 	mux.Handle("GET /metrics", f.metrics())
 	f.server = &http.Server{Handler: mux, ReadHeaderTimeout: session.Duration(admission.HeaderTimeout),
 		IdleTimeout: session.Duration(admission.IdleTimeout), MaxHeaderBytes: 16 << 10,
-		WriteTimeout: time.Duration(service.LongestLimitMs()*float64(time.Millisecond)) + session.Duration(admission.WriteTimeout)}
+		WriteTimeout: time.Duration(service.MaxDeadlineMs()*float64(time.Millisecond)) + session.Duration(admission.WriteTimeout)}
 	return f, nil
 }
 
@@ -131,7 +131,7 @@
 	var signing token.Key
 	verifying := map[string]ed25519.PublicKey{}
 	for _, k := range keys {
-		if k.Signs {
+		if k.Signing {
 			signing = token.Key{ID: k.ID, Private: ed25519.NewKeyFromSeed(k.Seed)}
 		} else {
 			verifying[k.ID] = k.Public
@@ -173,14 +173,14 @@
 
 // shutDown shuts the front down gracefully within the time limit in its settings.
 func (f *Front) shutDown() {
-	timeout := time.Duration(f.settings.ShutdownMs * float64(time.Millisecond))
+	timeout := time.Duration(f.settings.ShutdownTimeoutMs * float64(time.Millisecond))
 	f.logger.Info().Dur("within", timeout).Bool("retire", f.settings.ReleasePlays).Msg("front is shutting down")
 	end := f.runner.Clock().Now() + session.Ticks(timeout)
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	f.runner.RejectAll()
 	f.runner.Post(func(now int64, c *session.Core) { c.BeginShutdown(now, end) })
-	f.sockets.Shut()
+	f.sockets.StartShutdown()
 	expire := time.AfterFunc(session.Duration(shutdown.Deadline(end)-f.runner.Clock().Now()), func() {
 		f.runner.Post(func(now int64, c *session.Core) { c.Close(now) })
 	})
@@ -191,8 +191,8 @@
 	if err := f.server.Shutdown(shutdownCtx); err != nil {
 		f.server.Close()
 	}
-	f.sockets.Drain(shutdownCtx)
-	for f.settings.ReleasePlays && shutdownCtx.Err() == nil && f.Counts(shutdownCtx).InHand > 0 {
+	f.sockets.WaitClosed(shutdownCtx)
+	for f.settings.ReleasePlays && shutdownCtx.Err() == nil && f.Counts(shutdownCtx).Active > 0 {
 		select {
 		case <-time.After(20 * time.Millisecond):
 		case <-shutdownCtx.Done():
@@ -206,7 +206,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	runCtx, stop := context.WithCancel(context.Background()) // ends after ctx, when requests in progress are complete
 	defer stop()
-	list := &nodes.ListClient{Front: f.settings.Name, URL: f.settings.ListURL, Set: &f.settings.Service, Runner: f.runner, Log: f.logger, Seed: f.settings.Seed + uint64(f.settings.Number)}
+	list := &nodes.ListClient{Front: f.settings.Name, URL: f.settings.ListURL, Service: &f.settings.Service, Runner: f.runner, Log: f.logger, Seed: f.settings.Seed + uint64(f.settings.Number)}
 	g.Go(func() error { return f.runner.Run(runCtx, f.core) })
 	g.Go(func() error { return list.Run(runCtx) })
 	g.Go(func() error { return f.nodeList.run(runCtx) })
--- a/frontend/journal.go
+++ b/frontend/journal.go
@@ -18,10 +18,10 @@
 	"gullrail/store"
 )
 
-// PlaysFolder is the name of the folder, in a front's state folder, with the store of the play log.
-const PlaysFolder = "plays"
+// PlayLogFolder is the name of the folder, in a front's state folder, with the store of the play log.
+const PlayLogFolder = "plays"
 
-// journal is a session.Transport that records plays. The allocations for which playlog.LogFirst holds are durable before
+// journal is a session.Transport that records plays. The allocations for which playlog.RequiresDurableRecord holds are durable before
 // they are sent. If the store is broken, they are not sent and their plays are declined.
 type journal struct {
 	*nodes.Client
@@ -40,18 +40,18 @@
 
 // previousRuns is the state recorded by earlier runs of the front.
 type previousRuns struct {
-	open  []session.Expected
+	open  []session.RecordedPlay
 	ended []playlog.EndedPlay
 	lost  uint64 // number of records that a salvage found missing
 }
 
 // openJournal opens the store in a state folder and returns the state recorded by earlier runs.
 func openJournal(folder string, service *config.Service, epoch int64, client *nodes.Client, r *session.Runner, logger zerolog.Logger) (*journal, previousRuns, error) {
-	dir := filepath.Join(folder, PlaysFolder)
+	dir := filepath.Join(folder, PlayLogFolder)
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, previousRuns{}, fmt.Errorf("state folder: %w", err)
 	}
-	j, previous, err := newJournal(store.Folder(dir), service, epoch, client, r, logger)
+	j, previous, err := newJournal(store.Dir(dir), service, epoch, client, r, logger)
 	if err != nil {
 		return nil, previousRuns{}, fmt.Errorf("%s: %w", dir, err)
 	}
@@ -76,7 +76,7 @@
 		if !ok || !known {
 			product = -1
 		}
-		previous.open = append(previous.open, session.Expected{Node: r.Node, Answered: r.Answered, Running: session.Running{Play: r.Play, Epoch: r.Epoch,
+		previous.open = append(previous.open, session.RecordedPlay{Node: r.Node, Answered: r.Answered, ReportedPlay: session.ReportedPlay{Play: r.Play, Epoch: r.Epoch,
 			Attempt: r.Attempt, Product: product, Title: r.Title, FirstCell: firstCell, CellCount: cellCount, Viewer: r.Viewer, Rung: r.Rung, MaxRung: r.MaxRung}})
 	}
 	if previous.lost > 0 {
@@ -87,7 +87,7 @@
 }
 
 func (j *journal) logsFirst(product int) bool {
-	return playlog.LogFirst(j.service.Products[product].Paid, j.service.Products[product].MaxSeats)
+	return playlog.RequiresDurableRecord(j.service.Products[product].Paid, j.service.Products[product].MaxSeats)
 }
 
 // SetUp sends an allocation, after recording it durably if the product requires that.
@@ -141,7 +141,7 @@
 	}
 	j.writeAsync(playlog.Record{Kind: playlog.Started, Play: r.Play, Attempt: r.Attempt})
 	if resumed != "" {
-		j.writeAsync(playlog.Record{Kind: playlog.Token, Play: resumed, At: time.Now().UnixMilli()})
+		j.writeAsync(playlog.Record{Kind: playlog.TokenUsed, Play: resumed, At: time.Now().UnixMilli()})
 	}
 }
 
@@ -163,7 +163,7 @@
 	j.mu.Unlock()
 	if lost > 0 {
 		j.logger.Info().Uint64("records", lost).Msg("reports of the nodes have replaced the missing records")
-		j.writeAsync(playlog.Record{Kind: playlog.Recovered})
+		j.writeAsync(playlog.Record{Kind: playlog.RecordsRecovered})
 	}
 }
 
@@ -178,7 +178,7 @@
 func (j *journal) write(r playlog.Record) <-chan error {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	done, err := j.log.TryBegin(r.Encode())
+	done, err := j.log.TryAppendAsync(r.Encode())
 	if err != nil {
 		failed := make(chan error, 1)
 		failed <- err
@@ -198,7 +198,7 @@
 	j.state.Expire(time.Now().UnixMilli())
 	records := encodeRecords(j.state)
 	if _, err := j.log.TryCompact(records); err == nil { // if writing fails, the log is broken and the next write reports it
-		j.state.Compacted(len(records))
+		j.state.SetRecordCount(len(records))
 	}
 }
 
--- a/testbed/mixed_test.go
+++ b/testbed/mixed_test.go
@@ -36,7 +36,7 @@
 func TestFrontsWithOldAndNewSettingsShareNodes(t *testing.T) {
 	const fronts, rounds = 4, 30
 	r := newRigWith(t, 4, func(r *rig) {
-		r.service.Fronts, r.service.DrainGraceMs, r.service.WeightKB = fronts, 250, 4000
+		r.service.Fronts, r.service.DrainGraceMs, r.service.LinkKBPerWeight = fronts, 250, 4000
 		r.settings.Service, r.settings.Name = *r.service, "old0"
 	})
 	r.fleet.mu.Lock()
@@ -88,7 +88,7 @@
 			line.Phase = "draining"
 			r.listService.UpdateNodes(line)
 		case 15:
-			r.nodes[1].crash(trace.Crash)
+			r.nodes[1].crash(trace.NodeCrashed)
 			r.nodes[1].wg.Wait()
 			if err := r.nodes[1].start(true); err != nil {
 				t.Fatal(err)
@@ -122,7 +122,7 @@
 	settingsOf := map[int64]string{}
 	for _, e := range r.recorder.Events() {
 		switch {
-		case e.Kind == trace.Ask:
+		case e.Kind == trace.RequestSent:
 			settingsOf[e.ID] = e.Front[:3]
 			asked[e.Front[:3]]++
 		case e.Kind == trace.Answer && e.Status == 200:
--- a/testbed/player.go
+++ b/testbed/player.go
@@ -37,11 +37,11 @@
 
 // ViewerClients runs viewers on sockets and records their requests and answers.
 type ViewerClients struct {
-	Set    *config.Service
-	Trace  *trace.Recorder
-	Client *http.Client
-	ids    atomic.Int64
-	Counts ViewerCounts
+	Service *config.Service
+	Trace   *trace.Recorder
+	Client  *http.Client
+	ids     atomic.Int64
+	Counts  ViewerCounts
 }
 
 // ViewerCounts counts the segments of all viewers.
@@ -57,7 +57,7 @@
 
 // NewViewerClients returns a ViewerClients with its own HTTP connections.
 func NewViewerClients(service *config.Service, t *trace.Recorder) *ViewerClients {
-	return &ViewerClients{Set: service, Trace: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
+	return &ViewerClients{Service: service, Trace: t, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64,
 		IdleConnTimeout: 10 * time.Second}}}
 }
 
@@ -73,7 +73,7 @@
 // far, if any; notDelivering means that the node of that play does not deliver.
 func (p *ViewerClients) requestManifest(ctx context.Context, v *Viewer, front int, target, previousPlay string, first, notDelivering bool) (res manifestResult) {
 	id := p.ids.Add(1)
-	event := trace.Event{Kind: trace.Ask, ID: id, Front: v.Names[front], Viewer: v.Name, Product: v.Product.Name,
+	event := trace.Event{Kind: trace.RequestSent, ID: id, Front: v.Names[front], Viewer: v.Name, Product: v.Product.Name,
 		Title: v.Title, LimitMs: int64(v.Product.DeadlineMs), Play: previousPlay, First: first}
 	if notDelivering {
 		event.Note = "broken"
@@ -96,7 +96,7 @@
 
 // initialURL returns the manifest URL for a new play.
 func (p *ViewerClients) initialURL(v *Viewer, front int, length time.Duration) string {
-	return client.FirstManifestURL("http", v.Fronts[front], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: length})
+	return client.ManifestURL("http", v.Fronts[front], v.Name, client.Request{Title: v.Title, Product: v.Product.Name, MaxRung: v.MaxRung, Length: length})
 }
 
 // Watch runs a viewer: it requests a play, fetches segments, resumes after interruptions and moves, and retries
@@ -162,7 +162,7 @@
 // play fetches segments until the watch time is over or the play is interrupted. It requests the manifest again
 // when the node suggests another rate, and updates res.
 func (p *ViewerClients) play(ctx context.Context, v *Viewer, front int, res *manifestResult, startedAt time.Time) playEnd {
-	interval := time.Duration(res.manifest.Segment) * time.Millisecond
+	interval := time.Duration(res.manifest.SegmentMs) * time.Millisecond
 	suggestedRate, failures := "", 0
 	for n := 1; time.Since(startedAt) < v.WatchTime; n++ {
 		m := &res.manifest
@@ -247,7 +247,7 @@
 	if err != nil {
 		return
 	}
-	p.Trace.Add(trace.Event{Kind: trace.Leave, Play: play})
+	p.Trace.Add(trace.Event{Kind: trace.PlayerLeaving, Play: play})
 	if resp, err := p.Client.Do(req); err == nil {
 		resp.Body.Close()
 	}
--- a/testbed/ws_test.go
+++ b/testbed/ws_test.go
@@ -68,7 +68,7 @@
 		t.Fatalf("status %d, play %s, want play %s", x.status, x.play, grant.Play)
 	}
 	p.End()
-	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
+	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).Active == 0 })
 }
 
 func TestSocketPlayMovesAfterNodeCrash(t *testing.T) {
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.fleet.nodes[claims.Node].crash(trace.Crash)
+	r.fleet.nodes[claims.Node].crash(trace.NodeCrashed)
 	r.awaitEvent(p, client.Interrupted)
 	e := r.awaitEvent(p, client.Moved)
 	if e.Grant.Play == first.Play || r.fetchSegment(e.Grant) != 200 {
@@ -100,7 +100,7 @@
 	r.settings.Listen = r.addr
 	r.stop()
 	r.startFront()
-	e := r.awaitEvent(p, client.Rung) // resumed by its token: the restarted front adopted the play
+	e := r.awaitEvent(p, client.RungChanged) // resumed by its token: the restarted front adopted the play
 	if e.Grant.Play != first.Play || r.fetchSegment(e.Grant) != 200 || r.countEvents(trace.SetUp, "") != 1 {
 		t.Fatalf("%+v, %d set-ups", e.Grant, r.countEvents(trace.SetUp, ""))
 	}
@@ -150,7 +150,7 @@
 	if _, err := c.RequestPlay(ctx, client.Request{Title: "clip", Product: "safe", MaxRung: -1, Timeout: time.Second, MaxRetries: 1000}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Fatalf("got %v", err)
 	}
-	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).InHand == 0 })
+	r.eventually("the front holds no play", func() bool { return r.front.Counts(t.Context()).Active == 0 })
 	c.Close()
 	if _, err := c.RequestPlay(t.Context(), client.Request{Title: "clip", Product: "safe"}); !errors.Is(err, client.ErrClosed) {
 		t.Fatalf("after Close: %v", err)
