--- a/internal/convert/convert.go
+++ b/internal/convert/convert.go
@@ -225,7 +225,7 @@
 type Request struct {
 	Product, Title, Viewer        int
 	TitleName                     string
-	RemainingMs, LengthHintMs     float64 // HintMs is 0 if not given
+	RemainingMs, LengthHintMs     float64 // LengthHintMs is 0 if not given
 	FirstCell, CellCount, MaxRung int
 	Moved, Retry                  bool
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -807,7 +807,7 @@
 func (pol *Policy) fleetConfidence() float64 { return min(1, pol.peerWeight/fullPeerWeight) }
 
 // rungOffset returns how many rungs a play may be above others because its steps gain more per rate. It is scaled
-// by levelConfidence: applied to the mean of a few own plays it would only add noise.
+// by fleetConfidence: applied to the mean of a few own plays it would only add noise.
 func (pol *Policy) rungOffset(p *play) float64 {
 	return pol.fleetConfidence() * pol.productOffsets[p.request.Product]
 }
