--- a/rundir/rundir_test.go
+++ b/rundir/rundir_test.go
@@ -76,7 +76,7 @@
 	return r
 }
 
-func TestStopEndsOnlyProcessesOfItsRun(t *testing.T) {
+func TestCleanEndsOnlyProcessesOfItsRun(t *testing.T) {
 	a, b := createRun(t), createRun(t)
 	startMember(t, a, "one")
 	unresponsive := startMember(t, a, "unresponsive", "RUNDIR_TEST_IGNORE_SIGTERM=1")
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestStopIgnoresReusedPIDs(t *testing.T) {
+func TestCleanIgnoresReusedPIDs(t *testing.T) {
 	r := createRun(t)
 	process := startMember(t, r, "one")
 	m := awaitRegistration(t, r, "one")
