--- a/shutdown/shutdown_test.go
+++ b/shutdown/shutdown_test.go
@@ -8,7 +8,7 @@
 
 const now = 1_000_000
 
-func TestOnlySetUpsThatAreOutAreWaitedFor(t *testing.T) {
+func TestDecideWaitsOnlyForSetUpsInFlight(t *testing.T) {
 	end := int64(now + 5*decision.Second)
 	for _, c := range []struct {
 		name string
